--- a/edge/edge.go
+++ b/edge/edge.go
@@ -15,7 +15,6 @@
 	"petrelstep/admission"
 	"petrelstep/balance/places"
 	"petrelstep/balance/speeds"
-	"petrelstep/belief"
 	"petrelstep/choose"
 	"petrelstep/config"
 	"petrelstep/evacuate"
@@ -40,6 +39,7 @@
 	"petrelstep/rest"
 	"petrelstep/retry"
 	"petrelstep/route"
+	"petrelstep/routecache"
 	"petrelstep/runs"
 	"petrelstep/snapshot"
 	"petrelstep/tally"
@@ -117,7 +117,7 @@
 
 	store       *store.Store
 	boxes       *manifest.Boxes
-	belief      *belief.Belief
+	belief      *routecache.Cache
 	fleet       *fleet.Fleet
 	halls       *halls.Halls
 	tally       *tally.Tally
@@ -186,7 +186,7 @@
 		timer:       timer.New(),
 		metrics:     counts,
 		store:       store.New(c.Platform.Address, counts).WithUnread(counts, log),
-		belief:      belief.New(config.Millis(s.KeyAgeMs) - ageSlack),
+		belief:      routecache.New(config.Millis(s.KeyAgeMs) - ageSlack),
 		fleet:       fleet.New(time.Duration(missingPart * float64(config.Millis(s.LeaveMs)))),
 		tally:       tally.New(),
 		reliability: reliability.New(),
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -17,7 +17,6 @@
 	"petrelstep/admission"
 	"petrelstep/balance/places"
 	"petrelstep/balance/speeds"
-	"petrelstep/belief"
 	"petrelstep/choose"
 	"petrelstep/exchange"
 	"petrelstep/fingerprint"
@@ -33,6 +32,7 @@
 	"petrelstep/rest"
 	"petrelstep/retry"
 	"petrelstep/route"
+	"petrelstep/routecache"
 	"petrelstep/runs"
 	"petrelstep/tally"
 )
@@ -60,7 +60,7 @@
 
 // Parts are what a relay works with.
 type Parts struct {
-	Belief      *belief.Belief
+	Belief      *routecache.Cache
 	Fleet       *fleet.Fleet
 	Chooser     *choose.Chooser
 	Admitter    Admitter       // nil: straight to the emptiest engine
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -18,7 +18,6 @@
 
 	"petrelstep/admission"
 	"petrelstep/balance/places"
-	"petrelstep/belief"
 	"petrelstep/choose"
 	"petrelstep/exchange"
 	"petrelstep/fleet"
@@ -32,6 +31,7 @@
 	"petrelstep/reliability"
 	"petrelstep/retry"
 	"petrelstep/route"
+	"petrelstep/routecache"
 	"petrelstep/runs"
 	"petrelstep/tally"
 	"petrelstep/warmup"
@@ -192,7 +192,7 @@
 
 // world is a relay with what it works with.
 type world struct {
-	belief *belief.Belief
+	belief *routecache.Cache
 	fleet  *fleet.Fleet
 	runs   *runs.Runs
 	sender *sender
@@ -227,7 +227,7 @@
 	counts, err := metrics.New()
 	is.New(t).NoErr(err)
 	w := &world{
-		belief: belief.New(4600 * time.Millisecond), fleet: fleet.New(time.Second), runs: runs.New(), tally: tally.New(),
+		belief: routecache.New(4600 * time.Millisecond), fleet: fleet.New(time.Second), runs: runs.New(), tally: tally.New(),
 		sender: &sender{script: script},
 	}
 	w.belief.Take(table)
@@ -318,7 +318,7 @@
 				is := is.New(t)
 				w := newWorld(t, reply{body: "ok", events: []int{0}})
 				if tt.none {
-					w.belief = belief.New(time.Second)
+					w.belief = routecache.New(time.Second)
 					w.relay.Belief = w.belief
 				}
 				w.leaves = tt.leaves
--- a/belief/belief.go
+++ b/routecache/routecache.go
@@ -1,6 +1,6 @@
-// Package belief holds the configuration that a box believes to be in force,
+// Package routecache holds the configuration that a box believes to be in force,
 // and how old that belief is. Versions only rise within a life.
-package belief
+package routecache
 
 import (
 	"sync"
@@ -13,8 +13,8 @@
 // that counts, and short enough to be told to other boxes and reckoned with.
 const neverAge = time.Hour
 
-// Belief is safe for use by several goroutines.
-type Belief struct {
+// Cache is safe for use by several goroutines.
+type Cache struct {
 	mu        sync.Mutex
 	table     *route.Table
 	confirmed time.Time
@@ -24,11 +24,11 @@
 
 // New returns a belief of nothing. One that was confirmed longer than most ago
 // is stale: a key may have been taken away since.
-func New(most time.Duration) *Belief { return &Belief{most: most} }
+func New(most time.Duration) *Cache { return &Cache{most: most} }
 
 // OnSlept lets ages count the time in which the machine was suspended, which the steady
 // clock leaves out: a key that was taken away meanwhile was else served on.
-func (b *Belief) OnSlept(slept func(since time.Time) time.Duration) {
+func (b *Cache) OnSlept(slept func(since time.Time) time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slept = slept
@@ -36,7 +36,7 @@
 
 // Take takes a version; it reports false, and keeps what it has, if that is as
 // new or newer.
-func (b *Belief) Take(t *route.Table) bool {
+func (b *Cache) Take(t *route.Table) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.table != nil && t.Version() <= b.table.Version() {
@@ -48,7 +48,7 @@
 
 // Confirm notes that nothing newer had been accepted when a call was sent. The
 // steady clock counts, so at must carry it. A time to come confirms nothing.
-func (b *Belief) Confirm(at time.Time) {
+func (b *Cache) Confirm(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if at.After(b.confirmed) && !at.After(time.Now()) {
@@ -58,7 +58,7 @@
 
 // Now returns the configuration, nil if there is none yet, how old the belief
 // in it is, and whether that is too old to serve by.
-func (b *Belief) Now(now time.Time) (t *route.Table, age time.Duration, stale bool) {
+func (b *Cache) Now(now time.Time) (t *route.Table, age time.Duration, stale bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	age = now.Sub(b.confirmed)
@@ -70,7 +70,7 @@
 }
 
 // Age returns how old the belief is; false if there is none.
-func (b *Belief) Age(now time.Time) (time.Duration, bool) {
+func (b *Cache) Age(now time.Time) (time.Duration, bool) {
 	t, age, _ := b.Now(now)
 	return age, t != nil
 }
--- a/belief/belief_test.go
+++ b/routecache/routecache_test.go
@@ -1,4 +1,4 @@
-package belief_test
+package routecache_test
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/belief"
 	"petrelstep/route"
+	"petrelstep/routecache"
 )
 
 func version(v int) *route.Table { return route.New(v, nil, nil, nil, route.Limits{}) }
@@ -15,7 +15,7 @@
 func TestBeliefRisesAndAges(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := belief.New(4 * time.Second)
+	b := routecache.New(4 * time.Second)
 	_, _, stale := b.Now(now)
 	is.True(stale) // knows nothing
 	is.True(b.Take(version(5)))
@@ -37,11 +37,11 @@
 func TestNeverConfirmed(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := belief.New(4 * time.Second)
+	b := routecache.New(4 * time.Second)
 	is.True(b.Take(version(1)))
 	_, age, stale := b.Now(now)
 	is.True(stale)
-	other := belief.New(4 * time.Second)
+	other := routecache.New(4 * time.Second)
 	is.True(other.Take(version(1)))
 	other.Confirm(now.Add(-age))
 	_, _, stale = other.Now(now)
