--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -17,9 +17,9 @@
 
 	"petrelstep/choose"
 	"petrelstep/fleet"
+	"petrelstep/peerstate"
 	"petrelstep/refusal"
 	"petrelstep/route"
-	"petrelstep/told"
 	"petrelstep/wire"
 )
 
@@ -90,12 +90,12 @@
 
 	mu       sync.Mutex // guards what follows and Random
 	services map[string]*service
-	others   *told.Book[demand]
+	others   *peerstate.Totals[demand]
 }
 
 // New returns places of a box that has met nothing yet.
 func New(parts Parts) *Places {
-	return &Places{Parts: parts, services: map[string]*service{}, others: told.New[demand]()}
+	return &Places{Parts: parts, services: map[string]*service{}, others: peerstate.New[demand]()}
 }
 
 // Ask is a request that wants a place.
@@ -412,7 +412,7 @@
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone.
-func (p *Places) Covers(box string, only bool) { p.others.Covers(box, only, told.Cover{}) }
+func (p *Places) Covers(box string, only bool) { p.others.Covers(box, only, peerstate.Cover{}) }
 
 // Told takes another box's word of what it is asked for.
 func (p *Places) Told(now time.Time, box string, list []wire.ServicePlaces) {
--- a/balance/shares/shares.go
+++ b/balance/shares/shares.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"petrelstep/told"
+	"petrelstep/peerstate"
 	"petrelstep/wire"
 )
 
@@ -80,10 +80,10 @@
 // use is work within the span.
 type use struct{ given, refused float64 }
 
-// Plus implements told.Sum.
+// Plus implements peerstate.Sum.
 func (u use) Plus(o use) use { return use{u.given + o.given, u.refused + o.refused} }
 
-// Minus implements told.Sum.
+// Minus implements peerstate.Sum.
 func (u use) Minus(o use) use { return use{u.given - o.given, u.refused - o.refused} }
 
 // book is one count of all parties.
@@ -100,7 +100,7 @@
 	mu      sync.Mutex
 	decided book // by this box, for all
 	own     book // of this box's callers, by whomever
-	others  *told.Book[use]
+	others  *peerstate.Totals[use]
 	short   time.Time     // someone was last refused or waited
 	levels  map[int]level // by rank
 	served  float64       // part of the work decided that was given
@@ -113,7 +113,7 @@
 	if weight == nil {
 		weight = func(string) float64 { return 1 }
 	}
-	return &Shares{weight: weight, decided: book{}, own: book{}, others: told.New[use](), served: 1}
+	return &Shares{weight: weight, decided: book{}, own: book{}, others: peerstate.New[use](), served: 1}
 }
 
 // Gave notes that this box gave an organisation room for work.
@@ -320,7 +320,7 @@
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone.
-func (s *Shares) Covers(box string, only bool) { s.others.Covers(box, only, told.Cover{}) }
+func (s *Shares) Covers(box string, only bool) { s.others.Covers(box, only, peerstate.Cover{}) }
 
 // listOf returns the parties with the most work.
 func listOf(uses map[string]use) []wire.OrganisationUse {
--- a/balance/speeds/speeds.go
+++ b/balance/speeds/speeds.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"petrelstep/fleet"
-	"petrelstep/told"
+	"petrelstep/peerstate"
 	"petrelstep/wire"
 )
 
@@ -68,7 +68,7 @@
 	fleet  upstreams
 	counts counter
 	log    *logrus.Entry
-	others *told.Book[record]
+	others *peerstate.Totals[record]
 
 	mu      sync.Mutex
 	own     map[string]seen          // by key
@@ -83,7 +83,7 @@
 // New returns an empty memory of the upstreams that are served.
 func New(f upstreams, c counter, log *logrus.Entry) *Speeds {
 	return &Speeds{
-		fleet: f, counts: c, log: log, others: told.New[record](), own: map[string]seen{}, beliefs: map[string]belief{}, views: map[string]*view{},
+		fleet: f, counts: c, log: log, others: peerstate.New[record](), own: map[string]seen{}, beliefs: map[string]belief{}, views: map[string]*view{},
 		given: map[string]float64{}, spread: map[string]spread{}, gaps: map[string]time.Duration{}, classes: map[string]Class{},
 	}
 }
@@ -207,7 +207,7 @@
 // Covers notes, before a box's word is taken, whether it tells this box alone.
 func (s *Speeds) Covers(box string, only bool) {
 	if s != nil {
-		s.others.Covers(box, only, told.Cover{})
+		s.others.Covers(box, only, peerstate.Cover{})
 	}
 }
 
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -12,8 +12,8 @@
 	"petrelstep/halls"
 	"petrelstep/members"
 	"petrelstep/peer"
+	"petrelstep/peerstate"
 	"petrelstep/snapshot"
-	"petrelstep/told"
 	"petrelstep/wire"
 )
 
@@ -176,7 +176,7 @@
 	e.hearFleet(now, a, sent) // which incarnations there are, before what is told of them
 	switch a.Tells {
 	case wire.GossipScopeOwn:
-		e.hearWords(now, a.Sender.Box, wordsOfAnswer(a), false, told.Cover{Boxes: a.Covers, Near: a.CoversNear})
+		e.hearWords(now, a.Sender.Box, wordsOfAnswer(a), false, peerstate.Cover{Boxes: a.Covers, Near: a.CoversNear})
 	case wire.GossipScopeAll:
 		e.hearSums(now, wordsOfAnswer(a))
 	}
--- a/told/told.go
+++ b/peerstate/peerstate.go
@@ -1,6 +1,6 @@
-// Package told keeps what other boxes last told, by upstream: each box's own
+// Package peerstate keeps what other boxes last told, by upstream: each box's own
 // word, or the sum of all others that a hub tells.
-package told
+package peerstate
 
 import (
 	"maps"
@@ -39,9 +39,9 @@
 	Near  int // of these, that had just told it
 }
 
-// Book is safe for use by several goroutines. It keeps the sum of all words as they come
+// Totals is safe for use by several goroutines. It keeps the sum of all words as they come
 // and lapse, so that what is asked of it costs the same however many boxes tell.
-type Book[T Sum[T]] struct {
+type Totals[T Sum[T]] struct {
 	mu     sync.Mutex
 	others map[string]word[T]
 	totals map[string]total[T] // of others, by upstream
@@ -52,12 +52,12 @@
 }
 
 // New returns an empty book.
-func New[T Sum[T]]() *Book[T] {
-	return &Book[T]{others: map[string]word[T]{}, totals: map[string]total[T]{}, only: map[string]bool{}, covers: map[string]Cover{}}
+func New[T Sum[T]]() *Totals[T] {
+	return &Totals[T]{others: map[string]word[T]{}, totals: map[string]total[T]{}, only: map[string]bool{}, covers: map[string]Cover{}}
 }
 
 // Told takes another box's word.
-func (b *Book[T]) Told(now time.Time, box string, list map[string]T) {
+func (b *Totals[T]) Told(now time.Time, box string, list map[string]T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drop(box)
@@ -73,7 +73,7 @@
 
 // Covers notes, before a box's word is taken, whether the box tells this one alone,
 // and whom besides it the word holds.
-func (b *Book[T]) Covers(box string, only bool, c Cover) {
+func (b *Totals[T]) Covers(box string, only bool, c Cover) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.only[box], b.covers[box] = only, c
@@ -87,7 +87,7 @@
 
 // Part adds what the boxes told that tell this one alone to a list, for those that
 // do not hear them, and returns how many such boxes there are.
-func (b *Book[T]) Part(now time.Time, list map[string]T) int {
+func (b *Totals[T]) Part(now time.Time, list map[string]T) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lapse(now)
@@ -106,7 +106,7 @@
 }
 
 // drop takes a box's word off the totals.
-func (b *Book[T]) drop(box string) {
+func (b *Totals[T]) drop(box string) {
 	for upstream, v := range b.others[box].list {
 		t := b.totals[upstream]
 		if t.boxes == 1 {
@@ -120,7 +120,7 @@
 
 // lapse drops the words that are no longer fresh. It looks at all of them only
 // when one may have lapsed.
-func (b *Book[T]) lapse(now time.Time) {
+func (b *Totals[T]) lapse(now time.Time) {
 	if now.Sub(b.oldest) <= freshFor {
 		return
 	}
@@ -138,21 +138,21 @@
 }
 
 // ToldSum takes a hub's word of what all other boxes have.
-func (b *Book[T]) ToldSum(now time.Time, list map[string]T) {
+func (b *Totals[T]) ToldSum(now time.Time, list map[string]T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sum = word[T]{now, list}
 }
 
 // SumAge returns how long ago a hub last told the sum.
-func (b *Book[T]) SumAge(now time.Time) time.Duration {
+func (b *Totals[T]) SumAge(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now.Sub(b.sum.at)
 }
 
 // Boxes returns how many other boxes have told of late, by themselves or by others.
-func (b *Book[T]) Boxes(now time.Time) int {
+func (b *Totals[T]) Boxes(now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lapse(now)
@@ -166,7 +166,7 @@
 }
 
 // Heard returns how many other boxes have told this one within a time.
-func (b *Book[T]) Heard(now time.Time, within time.Duration) int {
+func (b *Totals[T]) Heard(now time.Time, within time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	boxes := 0
@@ -179,7 +179,7 @@
 }
 
 // HeardAlone returns how many of them tell this one alone.
-func (b *Book[T]) HeardAlone(now time.Time, within time.Duration) int {
+func (b *Totals[T]) HeardAlone(now time.Time, within time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	boxes := 0
@@ -193,7 +193,7 @@
 
 // HeardBehind returns how many boxes had just told others that told this one within a
 // time.
-func (b *Book[T]) HeardBehind(now time.Time, within time.Duration) int {
+func (b *Totals[T]) HeardBehind(now time.Time, within time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	boxes := 0
@@ -207,7 +207,7 @@
 
 // Older makes all words older: this box's machine was suspended, which the steady clock
 // leaves out.
-func (b *Book[T]) Older(by time.Duration) {
+func (b *Totals[T]) Older(by time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for box, w := range b.others {
@@ -218,7 +218,7 @@
 }
 
 // Forget drops what was told of an upstream.
-func (b *Book[T]) Forget(upstream string) {
+func (b *Totals[T]) Forget(upstream string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range b.others {
@@ -230,7 +230,7 @@
 
 // Of returns what the others have at an upstream: by the sum that a hub tells,
 // or by what they tell themselves.
-func (b *Book[T]) Of(now time.Time, upstream string) T {
+func (b *Totals[T]) Of(now time.Time, upstream string) T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sum.fresh(now) {
@@ -241,7 +241,7 @@
 }
 
 // Without adds what all boxes but one told to a list, for that one.
-func (b *Book[T]) Without(now time.Time, box string, list map[string]T) {
+func (b *Totals[T]) Without(now time.Time, box string, list map[string]T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lapse(now)
@@ -258,7 +258,7 @@
 }
 
 // All returns a copy of what the others have, by upstream.
-func (b *Book[T]) All(now time.Time) map[string]T {
+func (b *Totals[T]) All(now time.Time) map[string]T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sum.fresh(now) && len(b.sum.list) > 0 {
--- a/told/told_test.go
+++ b/peerstate/peerstate_test.go
@@ -1,4 +1,4 @@
-package told_test
+package peerstate_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/told"
+	"petrelstep/peerstate"
 )
 
 type count int
@@ -24,35 +24,35 @@
 func TestOf(t *testing.T) {
 	now := time.Now()
 	tests := map[string]struct {
-		tell  func(b *told.Book[count])
+		tell  func(b *peerstate.Totals[count])
 		after time.Duration
 		want  count
 	}{
-		"nothing": {tell: func(*told.Book[count]) {}},
-		"two boxes": {tell: func(b *told.Book[count]) {
+		"nothing": {tell: func(*peerstate.Totals[count]) {}},
+		"two boxes": {tell: func(b *peerstate.Totals[count]) {
 			b.Told(now, "a", words(1))
 			b.Told(now, "b", words(2))
 		}, want: 3},
-		"a box again": {tell: func(b *told.Book[count]) {
+		"a box again": {tell: func(b *peerstate.Totals[count]) {
 			b.Told(now, "a", words(1))
 			b.Told(now, "a", words(5))
 		}, want: 5},
-		"a hub's sum": {tell: func(b *told.Book[count]) {
+		"a hub's sum": {tell: func(b *peerstate.Totals[count]) {
 			b.Told(now, "a", words(1))
 			b.ToldSum(now, words(7))
 		}, want: 7},
-		"a hub that is gone, a box that is not": {tell: func(b *told.Book[count]) {
+		"a hub that is gone, a box that is not": {tell: func(b *peerstate.Totals[count]) {
 			b.ToldSum(now, words(7))
 			b.Told(now.Add(2*time.Second), "a", words(1))
 		}, after: 4 * time.Second, want: 1},
-		"all are gone": {tell: func(b *told.Book[count]) {
+		"all are gone": {tell: func(b *peerstate.Totals[count]) {
 			b.ToldSum(now, words(7))
 			b.Told(now, "a", words(1))
 		}, after: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := told.New[count]()
+			b := peerstate.New[count]()
 			tt.tell(b)
 			is.New(t).Equal(b.Of(now.Add(tt.after), "u"), tt.want)
 		})
@@ -64,7 +64,7 @@
 func TestWithout(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := told.New[count]()
+	b := peerstate.New[count]()
 	b.Told(now, "a", words(1))
 	b.Told(now, "b", words(2))
 	b.Told(now.Add(-time.Minute), "gone", words(100))
@@ -79,7 +79,7 @@
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Now()
-	b := told.New[count]()
+	b := peerstate.New[count]()
 	type word struct {
 		at   time.Time
 		list map[string]count
@@ -119,17 +119,17 @@
 // BenchmarkWithout is a hub's answer to one box, by boxes that each tell of 13
 // of 65 upstreams; BenchmarkOf the sum at one upstream.
 func BenchmarkWithout(b *testing.B) {
-	bench(b, func(book *told.Book[count], now time.Time) { book.Without(now, "b1", map[string]count{}) })
+	bench(b, func(book *peerstate.Totals[count], now time.Time) { book.Without(now, "b1", map[string]count{}) })
 }
 
 func BenchmarkOf(b *testing.B) {
-	bench(b, func(book *told.Book[count], now time.Time) { book.Of(now, "u3") })
+	bench(b, func(book *peerstate.Totals[count], now time.Time) { book.Of(now, "u3") })
 }
 
-func bench(b *testing.B, f func(book *told.Book[count], now time.Time)) {
+func bench(b *testing.B, f func(book *peerstate.Totals[count], now time.Time)) {
 	for _, boxes := range []int{7, 66, 195, 350} {
 		b.Run(fmt.Sprint(boxes, " boxes"), func(b *testing.B) {
-			book, now := told.New[count](), time.Now()
+			book, now := peerstate.New[count](), time.Now()
 			for i := range boxes {
 				list := map[string]count{}
 				for j := range 13 {
@@ -148,35 +148,35 @@
 // they do, and how many boxes stand behind all words.
 func TestPart(t *testing.T) {
 	tests := map[string]struct {
-		words func(b *told.Book[count], now time.Time)
+		words func(b *peerstate.Totals[count], now time.Time)
 		after time.Duration
 		want  map[string]count
 		part  int // boxes that tell it alone
 		all   int
 	}{
-		"each tells all hubs": {words: func(b *told.Book[count], now time.Time) {
+		"each tells all hubs": {words: func(b *peerstate.Totals[count], now time.Time) {
 			b.Told(now, "b1", map[string]count{"u1": 1})
 		}, want: map[string]count{}, all: 1},
-		"two tell it alone": {words: func(b *told.Book[count], now time.Time) {
+		"two tell it alone": {words: func(b *peerstate.Totals[count], now time.Time) {
 			for _, box := range []string{"b1", "b2"} {
-				b.Covers(box, true, told.Cover{})
+				b.Covers(box, true, peerstate.Cover{})
 				b.Told(now, box, map[string]count{"u1": 1})
 			}
 		}, want: map[string]count{"u1": 2}, part: 2, all: 2},
-		"one has another hub now": {words: func(b *told.Book[count], now time.Time) {
-			b.Covers("b1", true, told.Cover{})
+		"one has another hub now": {words: func(b *peerstate.Totals[count], now time.Time) {
+			b.Covers("b1", true, peerstate.Cover{})
 			b.Told(now, "b1", map[string]count{"u1": 1})
-			b.Covers("b1", false, told.Cover{})
+			b.Covers("b1", false, peerstate.Cover{})
 			b.Told(now, "b1", nil)
 		}, want: map[string]count{}, all: 1},
-		"a hub tells of its boxes": {words: func(b *told.Book[count], now time.Time) {
-			b.Covers("hub", false, told.Cover{Boxes: 40})
+		"a hub tells of its boxes": {words: func(b *peerstate.Totals[count], now time.Time) {
+			b.Covers("hub", false, peerstate.Cover{Boxes: 40})
 			b.Told(now, "hub", map[string]count{"u1": 30})
 		}, want: map[string]count{}, all: 41},
-		"words that have lapsed": {words: func(b *told.Book[count], now time.Time) {
-			b.Covers("b1", true, told.Cover{})
+		"words that have lapsed": {words: func(b *peerstate.Totals[count], now time.Time) {
+			b.Covers("b1", true, peerstate.Cover{})
 			b.Told(now, "b1", map[string]count{"u1": 1})
-			b.Covers("hub", false, told.Cover{Boxes: 40})
+			b.Covers("hub", false, peerstate.Cover{Boxes: 40})
 			b.Told(now, "hub", map[string]count{"u1": 30})
 		}, after: 4 * time.Second, want: map[string]count{}},
 	}
@@ -184,7 +184,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			b := told.New[count]()
+			b := peerstate.New[count]()
 			tt.words(b, now)
 			now = now.Add(tt.after)
 			list := map[string]count{}
@@ -211,11 +211,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			b := told.New[count]()
-			b.Covers("b1", true, told.Cover{})
+			b := peerstate.New[count]()
+			b.Covers("b1", true, peerstate.Cover{})
 			b.Told(now, "b1", words(1))
 			b.Told(now, "b2", words(1))
-			b.Covers("hub", false, told.Cover{Boxes: 40, Near: 30})
+			b.Covers("hub", false, peerstate.Cover{Boxes: 40, Near: 30})
 			b.Told(now.Add(300*time.Millisecond), "hub", words(1))
 			now = now.Add(300*time.Millisecond + tt.after)
 			is.Equal(b.Heard(now, 400*time.Millisecond), tt.itself)
--- a/reliability/reliability.go
+++ b/reliability/reliability.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"petrelstep/told"
+	"petrelstep/peerstate"
 	"petrelstep/wire"
 )
 
@@ -51,12 +51,12 @@
 type Reliability struct {
 	mu      sync.Mutex
 	records map[string]*record
-	others  *told.Book[Count]
+	others  *peerstate.Totals[Count]
 }
 
 // New returns an empty memory.
 func New() *Reliability {
-	return &Reliability{records: map[string]*record{}, others: told.New[Count]()}
+	return &Reliability{records: map[string]*record{}, others: peerstate.New[Count]()}
 }
 
 // Record takes the outcome of one send.
@@ -145,7 +145,7 @@
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone.
-func (r *Reliability) Covers(box string, only bool) { r.others.Covers(box, only, told.Cover{}) }
+func (r *Reliability) Covers(box string, only bool) { r.others.Covers(box, only, peerstate.Cover{}) }
 
 // Told takes another box's word of what it met.
 func (r *Reliability) Told(now time.Time, box string, list []wire.UpstreamFailures) {
--- a/tally/tally.go
+++ b/tally/tally.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"petrelstep/told"
+	"petrelstep/peerstate"
 	"petrelstep/wire"
 )
 
@@ -81,11 +81,11 @@
 	mu       sync.Mutex
 	own      map[string]*Load // what entries have begun, by upstream
 	promises []promise
-	others   *told.Book[Load]
+	others   *peerstate.Totals[Load]
 }
 
 // New returns an empty tally.
-func New() *Tally { return &Tally{own: map[string]*Load{}, others: told.New[Load]()} }
+func New() *Tally { return &Tally{own: map[string]*Load{}, others: peerstate.New[Load]()} }
 
 // Entry is one request that is counted at an upstream.
 type Entry struct {
@@ -220,7 +220,7 @@
 
 // Covers notes, before a box's word is taken, whether it tells this box alone, and whom
 // besides it the word holds.
-func (t *Tally) Covers(box string, only bool, c told.Cover) { t.others.Covers(box, only, c) }
+func (t *Tally) Covers(box string, only bool, c peerstate.Cover) { t.others.Covers(box, only, c) }
 
 // Told takes another box's word of what it has running.
 func (t *Tally) Told(now time.Time, box string, list []wire.UpstreamTally) {
