--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -25,11 +25,11 @@
 	"petrelstep/logs"
 	"petrelstep/members"
 	"petrelstep/metrics"
+	"petrelstep/moveturns"
 	"petrelstep/peer"
 	"petrelstep/platform/manifest"
 	"petrelstep/platform/store"
 	"petrelstep/tally"
-	"petrelstep/turns"
 	"petrelstep/wire"
 )
 
@@ -306,7 +306,7 @@
 	case peer.Turn:
 		ask := args.(wire.TurnAsk)
 		waits, end := context.WithTimeout(ctx, time.Duration(ask.WaitMs)*time.Millisecond)
-		taken := turns.Ask{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Most: time.Duration(ask.MostMs) * time.Millisecond}
+		taken := moveturns.Ask{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Most: time.Duration(ask.MostMs) * time.Millisecond}
 		answer := reply.(*wire.TurnAnswer)
 		answer.Target, answer.Granted = e.turns.Take(waits, taken)
 		end()
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -25,6 +25,7 @@
 	"petrelstep/liveness"
 	"petrelstep/members"
 	"petrelstep/metrics"
+	"petrelstep/moveturns"
 	"petrelstep/peer"
 	"petrelstep/platform/blocklist"
 	"petrelstep/platform/callers"
@@ -44,7 +45,6 @@
 	"petrelstep/snapshot"
 	"petrelstep/tally"
 	"petrelstep/timer"
-	"petrelstep/turns"
 	"petrelstep/warmup"
 	"petrelstep/wire"
 )
@@ -127,8 +127,8 @@
 	runs        *runs.Runs
 	members     *members.Members
 	peers       calls
-	turns       *turns.Turns
-	trials      *turns.Turns // of this box's own requests
+	turns       *moveturns.Scheduler
+	trials      *moveturns.Scheduler // of this box's own requests
 	quarantine  *quarantine.Quarantine
 	kept        *kept
 	limits      *limits.Limits
@@ -192,8 +192,8 @@
 		reliability: reliability.New(),
 		runs:        runs.New(),
 		peers:       peer.New(nil),
-		turns:       turns.New(),
-		trials:      turns.New(),
+		turns:       moveturns.New(),
+		trials:      moveturns.New(),
 		upstreams:   upstream.New().WithUnread(counts, log),
 		tables:      pacer{rate: fleetLink * max(s.LinkMbit, leastLink) * bytesMbit},
 		drain:       make(chan struct{}),
--- a/edge/trials.go
+++ b/edge/trials.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"petrelstep/fingerprint"
-	"petrelstep/turns"
+	"petrelstep/moveturns"
 	"petrelstep/wire"
 )
 
@@ -31,7 +31,7 @@
 // not heard is done without.
 func (t trials) Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (giveBack func(ended bool), ok bool) {
 	key := trialKey + fp.String()
-	_, ok = t.trials.Take(ctx, turns.Ask{Box: request, Source: key, Targets: []string{key}, Most: trialMost})
+	_, ok = t.trials.Take(ctx, moveturns.Ask{Box: request, Source: key, Targets: []string{key}, Most: trialMost})
 	if !ok {
 		return nil, false
 	}
@@ -58,7 +58,7 @@
 func (t trials) takeOfAll(ctx context.Context, key string) (giveBack func(), ok bool) {
 	keeper, known := t.members.Keeper(time.Now(), key)
 	if !known || keeper.Name == t.config.Box {
-		_, ok := t.turns.Take(ctx, turns.Ask{Box: t.config.Box, Source: key, Targets: []string{key}, Most: trialMost})
+		_, ok := t.turns.Take(ctx, moveturns.Ask{Box: t.config.Box, Source: key, Targets: []string{key}, Most: trialMost})
 		return func() { t.turns.GiveBack(key, t.config.Box) }, ok
 	}
 	call := wire.TurnAsk{
--- a/edge/turns.go
+++ b/edge/turns.go
@@ -6,8 +6,8 @@
 
 	"petrelstep/evacuate"
 	"petrelstep/members"
+	"petrelstep/moveturns"
 	"petrelstep/peer"
-	"petrelstep/turns"
 	"petrelstep/wire"
 )
 
@@ -34,7 +34,7 @@
 	}
 	keeper, ok := e.members.Keeper(time.Now(), "turns/"+ask.Source.Service)
 	if !ok || keeper.Name == e.config.Box {
-		own := turns.Ask{Box: e.config.Box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens}
+		own := moveturns.Ask{Box: e.config.Box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens}
 		target, ok := e.turns.Take(ctx, own)
 		if !ok {
 			return ask.Targets[0], alone
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -18,12 +18,12 @@
 	"petrelstep/exchange"
 	"petrelstep/fleet"
 	"petrelstep/logs"
+	"petrelstep/moveturns"
 	"petrelstep/prefill"
 	"petrelstep/reliability"
 	"petrelstep/route"
 	"petrelstep/runs"
 	"petrelstep/tally"
-	"petrelstep/turns"
 )
 
 // Figures of the engines that the link below stands for.
@@ -131,12 +131,12 @@
 
 // byTurns gives one box at a time the turn.
 type byTurns struct {
-	turns *turns.Turns
+	turns *moveturns.Scheduler
 	box   string
 }
 
 func (b byTurns) Take(ctx context.Context, ask evacuate.Ask) (string, func()) {
-	target, ok := b.turns.Take(ctx, turns.Ask{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
+	target, ok := b.turns.Take(ctx, moveturns.Ask{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
 	if !ok {
 		return ask.Targets[0], func() {}
 	}
@@ -252,7 +252,7 @@
 	is := is.New(t)
 	one, two := []fleet.Upstream{leaving}, []fleet.Upstream{leaving, alsoLeaving}
 	byTurns := func() func(name string) evacuate.Turns {
-		keeper := turns.New()
+		keeper := moveturns.New()
 		return func(name string) evacuate.Turns { return byTurns{keeper, name} }
 	}
 	alone := func(string) evacuate.Turns { return alone{} }
--- a/turns/turns.go
+++ b/moveturns/moveturns.go
@@ -1,9 +1,9 @@
-// Package turns keeps the turns at which boxes move runs off upstreams that
+// Package moveturns keeps the turns at which boxes move runs off upstreams that
 // leave. A copy takes the links of both its ends, and copies on one link go one
 // after another, so that a turn holds an upstream that leaves and the one that
 // the run goes to: no copy waits behind another. A turn is soft state: it
 // lapses, and a box that cannot reach the keeper goes without.
-package turns
+package moveturns
 
 import (
 	"cmp"
@@ -38,20 +38,20 @@
 	granted chan string // the target
 }
 
-// Turns is safe for use by several goroutines.
-type Turns struct {
+// Scheduler is safe for use by several goroutines.
+type Scheduler struct {
 	mu      sync.Mutex
 	held    map[string]*turn // by source
 	waiting []*waiter        // the smallest first
 }
 
 // New returns a keeper that no box holds a turn of.
-func New() *Turns { return &Turns{held: map[string]*turn{}} }
+func New() *Scheduler { return &Scheduler{held: map[string]*turn{}} }
 
 // Take waits until ctx ends for a turn, and returns the target that it holds.
 // It reports false if there was none in time. A box that asks again for a source
 // has given its turn back.
-func (t *Turns) Take(ctx context.Context, ask Ask) (target string, ok bool) {
+func (t *Scheduler) Take(ctx context.Context, ask Ask) (target string, ok bool) {
 	w := &waiter{ask: ask, granted: make(chan string, 1)}
 	t.mu.Lock()
 	t.drop(ask.Source, ask.Box)
@@ -76,14 +76,14 @@
 }
 
 // GiveBack ends a box's turn.
-func (t *Turns) GiveBack(source, box string) {
+func (t *Scheduler) GiveBack(source, box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.drop(source, box)
 	t.grant()
 }
 
-func (t *Turns) drop(source, box string) {
+func (t *Scheduler) drop(source, box string) {
 	if held, ok := t.held[source]; ok && held.box == box {
 		held.lapse.Stop()
 		delete(t.held, source)
@@ -92,7 +92,7 @@
 
 // Forget ends the turns that an upstream has a part in, as it has started again: the
 // copies that they were for are no more.
-func (t *Turns) Forget(upstream string) {
+func (t *Scheduler) Forget(upstream string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for source, held := range t.held {
@@ -105,7 +105,7 @@
 }
 
 // grant gives turns to those who wait, as far as both links are free.
-func (t *Turns) grant() {
+func (t *Scheduler) grant() {
 	receiving := map[string]bool{}
 	for _, held := range t.held {
 		receiving[held.target] = true
@@ -123,7 +123,7 @@
 	})
 }
 
-func (t *Turns) hold(ask Ask, target string) {
+func (t *Scheduler) hold(ask Ask, target string) {
 	held := &turn{box: ask.Box, target: target}
 	held.lapse = time.AfterFunc(cmp.Or(ask.Most, turnMost), func() {
 		t.mu.Lock()
--- a/peer/edgepoint/edgepoint.go
+++ b/peer/edgepoint/edgepoint.go
@@ -7,8 +7,8 @@
 	"net"
 	"time"
 
+	"petrelstep/moveturns"
 	"petrelstep/peer/serve"
-	"petrelstep/turns"
 	"petrelstep/wire"
 )
 
@@ -28,11 +28,11 @@
 type Edgepoint struct {
 	ctx   context.Context
 	box   Box
-	turns *turns.Turns
+	turns *moveturns.Scheduler
 }
 
 // New returns the endpoint of a box; waits for turns end with ctx.
-func New(ctx context.Context, box Box, t *turns.Turns) *Edgepoint {
+func New(ctx context.Context, box Box, t *moveturns.Scheduler) *Edgepoint {
 	return &Edgepoint{ctx: ctx, box: box, turns: t}
 }
 
@@ -66,7 +66,7 @@
 func (e *Edgepoint) Turn(ask wire.TurnAsk, answer *wire.TurnAnswer) error {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Duration(ask.WaitMs)*time.Millisecond)
 	defer cancel()
-	answer.Target, answer.Granted = e.turns.Take(ctx, turns.Ask{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Tokens: ask.Tokens, Most: time.Duration(ask.MostMs) * time.Millisecond})
+	answer.Target, answer.Granted = e.turns.Take(ctx, moveturns.Ask{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Tokens: ask.Tokens, Most: time.Duration(ask.MostMs) * time.Millisecond})
 	return nil
 }
 
