--- a/commands/explain.go
+++ b/commands/explain.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/subcommands"
 
-	"petrelstep/lifeline"
+	"petrelstep/timeline"
 )
 
 func init() { subcommands.Register(&explain{}, "operators") }
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	life := lifeline.Of(lines, c.request)
+	life := timeline.Of(lines, c.request)
 	if len(life) == 0 {
 		fmt.Fprintln(os.Stderr, "no line names request", c.request)
 		return exitFailed
@@ -52,7 +52,7 @@
 }
 
 // readLogs reads the lines of several logs.
-func readLogs(names []string) (lines []lifeline.Line, err error) {
+func readLogs(names []string) (lines []timeline.Line, err error) {
 	for _, name := range names {
 		more, err := readLog(name)
 		if err != nil {
@@ -63,7 +63,7 @@
 	return lines, nil
 }
 
-func readLog(name string) ([]lifeline.Line, error) {
+func readLog(name string) ([]timeline.Line, error) {
 	in := io.ReadCloser(os.Stdin)
 	if name != "-" {
 		file, err := os.Open(name)
@@ -73,5 +73,5 @@
 		in = file
 	}
 	defer in.Close()
-	return lifeline.Read(in)
+	return timeline.Read(in)
 }
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"petrelstep/lifeline"
+	"petrelstep/timeline"
 )
 
 // What becomes of requests. An answer that is late for several reasons counts
@@ -56,7 +56,7 @@
 type Losses struct{ requests []request }
 
 // New works out the losses from the logs' lines.
-func New(lines []lifeline.Line) *Losses {
+func New(lines []timeline.Line) *Losses {
 	halls := map[string]string{}
 	for _, l := range lines {
 		if l.Event == "started" {
@@ -73,7 +73,7 @@
 	return l
 }
 
-func requestOf(line lifeline.Line, hall string) request {
+func requestOf(line timeline.Line, hall string) request {
 	f := line.Fields
 	ms := func(name string) time.Duration {
 		n, _ := strconv.Atoi(f[name]) // what a line lacks counts as none
@@ -107,7 +107,7 @@
 	return max(took-aim, 0)
 }
 
-func outcomeOf(line lifeline.Line, r request, lateAtFirst, paused bool) string {
+func outcomeOf(line timeline.Line, r request, lateAtFirst, paused bool) string {
 	status, _ := strconv.Atoi(line.Fields["status"]) // streams have none
 	switch {
 	case line.Event == "refused":
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/lifeline"
 	"petrelstep/losses"
+	"petrelstep/timeline"
 )
 
 const head = `time="2026-12-02T10:00:00.000Z" level=info event=started box=b1 hall=leith` + "\n"
@@ -21,7 +21,7 @@
 	for _, l := range lines {
 		text += `time="2026-12-02T10:00:01.500Z" level=info box=b1 ` + l + "\n"
 	}
-	read, err := lifeline.Read(strings.NewReader(text))
+	read, err := timeline.Read(strings.NewReader(text))
 	is.New(t).NoErr(err)
 	return losses.New(read)
 }
--- a/lifeline/lifeline.go
+++ b/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package lifeline reads the logs of boxes and tells one request's life in
+// Package timeline reads the logs of boxes and tells one request's life in
 // order, with what each box that touched it believed meanwhile.
-package lifeline
+package timeline
 
 import (
 	"bufio"
--- a/lifeline/lifeline_test.go
+++ b/timeline/timeline_test.go
@@ -1,4 +1,4 @@
-package lifeline_test
+package timeline_test
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/lifeline"
+	"petrelstep/timeline"
 )
 
 const log = `
@@ -25,25 +25,25 @@
 
 func TestOf(t *testing.T) {
 	is := is.New(t)
-	lines, err := lifeline.Read(strings.NewReader(log))
+	lines, err := timeline.Read(strings.NewReader(log))
 	is.NoErr(err)
 	is.Equal(len(lines), 9)
 	var events []string
-	for _, l := range lifeline.Of(lines, "r1") {
+	for _, l := range timeline.Of(lines, "r1") {
 		events = append(events, l.Event+" "+l.Fields["upstream"])
 	}
 	is.Equal(strings.Join(events, ", "), "configured , upstream_rest u7, sent u1, upstream_leaves u1, stream_lost u1")
 	is.Equal(lines[7].Fields["error"], `unexpected "EOF"`)
-	is.Equal(len(lifeline.Of(lines, "unknown")), 0)
+	is.Equal(len(timeline.Of(lines, "unknown")), 0)
 }
 
 func FuzzRead(f *testing.F) {
 	f.Add(log)
 	f.Add(`time="2026-06-16T05:30:24.000Z" event="` + "\n=\n")
 	f.Fuzz(func(_ *testing.T, text string) {
-		lines, err := lifeline.Read(strings.NewReader(text))
+		lines, err := timeline.Read(strings.NewReader(text))
 		if err == nil {
-			lifeline.Of(lines, "r1")
+			timeline.Of(lines, "r1")
 		}
 	})
 }
