--- a/admission/admission.go
+++ b/admission/admission.go
@@ -22,7 +22,7 @@
 	"petrelstep/fleet"
 	"petrelstep/refusal"
 	"petrelstep/route"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 const (
@@ -71,7 +71,7 @@
 	Load     float64 // part of its memory that is in use then
 	Cost     float64 // requests that are made late by it, as far as is known
 
-	running tally.Load // before
+	running upstreamload.Load // before
 }
 
 // ranking lists the upstreams of a service, the best first.
@@ -83,14 +83,14 @@
 	// Sent notes that a request goes to an upstream.
 	Sent(now time.Time, s route.Service, u fleet.Upstream)
 	// Gave notes that this box has decided so.
-	Gave(now time.Time, u fleet.Upstream, n speeds.Need, running tally.Load)
+	Gave(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load)
 	// Leaving returns what runs at the upstreams of a service that leave.
-	Leaving(now time.Time, service string) tally.Load
+	Leaving(now time.Time, service string) upstreamload.Load
 }
 
 // loads takes what is promised.
 type loads interface {
-	Promise(now time.Time, box, upstream string, l tally.Load)
+	Promise(now time.Time, box, upstream string, l upstreamload.Load)
 }
 
 // reading tells how long engines take to read prompts.
@@ -299,8 +299,8 @@
 	w.settled <- outcome{grant: g}
 }
 
-func loadOf(ask Ask) tally.Load {
-	return tally.Load{Requests: 1, Tokens: ask.Prompt, Coming: ask.Answer, Prefill: ask.Prompt}
+func loadOf(ask Ask) upstreamload.Load {
+	return upstreamload.Load{Requests: 1, Tokens: ask.Prompt, Coming: ask.Answer, Prefill: ask.Prompt}
 }
 
 // compare orders those who wait: what may wait on first goes last, the urgent
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -23,7 +23,7 @@
 	"petrelstep/refusal"
 	"petrelstep/reliability"
 	"petrelstep/route"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 	"petrelstep/warmup"
 )
 
@@ -38,7 +38,7 @@
 // world is one keeper before some engines.
 type world struct {
 	*admission.Admission
-	tally   *tally.Tally
+	tally   *upstreamload.Tracker
 	mu      sync.Mutex
 	fleet   *fleet.Fleet
 	chooser *choose.Chooser
@@ -56,7 +56,7 @@
 		list = append(list, fleet.Upstream{ID: fmt.Sprint("e", i), Service: "llm", Hall: "leith", Slots: slots, State: fleet.Open})
 	}
 	f.Replace(time.Now(), list, 1, false)
-	w := &world{fleet: f, tally: tally.New(), back: map[string]time.Duration{}}
+	w := &world{fleet: f, tally: upstreamload.New(), back: map[string]time.Duration{}}
 	chooser := choose.New(choose.Parts{Fleet: f, Tally: w.tally, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	w.chooser = chooser
 	w.Admission = admission.New(chooser, w.tally, prefill.New(), s, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
@@ -65,10 +65,10 @@
 
 // fill lets an engine run some requests of 3,000 tokens, with so many to come
 // together.
-func (w *world) fill(engine string, runs, coming int) []*tally.Entry {
-	var entries []*tally.Entry
+func (w *world) fill(engine string, runs, coming int) []*upstreamload.Entry {
+	var entries []*upstreamload.Entry
 	for range runs {
-		entries = append(entries, w.tally.Begin(engine, tally.Load{Requests: 1, Tokens: 3000, Coming: coming / runs}))
+		entries = append(entries, w.tally.Begin(engine, upstreamload.Load{Requests: 1, Tokens: 3000, Coming: coming / runs}))
 	}
 	return entries
 }
@@ -114,30 +114,30 @@
 // TestRoom shows which load leaves room for a request.
 func TestRoom(t *testing.T) {
 	tests := map[string]struct {
-		load tally.Load
+		load upstreamload.Load
 		ask  admission.Ask
 		room bool
 
 		waited time.Duration
 	}{
 		"empty":                              {ask: draft("a"), room: true},
-		"some run":                           {load: tally.Load{Requests: 5, Tokens: 17000, Coming: 4000}, ask: draft("a"), room: true},
-		"all places are taken":               {load: tally.Load{Requests: slots, Tokens: 100}, ask: draft("a")},
-		"its memory is full":                 {load: tally.Load{Requests: 9, Tokens: 29000, Coming: 9}, ask: draft("a")},
-		"what runs will need it":             {load: tally.Load{Requests: 8, Tokens: 26000, Coming: 8000}, ask: draft("a")},
-		"a short one ends before":            {load: tally.Load{Requests: 8, Tokens: 26000, Coming: 8000}, ask: check("a"), room: true},
-		"it reads another prompt":            {load: tally.Load{Requests: 2, Tokens: 6000, Prefill: 3000}, ask: draft("a"), room: true},
-		"it reads two others":                {load: tally.Load{Requests: 3, Tokens: 9000, Prefill: 6000}, ask: draft("a")},
-		"it reads two others, short":         {load: tally.Load{Requests: 3, Tokens: 9000, Prefill: 6000}, ask: check("a"), room: true},
-		"it reads another, no time is left":  {load: tally.Load{Requests: 2, Tokens: 6000, Prefill: 3000}, ask: draft("a"), waited: 1100 * time.Millisecond},
-		"another is read, it is late anyway": {load: tally.Load{Requests: 2, Tokens: 6000, Prefill: 3000}, ask: draft("a"), waited: 2 * time.Second, room: true},
-		"it reads for longer than is left":   {load: tally.Load{Requests: 5, Tokens: 15000, Prefill: 15000}, ask: check("a")},
+		"some run":                           {load: upstreamload.Load{Requests: 5, Tokens: 17000, Coming: 4000}, ask: draft("a"), room: true},
+		"all places are taken":               {load: upstreamload.Load{Requests: slots, Tokens: 100}, ask: draft("a")},
+		"its memory is full":                 {load: upstreamload.Load{Requests: 9, Tokens: 29000, Coming: 9}, ask: draft("a")},
+		"what runs will need it":             {load: upstreamload.Load{Requests: 8, Tokens: 26000, Coming: 8000}, ask: draft("a")},
+		"a short one ends before":            {load: upstreamload.Load{Requests: 8, Tokens: 26000, Coming: 8000}, ask: check("a"), room: true},
+		"it reads another prompt":            {load: upstreamload.Load{Requests: 2, Tokens: 6000, Prefill: 3000}, ask: draft("a"), room: true},
+		"it reads two others":                {load: upstreamload.Load{Requests: 3, Tokens: 9000, Prefill: 6000}, ask: draft("a")},
+		"it reads two others, short":         {load: upstreamload.Load{Requests: 3, Tokens: 9000, Prefill: 6000}, ask: check("a"), room: true},
+		"it reads another, no time is left":  {load: upstreamload.Load{Requests: 2, Tokens: 6000, Prefill: 3000}, ask: draft("a"), waited: 1100 * time.Millisecond},
+		"another is read, it is late anyway": {load: upstreamload.Load{Requests: 2, Tokens: 6000, Prefill: 3000}, ask: draft("a"), waited: 2 * time.Second, room: true},
+		"it reads for longer than is left":   {load: upstreamload.Load{Requests: 5, Tokens: 15000, Prefill: 15000}, ask: check("a")},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(1)
-				if tt.load != (tally.Load{}) {
+				if tt.load != (upstreamload.Load{}) {
 					w.tally.Begin("e0", tt.load)
 				}
 				tt.ask.Arrived, tt.ask.Patience, tt.ask.Mark = time.Now().Add(-tt.waited), 0, 0
@@ -153,9 +153,9 @@
 // waits lets a draft wait for a moment, as all engines are full.
 func (w *world) waits(t *testing.T) {
 	t.Helper()
-	var full []*tally.Entry
+	var full []*upstreamload.Entry
 	for _, u := range w.fleet.Serving("llm") {
-		full = append(full, w.tally.Begin(u.ID, tally.Load{Requests: 9, Tokens: memory, Coming: 9}))
+		full = append(full, w.tally.Begin(u.ID, upstreamload.Load{Requests: 9, Tokens: memory, Coming: 9}))
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
@@ -172,16 +172,16 @@
 // but while drafts wait the one with the least room left over that is in time.
 func TestWhere(t *testing.T) {
 	tests := map[string]struct {
-		loads []tally.Load
+		loads []upstreamload.Load
 		ask   admission.Ask
 		want  string
 		calm  bool // no draft has waited of late
 	}{
-		"a draft":                          {[]tally.Load{{Requests: 8, Tokens: 24000}, {Requests: 2, Tokens: 6000}}, draft("a"), "e1", false},
-		"a check, nobody waits":            {[]tally.Load{{Requests: 8, Tokens: 24000}, {Requests: 2, Tokens: 6000}}, check("a"), "e1", true},
-		"a check":                          {[]tally.Load{{Requests: 8, Tokens: 24000}, {Requests: 2, Tokens: 6000}}, check("a"), "e0", false},
-		"a check that the fuller does not": {[]tally.Load{{Requests: 9, Tokens: 28500}, {Requests: 2, Tokens: 6000}}, check("a"), "e1", false},
-		"a check, the fuller has a line":   {[]tally.Load{{Requests: 6, Tokens: 18000, Prefill: 3000}, {Requests: 5, Tokens: 15000}}, check("a"), "e1", false},
+		"a draft":                          {[]upstreamload.Load{{Requests: 8, Tokens: 24000}, {Requests: 2, Tokens: 6000}}, draft("a"), "e1", false},
+		"a check, nobody waits":            {[]upstreamload.Load{{Requests: 8, Tokens: 24000}, {Requests: 2, Tokens: 6000}}, check("a"), "e1", true},
+		"a check":                          {[]upstreamload.Load{{Requests: 8, Tokens: 24000}, {Requests: 2, Tokens: 6000}}, check("a"), "e0", false},
+		"a check that the fuller does not": {[]upstreamload.Load{{Requests: 9, Tokens: 28500}, {Requests: 2, Tokens: 6000}}, check("a"), "e1", false},
+		"a check, the fuller has a line":   {[]upstreamload.Load{{Requests: 6, Tokens: 18000, Prefill: 3000}, {Requests: 5, Tokens: 15000}}, check("a"), "e1", false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -260,7 +260,7 @@
 		w := newWorld(3)
 		for i := range 3 { // each has room for one more, the first a little more than the others
 			w.fill(fmt.Sprint("e", i), 8, 800)
-			w.tally.Begin(fmt.Sprint("e", i), tally.Load{Tokens: 900 * min(i, 1)})
+			w.tally.Begin(fmt.Sprint("e", i), upstreamload.Load{Tokens: 900 * min(i, 1)})
 		}
 		seen := map[string]bool{}
 		for _, id := range []string{"a", "b", "c"} {
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 // BenchmarkTake measures what a keeper does for one request that finds room, by
@@ -15,7 +15,7 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			w := newWorld(engines)
 			for i := range engines {
-				w.tally.Begin(fmt.Sprint("e", i), tally.Load{Requests: 4, Tokens: 12000 + i%100, Coming: 3000, Paced: 4, PaceUs: 140000})
+				w.tally.Begin(fmt.Sprint("e", i), upstreamload.Load{Requests: 4, Tokens: 12000 + i%100, Coming: 3000, Paced: 4, PaceUs: 140000})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -28,7 +28,7 @@
 	"petrelstep/reliability"
 	"petrelstep/route"
 	"petrelstep/standin/batch"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 // A crowd is several boxes before stand-in engines in virtual time. Each box knows
@@ -159,7 +159,7 @@
 type crowd struct {
 	scene    scene
 	engines  map[string]*crowdEngineRun
-	tallies  []*tally.Tally
+	tallies  []*upstreamload.Tracker
 	choosers []*choose.Chooser
 	speeds   []*speeds.Speeds // of the boxes
 	keeper   *admission.Admission
@@ -252,7 +252,7 @@
 		if s.speeds {
 			c.speeds[i] = speeds.New(f, noCount{}, logs.New(io.Discard, "info", "b"))
 		}
-		c.tallies = append(c.tallies, tally.New())
+		c.tallies = append(c.tallies, upstreamload.New())
 		c.choosers = append(c.choosers, choose.New(choose.Parts{
 			Fleet: f, Tally: c.tallies[i], Reliability: reliability.New(), Reading: reading, Speeds: c.speeds[i], Hall: "leith", Random: rand.New(rand.NewPCG(7, uint64(i))),
 		}))
@@ -404,7 +404,7 @@
 	e := c.engine(engine)
 	upstream := fleet.Upstream{ID: engine, Service: "llm"}
 	alone := c.tallies[box].Load(time.Now(), engine).Prefill == 0
-	entry := c.tallies[box].Begin(engine, tally.Load{Requests: 1, Tokens: ask.Prompt, Coming: ask.Answer, Prefill: ask.Prompt})
+	entry := c.tallies[box].Begin(engine, upstreamload.Load{Requests: 1, Tokens: ask.Prompt, Coming: ask.Answer, Prefill: ask.Prompt})
 	defer entry.End()
 	defer e.cancel(ask.Request)
 	events := e.submit(time.Now(), batch.Job{Attempt: ask.Request, Prompt: ask.Prompt, Length: length, Priority: -ask.Urgency})
--- a/admission/many_test.go
+++ b/admission/many_test.go
@@ -18,7 +18,7 @@
 	"petrelstep/logs"
 	"petrelstep/prefill"
 	"petrelstep/reliability"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 // counted counts the upstreams that are weighed.
@@ -38,7 +38,7 @@
 type manyEngines struct {
 	*admission.Admission
 	ranking *counted
-	tally   *tally.Tally
+	tally   *upstreamload.Tracker
 	fleet   *fleet.Fleet
 }
 
@@ -47,7 +47,7 @@
 	for i := range engines {
 		f.Put(time.Now(), fleet.Upstream{ID: fmt.Sprint("e", i), Service: "llm", Hall: fmt.Sprint("hall", i%6), Slots: slots, State: fleet.Open})
 	}
-	t := tally.New()
+	t := upstreamload.New()
 	chooser := choose.New(choose.Parts{Fleet: f, Tally: t, Reliability: reliability.New(), Reading: prefill.New(), Hall: "hall0", Random: rand.New(rand.NewPCG(1, 1))})
 	ranking := &counted{Chooser: chooser}
 	a := admission.New(ranking, t, prefill.New(), nil, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
@@ -73,7 +73,7 @@
 					is.NoErr(err)
 					is.True(ok)
 					w.tally.Kept("b", g.Upstream.ID)
-					w.tally.Begin(g.Upstream.ID, tally.Load{Requests: 1, Tokens: 3000, Coming: 900})
+					w.tally.Begin(g.Upstream.ID, upstreamload.Load{Requests: 1, Tokens: 3000, Coming: 900})
 					running[g.Upstream.ID]++
 					most = max(most, running[g.Upstream.ID])
 					if g.Upstream.Hall == ask.Hall {
@@ -100,7 +100,7 @@
 				const engines = 3000
 				w := newManyEngines(engines)
 				for i := free; i < engines; i++ {
-					w.tally.Begin(fmt.Sprint("e", i), tally.Load{Requests: slots, Tokens: memory, Coming: 100})
+					w.tally.Begin(fmt.Sprint("e", i), upstreamload.Load{Requests: slots, Tokens: memory, Coming: 100})
 				}
 				for range free {
 					ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -109,7 +109,7 @@
 					is.NoErr(err)
 					is.True(ok)
 					w.tally.Kept("b", g.Upstream.ID)
-					w.tally.Begin(g.Upstream.ID, tally.Load{Requests: slots, Tokens: memory, Coming: 100})
+					w.tally.Begin(g.Upstream.ID, upstreamload.Load{Requests: slots, Tokens: memory, Coming: 100})
 				}
 				is.True(w.ranking.weighed <= free*(10*64+2*engines))
 			})
@@ -125,7 +125,7 @@
 		const engines, waiting = 3000, 20
 		w := newManyEngines(engines)
 		for i := range engines {
-			w.tally.Begin(fmt.Sprint("e", i), tally.Load{Requests: slots, Tokens: memory, Coming: 100})
+			w.tally.Begin(fmt.Sprint("e", i), upstreamload.Load{Requests: slots, Tokens: memory, Coming: 100})
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -159,9 +159,9 @@
 	is := is.New(t)
 	const engines, waiting = 3000, 200
 	w := newManyEngines(engines)
-	var runs []*tally.Entry
+	var runs []*upstreamload.Entry
 	for i := range engines {
-		runs = append(runs, w.tally.Begin(fmt.Sprint("e", i), tally.Load{Requests: slots, Tokens: memory, Coming: 100}))
+		runs = append(runs, w.tally.Begin(fmt.Sprint("e", i), upstreamload.Load{Requests: slots, Tokens: memory, Coming: 100}))
 	}
 	var given atomic.Int64
 	for i := range waiting {
--- a/admission/room.go
+++ b/admission/room.go
@@ -7,7 +7,7 @@
 
 	"petrelstep/balance/speeds"
 	"petrelstep/choose"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 const (
@@ -29,7 +29,7 @@
 )
 
 // step returns how long an engine takes for a token.
-func step(ask Ask, l tally.Load) time.Duration {
+func step(ask Ask, l upstreamload.Load) time.Duration {
 	return cmp.Or(l.Pace()/time.Duration(max(ask.Service.Engine.EventTokens, 1)), stepGuess)
 }
 
@@ -140,7 +140,7 @@
 // ends, or until this one does where that is sooner, with its deviation. Of n
 // that end at random, the next ends after an nth of what each has left, so that
 // all together take what one has left; its deviation is as large.
-func (a *Admission) growth(ask Ask, l tally.Load) int {
+func (a *Admission) growth(ask Ask, l upstreamload.Load) int {
 	n := float64(l.Requests + 1)
 	next := float64(l.Coming+ask.Answer) / n
 	life := float64(ask.Answer) + float64(a.reading.Time(ask.Prompt+l.Prefill))/float64(step(ask, l))
--- a/balance/places/line_test.go
+++ b/balance/places/line_test.go
@@ -14,7 +14,7 @@
 	"petrelstep/choose"
 	"petrelstep/fleet"
 	"petrelstep/refusal"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 	"petrelstep/wire"
 )
 
@@ -35,7 +35,7 @@
 		b.places.Answered(time.Now(), w.request(0, time.Second), c.Upstream, work)
 	}
 	for id := range w.upstreams {
-		b.tally.Begin(id, tally.Load{Requests: 4 * slots})
+		b.tally.Begin(id, upstreamload.Load{Requests: 4 * slots})
 	}
 	b.places.Told(time.Now(), "other", []wire.ServicePlaces{{Service: "plain", Asked: asked * 100}})
 	time.Sleep(time.Second)
@@ -186,7 +186,7 @@
 			}
 		}, 0.2},
 		"its places are taken": {func(_ *world, b *box, u fleet.Upstream) {
-			b.tally.Begin(u.ID, tally.Load{Requests: 2 * slots})
+			b.tally.Begin(u.ID, upstreamload.Load{Requests: 2 * slots})
 			time.Sleep(time.Second)
 		}, 0.5},
 		"its entry has lapsed": {func(_ *world, b *box, u fleet.Upstream) {
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -21,7 +21,7 @@
 	"petrelstep/refusal"
 	"petrelstep/reliability"
 	"petrelstep/route"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 const (
@@ -92,7 +92,7 @@
 // box is one of the boxes of a world.
 type box struct {
 	fleet       *fleet.Fleet
-	tally       *tally.Tally
+	tally       *upstreamload.Tracker
 	reliability *reliability.Reliability
 	chooser     *choose.Chooser
 	places      *places.Places
@@ -135,7 +135,7 @@
 }
 
 func newBox(seed uint64, list []fleet.Upstream) *box {
-	b := &box{fleet: fleet.New(time.Second), tally: tally.New(), reliability: reliability.New()}
+	b := &box{fleet: fleet.New(time.Second), tally: upstreamload.New(), reliability: reliability.New()}
 	b.fleet.Replace(time.Now(), list, 1, false)
 	hall := fmt.Sprint("h", seed%3)
 	b.chooser = choose.New(choose.Parts{
@@ -292,7 +292,7 @@
 			return false, time.Since(arrived), refused.RetryAfter()
 		}
 		sent := time.Now()
-		entry := b.tally.Begin(c.Upstream.ID, tally.Load{Requests: 1})
+		entry := b.tally.Begin(c.Upstream.ID, upstreamload.Load{Requests: 1})
 		ran := w.upstreams[c.Upstream.ID].serve(0.7 + 0.6*random.Float64())
 		entry.End()
 		b.reliability.Record(time.Now(), c.Upstream.ID, !ran)
--- a/balance/speeds/cost.go
+++ b/balance/speeds/cost.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"petrelstep/fleet"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 const (
@@ -48,11 +48,11 @@
 }
 
 // lasting is how many streams run there whose pauses are at risk.
-func lasting(l tally.Load) float64 { return float64(min(l.Requests, l.Coming/lastingTokens)) }
+func lasting(l upstreamload.Load) float64 { return float64(min(l.Requests, l.Coming/lastingTokens)) }
 
 // Gave notes that the keeper of a queue sends a request to an upstream where so much
 // runs: what it makes late there costs the next one nothing more.
-func (s *Speeds) Gave(now time.Time, u fleet.Upstream, n Need, l tally.Load) {
+func (s *Speeds) Gave(now time.Time, u fleet.Upstream, n Need, l upstreamload.Load) {
 	if s == nil || n.Gap == 0 {
 		return
 	}
@@ -68,7 +68,7 @@
 
 // inTime returns how many streams at an upstream may be made late yet. A keeper that
 // has just begun takes all of them for such, as well as runs that moved there.
-func (s *Speeds) inTime(u fleet.Upstream, l tally.Load) float64 {
+func (s *Speeds) inTime(u fleet.Upstream, l upstreamload.Load) float64 {
 	there := lasting(l)
 	late, ok := s.given[u.ID]
 	switch {
@@ -102,7 +102,7 @@
 
 // Judge weighs some upstreams of one service for a request; nil where nothing is known
 // of any.
-func (s *Speeds) Judge(now time.Time, service string, list []fleet.Upstream, loads []tally.Load, n Need) []Judged {
+func (s *Speeds) Judge(now time.Time, service string, list []fleet.Upstream, loads []upstreamload.Load, n Need) []Judged {
 	if s == nil || n.Gap == 0 || len(list) == 0 {
 		return nil
 	}
--- a/balance/speeds/speeds_test.go
+++ b/balance/speeds/speeds_test.go
@@ -12,7 +12,7 @@
 
 	"petrelstep/fleet"
 	"petrelstep/logs"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 const gap = 180 * time.Millisecond
@@ -166,7 +166,7 @@
 	s := New(&all, noCount{}, logs.New(io.Discard, "info", "b"))
 	now := streams(s, time.Now(), "e", ms(40), 0, 180)
 	s.Of(now, engine("e"))
-	s.Gave(now, engine("e"), Need{Gap: gap, Long: true}, tally.Load{})
+	s.Gave(now, engine("e"), Need{Gap: gap, Long: true}, upstreamload.Load{})
 	all = nil
 	now = now.Add(keptFor + time.Second)
 	s.Of(now, engine("e"))
@@ -210,7 +210,7 @@
 	is := is.New(t)
 	s := newSpeeds("slow", "new")
 	list := []fleet.Upstream{engine("slow"), engine("new")}
-	loads := []tally.Load{{Requests: 4, Coming: 2000}, {Requests: 1, Coming: 600}}
+	loads := []upstreamload.Load{{Requests: 4, Coming: 2000}, {Requests: 1, Coming: 600}}
 	now, long := time.Now(), Need{Gap: gap, Long: true}
 	is.Equal(s.Judge(now, "llm", list, loads, long), nil)
 	is.Equal((*Speeds)(nil).Judge(now, "llm", list, loads, long), nil)
@@ -222,9 +222,9 @@
 	s.Gave(now, list[0], Need{Gap: gap}, loads[0])
 	after := s.Judge(now, "llm", list, loads, long)
 	is.True(after[0].Cost < 0.9*before[0].Cost)
-	loads[0] = tally.Load{}
+	loads[0] = upstreamload.Load{}
 	s.Judge(now, "llm", list, loads, long) // what was late has ended
-	loads[0] = tally.Load{Requests: 4, Coming: 2000}
+	loads[0] = upstreamload.Load{Requests: 4, Coming: 2000}
 	is.Equal(s.Judge(now, "llm", list, loads, long)[0].Cost, before[0].Cost)
 }
 
@@ -242,7 +242,7 @@
 			for i, u := range list {
 				streams(s, now, u.ID, ms(16+i%2*18), ms(50+i%2*60), 24)
 			}
-			loads := make([]tally.Load, engines)
+			loads := make([]upstreamload.Load, engines)
 			for b.Loop() {
 				now = now.Add(5 * time.Millisecond) // 200 requests a second
 				s.Judge(now, "llm", list, loads, Need{Gap: gap, Long: true})
@@ -286,7 +286,7 @@
 		s.Read(now, engine("e"), 3000, took)
 	}
 	is.Equal(s.Of(now, engine("e")).Read(), 0*time.Second)
-	judged := s.Judge(now, "llm", []fleet.Upstream{engine("e")}, make([]tally.Load, 1), Need{Gap: gap, Long: true})
+	judged := s.Judge(now, "llm", []fleet.Upstream{engine("e")}, make([]upstreamload.Load, 1), Need{Gap: gap, Long: true})
 	is.Equal(judged[0].Reading, 1.0)
 }
 
--- a/choose/bench_test.go
+++ b/choose/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"petrelstep/choose"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 // BenchmarkChoose measures one choice, by engines that run some streams: of a
@@ -15,7 +15,7 @@
 	for _, engines := range []int{10, 170, 2200, 10000, 20000} {
 		c, running := chooserOf(spread(engines))
 		for i := range engines {
-			running.Begin(fmt.Sprint("e", i), tally.Load{Requests: 4, Tokens: 12000 + 7*i, Coming: 3000, Paced: 4, PaceUs: 140000})
+			running.Begin(fmt.Sprint("e", i), upstreamload.Load{Requests: 4, Tokens: 12000 + 7*i, Coming: 3000, Paced: 4, PaceUs: 140000})
 		}
 		for name, all := range map[string]bool{"sample": false, "all": true} {
 			b.Run(fmt.Sprint(name, "/", engines), func(b *testing.B) {
--- a/choose/choose.go
+++ b/choose/choose.go
@@ -13,7 +13,7 @@
 	"petrelstep/reliability"
 	"petrelstep/rest"
 	"petrelstep/route"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 	"petrelstep/warmup"
 )
 
@@ -70,7 +70,7 @@
 // Parts are what a chooser works with.
 type Parts struct {
 	Fleet       *fleet.Fleet
-	Tally       *tally.Tally
+	Tally       *upstreamload.Tracker
 	Reliability *reliability.Reliability
 	Reading     reading
 	Speeds      *speeds.Speeds // nil: engines' paces are compared where they stream
@@ -118,7 +118,7 @@
 // Choice is an upstream, what runs there, and that as a share of its capacity.
 type Choice struct {
 	Upstream fleet.Upstream
-	Running  tally.Load
+	Running  upstreamload.Load
 	Load     float64
 	speeds.Judged
 	Held bool // it is cold or limited, and may get no more for now
@@ -136,7 +136,7 @@
 }
 
 // Gave notes that the keeper of a queue sends a request to an upstream.
-func (c *Chooser) Gave(now time.Time, u fleet.Upstream, n speeds.Need, running tally.Load) {
+func (c *Chooser) Gave(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
 	c.Speeds.Gave(now, u, n, running)
 }
 
@@ -181,7 +181,7 @@
 		w.Hall = c.Hall
 	}
 	list := c.candidates(now, w)
-	loads := make([]tally.Load, len(list))
+	loads := make([]upstreamload.Load, len(list))
 	for i, u := range list {
 		loads[i] = c.Tally.Load(now, u.ID)
 	}
@@ -201,8 +201,8 @@
 }
 
 // Leaving returns what runs at the upstreams of a service that leave.
-func (c *Chooser) Leaving(now time.Time, service string) tally.Load {
-	var sum tally.Load
+func (c *Chooser) Leaving(now time.Time, service string) upstreamload.Load {
+	var sum upstreamload.Load
 	for _, u := range c.Fleet.Leavers(now, service, leavingFor) {
 		sum = sum.Plus(c.Tally.Load(now, u.ID))
 	}
@@ -267,7 +267,7 @@
 }
 
 // load is the share of an upstream's capacity that is in use.
-func (c *Chooser) load(w Want, u fleet.Upstream, l tally.Load) float64 {
+func (c *Chooser) load(w Want, u fleet.Upstream, l upstreamload.Load) float64 {
 	places := float64(l.Requests) / float64(max(u.Slots, 1))
 	e := w.Service.Engine
 	if e == nil || e.Memory == 0 {
@@ -279,7 +279,7 @@
 // judge weighs how fast upstreams are for a request, and returns what that is in
 // scores: by what is known of them, or, where nothing is or that is off, by the paces of
 // what streams there.
-func (c *Chooser) judge(now time.Time, w Want, list []fleet.Upstream, loads []tally.Load) (judged []speeds.Judged, scores []float64) {
+func (c *Chooser) judge(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Judged, scores []float64) {
 	scores = make([]float64, len(list))
 	judged = c.Speeds.Judge(now, w.Service.Name, list, loads, w.Need)
 	if judged == nil {
@@ -299,7 +299,7 @@
 }
 
 // usualPace returns the middle time between events at upstreams; 0 if none is known.
-func usualPace(loads []tally.Load) time.Duration {
+func usualPace(loads []upstreamload.Load) time.Duration {
 	var paces []time.Duration
 	for _, l := range loads {
 		if l.Paced > 0 {
--- a/choose/choose_test.go
+++ b/choose/choose_test.go
@@ -14,7 +14,7 @@
 	"petrelstep/prefill"
 	"petrelstep/reliability"
 	"petrelstep/route"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 	"petrelstep/warmup"
 	"petrelstep/wire"
 )
@@ -28,20 +28,20 @@
 func chooser(halls []string, loads map[int]int) *choose.Chooser {
 	c, running := chooserOf(halls)
 	for i, tokens := range loads {
-		running.Begin(fmt.Sprint("e", i), tally.Load{Requests: 1, Tokens: tokens})
+		running.Begin(fmt.Sprint("e", i), upstreamload.Load{Requests: 1, Tokens: tokens})
 	}
 	return c
 }
 
 // chooserOf returns such a chooser and the tally that it looks into.
-func chooserOf(halls []string) (*choose.Chooser, *tally.Tally) {
+func chooserOf(halls []string) (*choose.Chooser, *upstreamload.Tracker) {
 	f := fleet.New(time.Second)
 	list := make([]fleet.Upstream, len(halls))
 	for i, hall := range halls {
 		list[i] = fleet.Upstream{ID: fmt.Sprint("e", i), Service: "llm", Hall: hall, Slots: 24, State: fleet.Open}
 	}
 	f.Replace(time.Now(), list, 1, false)
-	running := tally.New()
+	running := upstreamload.New()
 	return choose.New(choose.Parts{Fleet: f, Tally: running, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), running
 }
 
@@ -105,24 +105,24 @@
 
 // TestPlaces shows what goes before what, over the noise.
 func TestPlaces(t *testing.T) {
-	pace := func(us int) tally.Load {
-		return tally.Load{Requests: 3, Tokens: 9000, Coming: 3000, Paced: 3, PaceUs: 3 * us}
+	pace := func(us int) upstreamload.Load {
+		return upstreamload.Load{Requests: 3, Tokens: 9000, Coming: 3000, Paced: 3, PaceUs: 3 * us}
 	}
 	usual := pace(35000)
 	tests := map[string]struct {
 		halls []string
-		loads []tally.Load
+		loads []upstreamload.Load
 		want  string
 	}{
-		"the emptier":                    {halls: []string{"leith", "leith"}, loads: []tally.Load{usual, {}}, want: "e1"},
-		"the own hall":                   {halls: []string{"gorgie", "leith"}, loads: []tally.Load{{}, {Requests: 1, Tokens: 4000, Coming: 900}}, want: "e1"},
-		"another, if the own is fuller":  {halls: []string{"gorgie", "leith"}, loads: []tally.Load{{}, usual}, want: "e0"},
-		"not the slow one":               {halls: []string{"leith", "leith", "leith"}, loads: []tally.Load{pace(140000), usual, usual}, want: "not e0"},
-		"one that reads is not slow":     {halls: []string{"leith", "leith", "leith"}, loads: []tally.Load{{Requests: 2, Tokens: 6000, Coming: 1000, Paced: 2, PaceUs: 2 * 65000}, usual, usual}, want: "e0"},
-		"one that was never tried is":    {halls: []string{"leith", "leith"}, loads: []tally.Load{usual, {}}, want: "e1"},
-		"the one with less to be read":   {halls: []string{"leith", "leith"}, loads: []tally.Load{{Requests: 3, Tokens: 9000, Prefill: 6000}, {Requests: 3, Tokens: 9000}}, want: "e1"},
-		"memory before a moment's wait":  {halls: []string{"leith", "leith"}, loads: []tally.Load{{Requests: 3, Tokens: 9000, Prefill: 2000}, {Requests: 7, Tokens: 20000}}, want: "e0"},
-		"all are slow: the emptier goes": {halls: []string{"leith", "leith"}, loads: []tally.Load{pace(140000), {Requests: 1, Tokens: 3000, Paced: 1, PaceUs: 140000}}, want: "e1"},
+		"the emptier":                    {halls: []string{"leith", "leith"}, loads: []upstreamload.Load{usual, {}}, want: "e1"},
+		"the own hall":                   {halls: []string{"gorgie", "leith"}, loads: []upstreamload.Load{{}, {Requests: 1, Tokens: 4000, Coming: 900}}, want: "e1"},
+		"another, if the own is fuller":  {halls: []string{"gorgie", "leith"}, loads: []upstreamload.Load{{}, usual}, want: "e0"},
+		"not the slow one":               {halls: []string{"leith", "leith", "leith"}, loads: []upstreamload.Load{pace(140000), usual, usual}, want: "not e0"},
+		"one that reads is not slow":     {halls: []string{"leith", "leith", "leith"}, loads: []upstreamload.Load{{Requests: 2, Tokens: 6000, Coming: 1000, Paced: 2, PaceUs: 2 * 65000}, usual, usual}, want: "e0"},
+		"one that was never tried is":    {halls: []string{"leith", "leith"}, loads: []upstreamload.Load{usual, {}}, want: "e1"},
+		"the one with less to be read":   {halls: []string{"leith", "leith"}, loads: []upstreamload.Load{{Requests: 3, Tokens: 9000, Prefill: 6000}, {Requests: 3, Tokens: 9000}}, want: "e1"},
+		"memory before a moment's wait":  {halls: []string{"leith", "leith"}, loads: []upstreamload.Load{{Requests: 3, Tokens: 9000, Prefill: 2000}, {Requests: 7, Tokens: 20000}}, want: "e0"},
+		"all are slow: the emptier goes": {halls: []string{"leith", "leith"}, loads: []upstreamload.Load{pace(140000), {Requests: 1, Tokens: 3000, Paced: 1, PaceUs: 140000}}, want: "e1"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -169,7 +169,7 @@
 			is := is.New(t)
 			now := time.Now()
 			c, running := chooserOf([]string{"leith", "leith"})
-			running.Begin("e1", tally.Load{Requests: 1, Tokens: 9000})
+			running.Begin("e1", upstreamload.Load{Requests: 1, Tokens: 9000})
 			c.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
 			c.Part = func(route.Service) float64 { return tt.part }
 			for i := range tt.cold {
--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -29,7 +29,7 @@
 	"petrelstep/peer"
 	"petrelstep/platform/manifest"
 	"petrelstep/platform/store"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 	"petrelstep/wire"
 )
 
@@ -366,7 +366,7 @@
 	for i := range boxes {
 		e := c.box(t, fmt.Sprint("b", i), fmt.Sprint("hall", i%halls))
 		c.all = append(c.all, e)
-		e.tally.Begin(fmt.Sprint("u", i), tally.Load{Requests: 1})
+		e.tally.Begin(fmt.Sprint("u", i), upstreamload.Load{Requests: 1})
 	}
 	return c
 }
@@ -792,7 +792,7 @@
 			for i, e := range c.all {
 				named[e.Name()] = e
 				records = append(records, e.record)
-				e.tally.Begin(fmt.Sprint("u", i*7%(10*boxes)), tally.Load{Requests: 1, Tokens: 3000})
+				e.tally.Begin(fmt.Sprint("u", i*7%(10*boxes)), upstreamload.Load{Requests: 1, Tokens: 3000})
 			}
 			for _, e := range c.all {
 				e.listed(records)
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -43,8 +43,8 @@
 	"petrelstep/routecache"
 	"petrelstep/runs"
 	"petrelstep/snapshot"
-	"petrelstep/tally"
 	"petrelstep/timer"
+	"petrelstep/upstreamload"
 	"petrelstep/warmup"
 	"petrelstep/wire"
 )
@@ -120,7 +120,7 @@
 	belief      *routecache.Cache
 	fleet       *fleet.Fleet
 	halls       *halls.Halls
-	tally       *tally.Tally
+	tally       *upstreamload.Tracker
 	reliability *reliability.Reliability
 	speeds      *speeds.Speeds // nil where that is off
 	places      *places.Places // nil unless switched on
@@ -188,7 +188,7 @@
 		store:       store.New(c.Platform.Address, counts).WithUnread(counts, log),
 		belief:      routecache.New(config.Millis(s.KeyAgeMs) - ageSlack),
 		fleet:       fleet.New(time.Duration(missingPart * float64(config.Millis(s.LeaveMs)))),
-		tally:       tally.New(),
+		tally:       upstreamload.New(),
 		reliability: reliability.New(),
 		runs:        runs.New(),
 		peers:       peer.New(nil),
--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -18,7 +18,7 @@
 	"petrelstep/fleet"
 	"petrelstep/route"
 	"petrelstep/runs"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 const (
@@ -90,7 +90,7 @@
 	Mover    Mover
 	Turns    Turns
 	Services Services
-	Tally    *tally.Tally                             // counts copies at their targets
+	Tally    *upstreamload.Tracker                    // counts copies at their targets
 	Moved    func(outcome string, took time.Duration) // counts moves
 	Leaving  func(upstream string) bool               // false once it is back
 	Takes    func(upstream string) bool               // it takes new work
@@ -198,7 +198,7 @@
 
 // moveTo copies a run while it goes on, then stops it with the rest.
 func (e *Evacuator) moveTo(ctx context.Context, run *runs.Run, source, target fleet.Upstream) error {
-	entry := e.Tally.Begin(target.ID, tally.Load{Requests: 1, Tokens: run.Tokens(), Coming: run.Left()})
+	entry := e.Tally.Begin(target.ID, upstreamload.Load{Requests: 1, Tokens: run.Tokens(), Coming: run.Left()})
 	defer entry.End()
 	copying, cancel := context.WithTimeout(ctx, copyTime)
 	first, err := e.Mover.Move(copying, source.Address, run.Request.ID, target.Address, false)
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -23,7 +23,7 @@
 	"petrelstep/reliability"
 	"petrelstep/route"
 	"petrelstep/runs"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 // Figures of the engines that the link below stands for.
@@ -151,7 +151,7 @@
 // box is one box's evacuator with its own runs.
 type box struct {
 	runs  *runs.Runs
-	tally *tally.Tally
+	tally *upstreamload.Tracker
 	stays bool            // the upstream is back
 	full  map[string]bool // targets that take nothing new
 	*evacuate.Evacuator
@@ -166,7 +166,7 @@
 		})
 	}
 	f.Replace(time.Now(), list, 1, false)
-	b := &box{runs: runs.New(), tally: tally.New()}
+	b := &box{runs: runs.New(), tally: upstreamload.New()}
 	chooser := choose.New(choose.Parts{Fleet: f, Tally: b.tally, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	service := route.Service{Name: "llm", Engine: &route.Engine{Slots: 48, Memory: 34000, Moves: true, EventTokens: 4}}
 	b.Evacuator = evacuate.New(evacuate.Parts{
@@ -186,7 +186,7 @@
 		r.Progress()
 	}
 	end := b.runs.Add(r)
-	entry := b.tally.Begin(at.ID, tally.Load{Requests: 1, Tokens: prompt})
+	entry := b.tally.Begin(at.ID, upstreamload.Load{Requests: 1, Tokens: prompt})
 	return r, func() {
 		end()
 		entry.End()
@@ -367,7 +367,7 @@
 				defer cancel()
 				var all sync.WaitGroup
 				var result sync.Map
-				entry := b.tally.Begin(leaving.ID, tally.Load{Requests: 1}) // sent, not yet answered
+				entry := b.tally.Begin(leaving.ID, upstreamload.Load{Requests: 1}) // sent, not yet answered
 				all.Go(func() { b.Leaves(ctx, leaving) })
 				time.Sleep(tt.later)
 				r, end := b.run(leaving, "r", 3000, tt.left, tt.events)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -34,7 +34,7 @@
 	"petrelstep/route"
 	"petrelstep/routecache"
 	"petrelstep/runs"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 )
 
 const (
@@ -65,7 +65,7 @@
 	Chooser     *choose.Chooser
 	Admitter    Admitter       // nil: straight to the emptiest engine
 	Places      *places.Places // nil: straight to the emptiest plain upstream
-	Tally       *tally.Tally
+	Tally       *upstreamload.Tracker
 	Reliability *reliability.Reliability
 	Speeds      *speeds.Speeds // nil where that is off
 	Sender      exchange.Sender
@@ -268,7 +268,7 @@
 	answer   *exchange.Answer
 	upstream fleet.Upstream
 	began    time.Time
-	entry    *tally.Entry
+	entry    *upstreamload.Entry
 	pace     *speeds.Stream
 	alone    int         // tokens of its prompt, if no other was to be read before
 	event    time.Time   // its first; zero before
@@ -396,8 +396,8 @@
 
 // loadOf returns what a request is expected to hold at an upstream that sends it the
 // events after one.
-func (j *job) loadOf(after int, from *exchange.Copy) tally.Load {
-	load := tally.Load{Requests: 1}
+func (j *job) loadOf(after int, from *exchange.Copy) upstreamload.Load {
+	load := upstreamload.Load{Requests: 1}
 	if j.service.Engine != nil {
 		made := (after + 1) * j.eventTokens()
 		load.Tokens, load.Coming = j.req.Prompt+made, j.left(made)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -33,7 +33,7 @@
 	"petrelstep/route"
 	"petrelstep/routecache"
 	"petrelstep/runs"
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 	"petrelstep/warmup"
 )
 
@@ -196,7 +196,7 @@
 	fleet  *fleet.Fleet
 	runs   *runs.Runs
 	sender *sender
-	tally  *tally.Tally
+	tally  *upstreamload.Tracker
 	failed *reliability.Reliability
 	relay  *relay.Relay
 	leaves time.Duration // until the box is gone; 0 while it stays
@@ -227,7 +227,7 @@
 	counts, err := metrics.New()
 	is.New(t).NoErr(err)
 	w := &world{
-		belief: routecache.New(4600 * time.Millisecond), fleet: fleet.New(time.Second), runs: runs.New(), tally: tally.New(),
+		belief: routecache.New(4600 * time.Millisecond), fleet: fleet.New(time.Second), runs: runs.New(), tally: upstreamload.New(),
 		sender: &sender{script: script},
 	}
 	w.belief.Take(table)
@@ -556,7 +556,7 @@
 // fill takes every place of a service's upstreams, and returns how many there are.
 func (w *world) fill(service string) (upstreams int) {
 	for _, u := range w.fleet.Serving(service) {
-		w.tally.Begin(u.ID, tally.Load{Requests: u.Slots})
+		w.tally.Begin(u.ID, upstreamload.Load{Requests: u.Slots})
 		upstreams++
 	}
 	return upstreams
--- a/tally/tally.go
+++ b/upstreamload/upstreamload.go
@@ -1,6 +1,6 @@
-// Package tally counts what is running at each upstream: what this box sent
+// Package upstreamload counts what is running at each upstream: what this box sent
 // there, and what the other boxes last told.
-package tally
+package upstreamload
 
 import (
 	"slices"
@@ -76,8 +76,8 @@
 	load     Load
 }
 
-// Tally is safe for use by several goroutines.
-type Tally struct {
+// Tracker is safe for use by several goroutines.
+type Tracker struct {
 	mu       sync.Mutex
 	own      map[string]*Load // what entries have begun, by upstream
 	promises []promise
@@ -85,11 +85,11 @@
 }
 
 // New returns an empty tally.
-func New() *Tally { return &Tally{own: map[string]*Load{}, others: peerstate.New[Load]()} }
+func New() *Tracker { return &Tracker{own: map[string]*Load{}, others: peerstate.New[Load]()} }
 
 // Entry is one request that is counted at an upstream.
 type Entry struct {
-	tally    *Tally
+	tally    *Tracker
 	upstream string
 	sum      *Load     // of all that count there with it
 	left     Load      // still counted
@@ -97,7 +97,7 @@
 }
 
 // Begin counts a request at an upstream until its entry ends.
-func (t *Tally) Begin(upstream string, l Load) *Entry {
+func (t *Tracker) Begin(upstream string, l Load) *Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sum, ok := t.own[upstream]
@@ -149,7 +149,7 @@
 
 // Forget drops all that is counted at an upstream, as it has started again: what its
 // last incarnation had runs no longer. Entries begun before count nowhere.
-func (t *Tally) Forget(upstream string) {
+func (t *Tracker) Forget(upstream string) {
 	t.settle(func(p promise) bool { return p.upstream == upstream })
 	t.others.Forget(upstream)
 	t.mu.Lock()
@@ -158,7 +158,7 @@
 }
 
 // ownOf returns what this box has running at an upstream.
-func (t *Tally) ownOf(upstream string) Load {
+func (t *Tracker) ownOf(upstream string) Load {
 	if sum, ok := t.own[upstream]; ok {
 		return *sum
 	}
@@ -166,7 +166,7 @@
 }
 
 // ownAll returns what this box has running, by upstream.
-func (t *Tally) ownAll() map[string]Load {
+func (t *Tracker) ownAll() map[string]Load {
 	loads := make(map[string]Load, len(t.own))
 	for id, sum := range t.own {
 		loads[id] = *sum
@@ -175,14 +175,14 @@
 }
 
 // Busy tells whether this box has anything at an upstream.
-func (t *Tally) Busy(upstream string) bool {
+func (t *Tracker) Busy(upstream string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ownOf(upstream).Requests > 0
 }
 
 // Own returns what this box has running, for its peers.
-func (t *Tally) Own() []wire.UpstreamTally {
+func (t *Tracker) Own() []wire.UpstreamTally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return listOf(t.ownAll())
@@ -200,7 +200,7 @@
 }
 
 // Without returns what all boxes but one have running, for that one.
-func (t *Tally) Without(now time.Time, box string) []wire.UpstreamTally {
+func (t *Tracker) Without(now time.Time, box string) []wire.UpstreamTally {
 	t.mu.Lock()
 	sum := t.ownAll()
 	t.mu.Unlock()
@@ -210,7 +210,7 @@
 
 // Part returns what this box has running and those that tell it alone, for the boxes
 // that do not hear them, and how many those are.
-func (t *Tally) Part(now time.Time) (list []wire.UpstreamTally, boxes int) {
+func (t *Tracker) Part(now time.Time) (list []wire.UpstreamTally, boxes int) {
 	t.mu.Lock()
 	sum := t.ownAll()
 	t.mu.Unlock()
@@ -220,17 +220,17 @@
 
 // Covers notes, before a box's word is taken, whether it tells this box alone, and whom
 // besides it the word holds.
-func (t *Tally) Covers(box string, only bool, c peerstate.Cover) { t.others.Covers(box, only, c) }
+func (t *Tracker) Covers(box string, only bool, c peerstate.Cover) { t.others.Covers(box, only, c) }
 
 // Told takes another box's word of what it has running.
-func (t *Tally) Told(now time.Time, box string, list []wire.UpstreamTally) {
+func (t *Tracker) Told(now time.Time, box string, list []wire.UpstreamTally) {
 	t.others.Told(now, box, loadsOf(list))
 	t.settle(func(p promise) bool { return p.box == box && now.Sub(p.at) > promiseSettles })
 }
 
 // Promise counts what a box was told to send to an upstream until the box's own
 // word has it.
-func (t *Tally) Promise(now time.Time, box, upstream string, l Load) {
+func (t *Tracker) Promise(now time.Time, box, upstream string, l Load) {
 	t.settle(func(p promise) bool { return now.Sub(p.at) > promiseLapses })
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -238,7 +238,7 @@
 }
 
 // Kept ends a box's promise at an upstream: it is counted otherwise now.
-func (t *Tally) Kept(box, upstream string) {
+func (t *Tracker) Kept(box, upstream string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := slices.IndexFunc(t.promises, func(p promise) bool { return p.box == box && p.upstream == upstream })
@@ -247,43 +247,43 @@
 	}
 }
 
-func (t *Tally) settle(settled func(promise) bool) {
+func (t *Tracker) settle(settled func(promise) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.promises = slices.DeleteFunc(t.promises, settled)
 }
 
 // ToldSum takes a hub's word of what all other boxes have running.
-func (t *Tally) ToldSum(now time.Time, list []wire.UpstreamTally) {
+func (t *Tracker) ToldSum(now time.Time, list []wire.UpstreamTally) {
 	t.others.ToldSum(now, loadsOf(list))
 }
 
 // Older makes what other boxes told older: this box's machine was suspended.
-func (t *Tally) Older(by time.Duration) { t.others.Older(by) }
+func (t *Tracker) Older(by time.Duration) { t.others.Older(by) }
 
 // SumAge returns how long ago a hub last told what all other boxes have running.
-func (t *Tally) SumAge(now time.Time) time.Duration { return t.others.SumAge(now) }
+func (t *Tracker) SumAge(now time.Time) time.Duration { return t.others.SumAge(now) }
 
 // Boxes returns how many other boxes have told this one of late what they run.
-func (t *Tally) Boxes(now time.Time) int { return t.others.Boxes(now) }
+func (t *Tracker) Boxes(now time.Time) int { return t.others.Boxes(now) }
 
 // Heard returns how many other boxes have told this one within a time what they run.
-func (t *Tally) Heard(now time.Time, within time.Duration) int { return t.others.Heard(now, within) }
+func (t *Tracker) Heard(now time.Time, within time.Duration) int { return t.others.Heard(now, within) }
 
 // HeardAlone returns how many of them tell this box alone.
-func (t *Tally) HeardAlone(now time.Time, within time.Duration) int {
+func (t *Tracker) HeardAlone(now time.Time, within time.Duration) int {
 	return t.others.HeardAlone(now, within)
 }
 
 // HeardBehind returns how many boxes had just told others that told this one within a
 // time.
-func (t *Tally) HeardBehind(now time.Time, within time.Duration) int {
+func (t *Tracker) HeardBehind(now time.Time, within time.Duration) int {
 	return t.others.HeardBehind(now, within)
 }
 
 // Pace returns the mean time between events of this box's streams; 0 while it has
 // none.
-func (t *Tally) Pace() time.Duration {
+func (t *Tracker) Pace() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var sum Load
@@ -294,7 +294,7 @@
 }
 
 // Load returns what runs at an upstream by all that is known.
-func (t *Tally) Load(now time.Time, upstream string) Load {
+func (t *Tracker) Load(now time.Time, upstream string) Load {
 	t.mu.Lock()
 	own := t.ownOf(upstream)
 	for _, p := range t.promises {
--- a/tally/tally_test.go
+++ b/upstreamload/upstreamload_test.go
@@ -1,4 +1,4 @@
-package tally_test
+package upstreamload_test
 
 import (
 	"testing"
@@ -6,23 +6,23 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/tally"
+	"petrelstep/upstreamload"
 	"petrelstep/wire"
 )
 
 func TestEntryIsTakenOffOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	s := tally.New()
-	a := s.Begin("u", tally.Load{Requests: 1, Tokens: 900, Prefill: 700})
-	b := s.Begin("u", tally.Load{Requests: 1, Tokens: 100, Prefill: 50})
-	is.Equal(s.Load(now, "u"), tally.Load{Requests: 2, Tokens: 1000, Prefill: 750})
+	s := upstreamload.New()
+	a := s.Begin("u", upstreamload.Load{Requests: 1, Tokens: 900, Prefill: 700})
+	b := s.Begin("u", upstreamload.Load{Requests: 1, Tokens: 100, Prefill: 50})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 2, Tokens: 1000, Prefill: 750})
 	a.Started()
 	a.Started()
-	is.Equal(s.Load(now, "u"), tally.Load{Requests: 2, Tokens: 1000, Prefill: 50})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 2, Tokens: 1000, Prefill: 50})
 	a.End()
 	a.End()
-	is.Equal(s.Load(now, "u"), tally.Load{Requests: 1, Tokens: 100, Prefill: 50})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 1, Tokens: 100, Prefill: 50})
 	is.True(s.Busy("u"))
 	b.End()
 	is.True(!s.Busy("u"))
@@ -32,41 +32,41 @@
 func TestWhatOthersTell(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	s := tally.New()
-	s.Begin("u", tally.Load{Requests: 1, Tokens: 10})
+	s := upstreamload.New()
+	s.Begin("u", upstreamload.Load{Requests: 1, Tokens: 10})
 	s.Told(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
 	s.Told(now, "b2", []wire.UpstreamTally{{Upstream: "u", Requests: 3, Tokens: 30, Prefill: 7}})
-	is.Equal(s.Load(now, "u"), tally.Load{Requests: 6, Tokens: 60, Prefill: 7})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 6, Tokens: 60, Prefill: 7})
 	// A hub tells a box what all others have, so that it adds its own.
 	is.Equal(s.Without(now, "b2"), []wire.UpstreamTally{{Upstream: "u", Requests: 3, Tokens: 30}})
 	// A box that is gone takes its word with it.
 	later := now.Add(3500 * time.Millisecond)
-	is.Equal(s.Load(later, "u"), tally.Load{Requests: 1, Tokens: 10})
+	is.Equal(s.Load(later, "u"), upstreamload.Load{Requests: 1, Tokens: 10})
 	// A hub's sum stands for all others, and is not added to what they told.
 	s.Told(later, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
 	s.ToldSum(later, []wire.UpstreamTally{{Upstream: "u", Requests: 4, Tokens: 40}})
-	is.Equal(s.Load(later, "u"), tally.Load{Requests: 5, Tokens: 50})
+	is.Equal(s.Load(later, "u"), upstreamload.Load{Requests: 5, Tokens: 50})
 }
 
 // TestPromises shows how long room is counted that a box was told to take.
 func TestPromises(t *testing.T) {
-	load := tally.Load{Requests: 1, Tokens: 900, Coming: 100, Prefill: 900}
+	load := upstreamload.Load{Requests: 1, Tokens: 900, Coming: 100, Prefill: 900}
 	tests := map[string]struct {
-		then func(s *tally.Tally, now time.Time)
+		then func(s *upstreamload.Tracker, now time.Time)
 		at   time.Duration
-		want tally.Load
+		want upstreamload.Load
 	}{
 		"at once":               {want: load},
 		"its box said nothing":  {at: 700 * time.Millisecond, want: load},
 		"it has lapsed":         {at: 900 * time.Millisecond},
-		"its box tells of it":   {at: 300 * time.Millisecond, then: func(s *tally.Tally, now time.Time) { s.Told(now, "b1", nil) }},
-		"told before it was":    {at: 50 * time.Millisecond, want: load, then: func(s *tally.Tally, now time.Time) { s.Told(now, "b1", nil) }},
-		"another box tells":     {at: 300 * time.Millisecond, want: load, then: func(s *tally.Tally, now time.Time) { s.Told(now, "b2", nil) }},
-		"it is counted already": {then: func(s *tally.Tally, _ time.Time) { s.Kept("b1", "u") }},
+		"its box tells of it":   {at: 300 * time.Millisecond, then: func(s *upstreamload.Tracker, now time.Time) { s.Told(now, "b1", nil) }},
+		"told before it was":    {at: 50 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Told(now, "b1", nil) }},
+		"another box tells":     {at: 300 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Told(now, "b2", nil) }},
+		"it is counted already": {then: func(s *upstreamload.Tracker, _ time.Time) { s.Kept("b1", "u") }},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, now := tally.New(), time.Now()
+			s, now := upstreamload.New(), time.Now()
 			s.Promise(now, "b1", "u", load)
 			if tt.then != nil {
 				tt.then(s, now.Add(tt.at))
@@ -79,19 +79,19 @@
 // TestMade follows a generation's memory: what was to come is held.
 func TestMade(t *testing.T) {
 	is := is.New(t)
-	s := tally.New()
-	e := s.Begin("u", tally.Load{Requests: 1, Tokens: 900, Coming: 100, Prefill: 900})
+	s := upstreamload.New()
+	e := s.Begin("u", upstreamload.Load{Requests: 1, Tokens: 900, Coming: 100, Prefill: 900})
 	e.Started()
 	now := time.Now()
 	e.Made(now, 4, 80)
-	is.Equal(s.Load(now, "u"), tally.Load{Requests: 1, Tokens: 904, Coming: 80})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 1, Tokens: 904, Coming: 80})
 	e.Made(now.Add(40*time.Millisecond), 4, 70) // the first time between events
-	is.Equal(s.Load(now, "u"), tally.Load{Requests: 1, Tokens: 908, Coming: 70, Paced: 1, PaceUs: 40000})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 1, Tokens: 908, Coming: 70, Paced: 1, PaceUs: 40000})
 	e.Made(now.Add(160*time.Millisecond), 4, 60)
 	is.Equal(s.Load(now, "u").Pace(), 50*time.Millisecond)
 	is.Equal(s.Pace(), 50*time.Millisecond)
 	e.End()
-	is.Equal(s.Load(time.Now(), "u"), tally.Load{})
+	is.Equal(s.Load(time.Now(), "u"), upstreamload.Load{})
 }
 
 // TestForget holds that nothing of an upstream's last incarnation counts, and that
@@ -99,14 +99,14 @@
 func TestForget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	s := tally.New()
-	load := tally.Load{Requests: 1, Tokens: 900, Prefill: 700}
+	s := upstreamload.New()
+	load := upstreamload.Load{Requests: 1, Tokens: 900, Prefill: 700}
 	old := s.Begin("u", load)
 	s.Promise(now, "b1", "u", load)
 	s.Told(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}, {Upstream: "v", Requests: 1}})
 	s.Forget("u")
-	is.Equal(s.Load(now, "u"), tally.Load{})
-	is.Equal(s.Load(now, "v"), tally.Load{Requests: 1})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{})
+	is.Equal(s.Load(now, "v"), upstreamload.Load{Requests: 1})
 	fresh := s.Begin("u", load)
 	old.Started()
 	old.End()
@@ -115,7 +115,7 @@
 	is.Equal(len(s.Own()), 0)
 	s.ToldSum(now, []wire.UpstreamTally{{Upstream: "u", Requests: 2}, {Upstream: "v", Requests: 1}})
 	s.Forget("u")
-	is.Equal(s.Load(now, "u"), tally.Load{})
+	is.Equal(s.Load(now, "u"), upstreamload.Load{})
 	// What a box tells after that counts again.
 	s.Told(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 3}})
 	s.Told(now, "b1", nil)
