--- a/edge/join.go
+++ b/edge/join.go
@@ -236,13 +236,13 @@
 	e.log.WithField("boxes", len(known)).Info("boxes_listed")
 }
 
-// Known implements reading.Boxes.
+// Known implements readpolicy.Boxes.
 func (e *Edge) Known() bool { return e.joined.Load() }
 
-// Listed implements reading.Boxes.
+// Listed implements readpolicy.Boxes.
 func (e *Edge) Listed() bool { return e.others.Load() }
 
-// TurnedAway implements reading.Boxes.
+// TurnedAway implements readpolicy.Boxes.
 func (e *Edge) TurnedAway() bool { return e.turnedAway.Load() }
 
 // IsHub tells whether this box knows for others.
@@ -251,29 +251,29 @@
 	return is
 }
 
-// Reads implements reading.Boxes.
+// Reads implements readpolicy.Boxes.
 func (e *Edge) Reads() bool { return e.members.Reads(time.Now()) }
 
-// Count implements reading.Boxes.
+// Count implements readpolicy.Boxes.
 func (e *Edge) Count() int { return e.members.Count(time.Now()) }
 
-// Crowded implements reading.Boxes.
+// Crowded implements readpolicy.Boxes.
 func (e *Edge) Crowded() bool { return e.members.Crowd(time.Now()) != nil }
 
-// AllRead implements reading.Boxes.
+// AllRead implements readpolicy.Boxes.
 func (e *Edge) AllRead() bool {
 	count := e.Count()
 	return count <= members.ReadersMost && len(e.members.Hubs(time.Now())) == count
 }
 
-// HubHeard implements reading.Boxes.
+// HubHeard implements readpolicy.Boxes.
 func (e *Edge) HubHeard() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.hubHeard
 }
 
-// Promised implements reading.Boxes.
+// Promised implements readpolicy.Boxes.
 func (e *Edge) Promised() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/edge/run.go
+++ b/edge/run.go
@@ -15,7 +15,7 @@
 	"petrelstep/gossip"
 	"petrelstep/peer/edgepoint"
 	"petrelstep/platform/manifest"
-	"petrelstep/reading"
+	"petrelstep/readpolicy"
 	"petrelstep/watch"
 )
 
@@ -232,22 +232,22 @@
 
 // reading decides when this box reads a table whose knowledge has an age.
 func (e *Edge) reading(table string, age func(now time.Time) (time.Duration, bool)) follow.Need {
-	return &reads{Reading: reading.New(e, age, e.config.Edge.ColdStart, e.random), table: table, edge: e, age: age}
+	return &reads{Policy: readpolicy.New(e, age, e.config.Edge.ColdStart, e.random), table: table, edge: e, age: age}
 }
 
 // reads logs and counts why a table is read.
 type reads struct {
-	*reading.Reading
+	*readpolicy.Policy
 	table string
 	edge  *Edge
 	age   func(now time.Time) (time.Duration, bool)
-	last  reading.Reason
+	last  readpolicy.Reason
 }
 
 // Needed implements follow.Need.
 func (r *reads) Needed(now time.Time) bool {
 	reason := r.Reason(now)
-	if reason != r.last && reason != reading.None {
+	if reason != r.last && reason != readpolicy.None {
 		age, known := r.age(now)
 		r.edge.metrics.StoreRead(r.table, string(reason))
 		r.edge.log.WithFields(logrus.Fields{
@@ -255,7 +255,7 @@
 		}).Info("store_read")
 	}
 	r.last = reason
-	return reason != reading.None
+	return reason != readpolicy.None
 }
 
 // drainAll is the planned stop: callers are sent elsewhere, and all in flight
--- a/reading/reading.go
+++ b/readpolicy/readpolicy.go
@@ -1,7 +1,7 @@
-// Package reading decides when a box reads a table of the platform's store for
+// Package readpolicy decides when a box reads a table of the platform's store for
 // itself. Each call is paid for, so that a few hubs read and tell the others;
 // a box that is told nothing, or only what is old, reads too.
-package reading
+package readpolicy
 
 import (
 	"math/rand/v2"
@@ -92,8 +92,8 @@
 	Promised() time.Time
 }
 
-// Reading is that of one table. It is safe for use by several goroutines.
-type Reading struct {
+// Policy is that of one table. It is safe for use by several goroutines.
+type Policy struct {
 	boxes  Boxes
 	age    func(now time.Time) (age time.Duration, known bool)
 	start  time.Time
@@ -108,8 +108,8 @@
 // New returns the reading of a table, whose knowledge has an age. At a cold
 // start, when all boxes start together, it waits until they know each other:
 // until then each would take itself for a hub.
-func New(boxes Boxes, age func(now time.Time) (time.Duration, bool), cold bool, random *rand.Rand) *Reading {
-	r := &Reading{start: time.Now(), boxes: boxes, age: age, spread: time.Duration(random.Int64N(int64(spread))), told: firstTold}
+func New(boxes Boxes, age func(now time.Time) (time.Duration, bool), cold bool, random *rand.Rand) *Policy {
+	r := &Policy{start: time.Now(), boxes: boxes, age: age, spread: time.Duration(random.Int64N(int64(spread))), told: firstTold}
 	if cold {
 		r.until = r.start.Add(coldMost)
 		r.told = firstToldCold
@@ -131,10 +131,10 @@
 )
 
 // Needed implements follow.Need: it tells whether this box is to read now.
-func (r *Reading) Needed(now time.Time) bool { return r.Reason(now) != None }
+func (r *Policy) Needed(now time.Time) bool { return r.Reason(now) != None }
 
 // Reason returns why this box is to read now.
-func (r *Reading) Reason(now time.Time) Reason {
+func (r *Policy) Reason(now time.Time) Reason {
 	age, known := r.age(now)
 	reads := r.boxes.Reads()
 	silent := now.Sub(r.boxes.HubHeard()) > r.unheard()
@@ -158,7 +158,7 @@
 
 // unheard is for how long no hub may have answered: of a crowd one may be left that is
 // called each second.
-func (r *Reading) unheard() time.Duration {
+func (r *Policy) unheard() time.Duration {
 	if r.boxes.Crowded() {
 		return unheard + spareCalled
 	}
@@ -174,7 +174,7 @@
 }
 
 // unjoined returns why a box that knows nothing reads before it has joined the others.
-func (r *Reading) unjoined(now time.Time) Reason {
+func (r *Policy) unjoined(now time.Time) Reason {
 	waited := now.Sub(r.start)
 	switch {
 	case r.boxes.Crowded() && !r.until.IsZero():
@@ -192,7 +192,7 @@
 }
 
 // first tells whether a box that knows nothing yet is to read all for itself.
-func (r *Reading) first(now time.Time) bool {
+func (r *Policy) first(now time.Time) bool {
 	waited := now.Sub(r.since(now))
 	told, most := r.told, promisedMost+r.crowds(crowdSpread)
 	if r.boxes.Crowded() {
@@ -203,7 +203,7 @@
 }
 
 // crowds returns some times this box's spread in a crowd, and none otherwise.
-func (r *Reading) crowds(times int) time.Duration {
+func (r *Policy) crowds(times int) time.Duration {
 	if !r.boxes.Crowded() {
 		return 0
 	}
@@ -211,7 +211,7 @@
 }
 
 // since returns since when the boxes are known.
-func (r *Reading) since(now time.Time) time.Time {
+func (r *Policy) since(now time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.joined.IsZero() {
@@ -221,7 +221,7 @@
 }
 
 // Wait implements follow.Need.
-func (r *Reading) Wait() time.Duration {
+func (r *Policy) Wait() time.Duration {
 	if r.boxes.AllRead() {
 		return feedWait
 	}
@@ -229,7 +229,7 @@
 }
 
 // Pace implements follow.Need.
-func (r *Reading) Pace() follow.Pace {
+func (r *Policy) Pace() follow.Pace {
 	if r.boxes.Reads() {
 		return follow.Pace{First: hubFirst, Most: hubMost}
 	}
--- a/reading/reading_test.go
+++ b/readpolicy/readpolicy_test.go
@@ -1,4 +1,4 @@
-package reading_test
+package readpolicy_test
 
 import (
 	"math/rand/v2"
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"petrelstep/follow"
-	"petrelstep/reading"
+	"petrelstep/readpolicy"
 )
 
 // boxes is what a test says of the boxes.
@@ -75,7 +75,7 @@
 				if tt.heard >= 0 {
 					tt.boxes.heard = time.Now().Add(tt.after - tt.heard)
 				}
-				r := reading.New(&tt.boxes, age, tt.cold, rand.New(rand.NewPCG(1, 1)))
+				r := readpolicy.New(&tt.boxes, age, tt.cold, rand.New(rand.NewPCG(1, 1)))
 				time.Sleep(tt.after)
 				is.New(t).Equal(r.Needed(time.Now()), tt.want)
 			})
@@ -105,7 +105,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				unknown := func(time.Time) (time.Duration, bool) { return 0, false }
 				b := &boxes{known: true}
-				r := reading.New(b, unknown, tt.cold, rand.New(rand.NewPCG(1, 1)))
+				r := readpolicy.New(b, unknown, tt.cold, rand.New(rand.NewPCG(1, 1)))
 				is.New(t).Equal(r.Needed(time.Now()), false)
 				time.Sleep(tt.after)
 				if tt.promised {
@@ -149,11 +149,11 @@
 	b := &boxes{known: true, crowded: true, count: 300}
 	age := func(now time.Time) (time.Duration, bool) { return now.Sub(start), known }
 	random := rand.New(rand.NewPCG(1, 1))
-	var tables []*reading.Reading
+	var tables []*readpolicy.Policy
 	for range 300 {
-		tables = append(tables, reading.New(b, age, false, random))
+		tables = append(tables, readpolicy.New(b, age, false, random))
 	}
-	read := map[*reading.Reading]bool{}
+	read := map[*readpolicy.Policy]bool{}
 	for ; time.Since(start) <= until; time.Sleep(100 * time.Millisecond) {
 		if promised {
 			b.promised = time.Now()
@@ -168,7 +168,7 @@
 }
 
 // needed notes which tables are to be read by now, and returns how many are new.
-func needed(all []*reading.Reading, read map[*reading.Reading]bool) int {
+func needed(all []*readpolicy.Policy, read map[*readpolicy.Policy]bool) int {
 	before := len(read)
 	for _, r := range all {
 		if r.Needed(time.Now()) {
@@ -190,7 +190,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := reading.New(tt.boxes, nil, false, rand.New(rand.NewPCG(1, 1)))
+			r := readpolicy.New(tt.boxes, nil, false, rand.New(rand.NewPCG(1, 1)))
 			is.New(t).Equal(r.Pace(), tt.want)
 		})
 	}
@@ -198,8 +198,8 @@
 
 func TestWait(t *testing.T) {
 	is := is.New(t)
-	alone := reading.New(boxes{count: 7}, nil, false, rand.New(rand.NewPCG(1, 1)))
-	forOthers := reading.New(boxes{reads: true, count: 58}, nil, false, rand.New(rand.NewPCG(1, 1)))
+	alone := readpolicy.New(boxes{count: 7}, nil, false, rand.New(rand.NewPCG(1, 1)))
+	forOthers := readpolicy.New(boxes{reads: true, count: 58}, nil, false, rand.New(rand.NewPCG(1, 1)))
 	seen := map[time.Duration]bool{}
 	for range 20 {
 		is.Equal(alone.Wait(), 1200*time.Millisecond)
