--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -18,13 +18,13 @@
 	"petrelstep/declare"
 	"petrelstep/digest"
 	"petrelstep/dispatch"
-	"petrelstep/flight"
 	"petrelstep/front"
 	"petrelstep/grants"
 	"petrelstep/health"
 	"petrelstep/heartbeat"
 	"petrelstep/home"
 	"petrelstep/homes"
+	"petrelstep/inflight"
 	"petrelstep/keys"
 	"petrelstep/ledger"
 	"petrelstep/length"
@@ -77,7 +77,7 @@
 	across  *digest.Digest // for peers of other halls
 	grants  *grants.Grants
 	homes   *homes.Homes
-	flights *flight.Flights
+	flights *inflight.Tracker
 	engines *engine.Engine
 	ledger  *ledger.Ledger
 	front   *front.Front
@@ -162,7 +162,7 @@
 	c := d.config
 	d.grants = grants.New(d.params(), d.lengths, d.health, d.enginesOf)
 	d.homes = homes.New(d.members, d.peers, d.grants, d.metrics)
-	d.flights = flight.New(d.homes, d.lengths, d.engines, config.Millis(c.Limits.ComebackMs))
+	d.flights = inflight.New(d.homes, d.lengths, d.engines, config.Millis(c.Limits.ComebackMs))
 	d.ledger = ledger.New(ctx, d.table, d, c.Box, d.incarnation, config.Millis(c.AnswersKeptMs))
 }
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"petrelstep/cells"
-	"petrelstep/flight"
 	"petrelstep/generation"
 	"petrelstep/health"
+	"petrelstep/inflight"
 	"petrelstep/length"
 	"petrelstep/loads"
 	"petrelstep/metrics"
@@ -70,7 +70,7 @@
 	Lengths   *length.Lengths
 	Quota     *quota.Quota
 	Budget    *retry.Budget
-	Flights   *flight.Flights
+	Flights   *inflight.Tracker
 	Placer    func(method placement.Method, views []placement.View) int
 	Metrics   *metrics.Metrics
 }
@@ -259,7 +259,7 @@
 // attempt dispatches once. A failure comes with the reason to retry by, or
 // with none where it may not be retried.
 func (d *Dispatcher) attempt(ctx context.Context, req Request, key length.Key, prompt int, deadline time.Time, t try) (*Running, *refusal.Refusal, string) {
-	f := &flight.Flight{
+	f := &inflight.Generation{
 		Attempt: t.attempt, Cell: t.cell, Engine: t.engine, Address: t.address, Key: key, Prompt: prompt,
 		MaxTokens: req.Body.MaxTokens, Granted: t.home != "", Home: t.home,
 	}
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -1,8 +1,8 @@
 package dispatch
 
 import (
-	"petrelstep/flight"
 	"petrelstep/generation"
+	"petrelstep/inflight"
 	"petrelstep/length"
 	"petrelstep/ticket"
 )
@@ -16,8 +16,8 @@
 	First   generation.Token
 	Empty   bool // it ended without a token
 	promise func()
-	flight  *flight.Flight
-	flights *flight.Flights
+	flight  *inflight.Generation
+	flights *inflight.Tracker
 }
 
 // Progress notes how many tokens were passed on.
@@ -41,7 +41,7 @@
 // TakenUp wraps a generation that a caller takes up at this box. What another
 // box dispatched is settled by nobody here; its home box lets it lapse.
 func (d *Dispatcher) TakenUp(c ticket.Claims, g *generation.Generation) *Running {
-	f := &flight.Flight{
+	f := &inflight.Generation{
 		Attempt: c.Attempt, Engine: c.Engine, Address: c.Address, Cell: d.Cells().Of(c.Engine),
 		Key: length.Key{Organisation: c.Organisation, Model: c.Model},
 	}
@@ -54,7 +54,7 @@
 }
 
 // NewRunning wraps a generation that was opened elsewhere.
-func NewRunning(g *generation.Generation, f *flight.Flight, flights *flight.Flights) *Running {
+func NewRunning(g *generation.Generation, f *inflight.Generation, flights *inflight.Tracker) *Running {
 	return &Running{
 		Generation: g, Attempt: f.Attempt, Engine: f.Engine, Address: f.Address, Empty: true,
 		promise: func() {}, flight: f, flights: flights,
--- a/front/front.go
+++ b/front/front.go
@@ -17,7 +17,7 @@
 
 	"petrelstep/check"
 	"petrelstep/dispatch"
-	"petrelstep/flight"
+	"petrelstep/inflight"
 	"petrelstep/ledger"
 	"petrelstep/metrics"
 	"petrelstep/refusal"
@@ -40,7 +40,7 @@
 	Engines    *engine.Engine
 	Services   *service.Service
 	Ledger     *ledger.Ledger
-	Flights    *flight.Flights
+	Flights    *inflight.Tracker
 	Tickets    *ticket.Ticket
 	Budget     *retry.Budget
 	Metrics    *metrics.Metrics
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 
 	"petrelstep/dispatch"
-	"petrelstep/flight"
 	"petrelstep/generation"
+	"petrelstep/inflight"
 	"petrelstep/length"
 	"petrelstep/metrics"
 	"petrelstep/sse"
@@ -80,8 +80,8 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	flights := flight.New(nil, length.New(), nil, 0)
-	return dispatch.NewRunning(g, &flight.Flight{Attempt: attempt}, flights)
+	flights := inflight.New(nil, length.New(), nil, 0)
+	return dispatch.NewRunning(g, &inflight.Generation{Attempt: attempt}, flights)
 }
 
 // TestRelay holds what a caller is sent against what the engine sent, from an
@@ -156,7 +156,7 @@
 		if err != nil {
 			return
 		}
-		running := dispatch.NewRunning(g, &flight.Flight{Attempt: attempt}, flight.New(nil, length.New(), nil, 0))
+		running := dispatch.NewRunning(g, &inflight.Generation{Attempt: attempt}, inflight.New(nil, length.New(), nil, 0))
 		out := newWriter(w, time.Now())
 		_ = new(Front).relay(r.Context(), out, running, 0)
 		_ = out.flush()
--- a/flight/flight.go
+++ b/inflight/inflight.go
@@ -1,7 +1,7 @@
-// Package flight keeps the generations that this box has in flight: it
+// Package inflight keeps the generations that this box has in flight: it
 // settles them with their home boxes and cancels those whose callers do not
 // come back.
-package flight
+package inflight
 
 import (
 	"context"
@@ -40,8 +40,8 @@
 	Cancel(ctx context.Context, address, attempt string) (wire.CancelAnswer, error)
 }
 
-// Flight is one generation in flight.
-type Flight struct {
+// Generation is one generation in flight.
+type Generation struct {
 	Attempt   string
 	Cell      string
 	Engine    string
@@ -56,33 +56,33 @@
 }
 
 // Progress notes how many tokens there are.
-func (f *Flight) Progress(tokens int) { f.tokens.Store(int64(tokens)) }
+func (f *Generation) Progress(tokens int) { f.tokens.Store(int64(tokens)) }
 
-// Flights is safe for use by several goroutines.
-type Flights struct {
+// Tracker is safe for use by several goroutines.
+type Tracker struct {
 	mu       sync.Mutex
 	homes    Homes
 	lengths  *length.Lengths
 	engines  Canceller
 	comeback time.Duration
-	all      map[string]*Flight
+	all      map[string]*Generation
 	closed   bool
 }
 
 // New returns an empty registry; callers have comeback to take their streams up.
-func New(homes Homes, lengths *length.Lengths, engines Canceller, comeback time.Duration) *Flights {
-	return &Flights{homes: homes, lengths: lengths, engines: engines, comeback: comeback, all: map[string]*Flight{}}
+func New(homes Homes, lengths *length.Lengths, engines Canceller, comeback time.Duration) *Tracker {
+	return &Tracker{homes: homes, lengths: lengths, engines: engines, comeback: comeback, all: map[string]*Generation{}}
 }
 
 // Start adds a generation.
-func (s *Flights) Start(f *Flight) {
+func (s *Tracker) Start(f *Generation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.all[f.Attempt] = f
 }
 
 // Len returns how many are in flight.
-func (s *Flights) Len() int {
+func (s *Tracker) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.all)
@@ -90,7 +90,7 @@
 
 // End takes a generation out: it has so many tokens, and is cut if it would
 // have had more.
-func (s *Flights) End(attempt string, tokens int, cut bool) {
+func (s *Tracker) End(attempt string, tokens int, cut bool) {
 	s.mu.Lock()
 	f, ok := s.all[attempt]
 	delete(s.all, attempt)
@@ -108,12 +108,12 @@
 		s.lengths.End(f.Key, tokens, cut)
 	}
 	if f.Granted {
-		go s.settle(context.Background(), f.Cell, []*Flight{f}, true, cut)
+		go s.settle(context.Background(), f.Cell, []*Generation{f}, true, cut)
 	}
 }
 
 // Abandon cancels a generation once its caller has not come back for a while.
-func (s *Flights) Abandon(attempt string) {
+func (s *Tracker) Abandon(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.all[attempt]
@@ -125,7 +125,7 @@
 
 // TakenUp learns that a caller came back, here or at another box: then the
 // generation is not cancelled. It reports whether it was in flight here.
-func (s *Flights) TakenUp(attempt string) bool {
+func (s *Tracker) TakenUp(attempt string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.all[attempt]
@@ -137,7 +137,7 @@
 }
 
 // Handed takes a generation out that another box goes on with.
-func (s *Flights) Handed(attempt string) {
+func (s *Tracker) Handed(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f, ok := s.all[attempt]; ok && f.comeback != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (s *Flights) giveUp(f *Flight) {
+func (s *Tracker) giveUp(f *Generation) {
 	const cancelTime = 5 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
 	defer cancel()
@@ -159,7 +159,7 @@
 }
 
 // Run settles with home boxes until ctx ends.
-func (s *Flights) Run(ctx context.Context, timer Timer) {
+func (s *Tracker) Run(ctx context.Context, timer Timer) {
 	var last time.Time
 	timer.Every(ctx, "settle", lookEvery, func(now time.Time) {
 		due := now.Sub(last) >= settleEvery
@@ -172,9 +172,9 @@
 
 // settleAll settles all when it is due, and otherwise only what a new home box
 // does not know.
-func (s *Flights) settleAll(ctx context.Context, due bool) {
+func (s *Tracker) settleAll(ctx context.Context, due bool) {
 	s.mu.Lock()
-	byCell := map[string][]*Flight{}
+	byCell := map[string][]*Generation{}
 	for _, f := range s.all {
 		if f.Granted {
 			byCell[f.Cell] = append(byCell[f.Cell], f)
@@ -193,10 +193,10 @@
 	}
 }
 
-func (s *Flights) unknownTo(home string, flights []*Flight) []*Flight {
+func (s *Tracker) unknownTo(home string, flights []*Generation) []*Generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var unknown []*Flight
+	var unknown []*Generation
 	for _, f := range flights {
 		if f.Home != home {
 			unknown = append(unknown, f)
@@ -205,7 +205,7 @@
 	return unknown
 }
 
-func (s *Flights) settle(ctx context.Context, cell string, flights []*Flight, ended, cut bool) {
+func (s *Tracker) settle(ctx context.Context, cell string, flights []*Generation, ended, cut bool) {
 	told := ""
 	ok := s.homes.Settle(ctx, cell, func(home string) []wire.SettleItem {
 		told = home
@@ -226,7 +226,7 @@
 }
 
 // item is short for a home box that knows the generation, and whole for another.
-func (s *Flights) item(f *Flight, home string, ended, cut bool) wire.SettleItem {
+func (s *Tracker) item(f *Generation, home string, ended, cut bool) wire.SettleItem {
 	it := wire.SettleItem{Attempt: f.Attempt, Tokens: int(f.tokens.Load()), Ended: ended, Cut: cut}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +238,7 @@
 }
 
 // Get returns a generation in flight here, or nil.
-func (s *Flights) Get(attempt string) *Flight {
+func (s *Tracker) Get(attempt string) *Generation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[attempt]
@@ -246,7 +246,7 @@
 
 // Close ends all waits for callers to come back: what they left runs on at its
 // engine, and other boxes may take it up.
-func (s *Flights) Close() {
+func (s *Tracker) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.all {
--- a/flight/flight_test.go
+++ b/inflight/inflight_test.go
@@ -1,4 +1,4 @@
-package flight_test
+package inflight_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/flight"
+	"petrelstep/inflight"
 	"petrelstep/length"
 	"petrelstep/timer"
 	"petrelstep/wire"
@@ -78,11 +78,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := &homes{home: "a", told: map[string][]wire.SettleItem{}}
-		s := flight.New(h, length.New(), &engines{}, time.Second)
+		s := inflight.New(h, length.New(), &engines{}, time.Second)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { s.Run(ctx, timer.New()); close(done) }()
-		f := &flight.Flight{Attempt: "x", Cell: "leith/0", Engine: "e", Granted: true, Home: "a"}
+		f := &inflight.Generation{Attempt: "x", Cell: "leith/0", Engine: "e", Granted: true, Home: "a"}
 		s.Start(f)
 		f.Progress(5)
 		time.Sleep(20 * time.Second)
@@ -107,23 +107,23 @@
 // TestAbandon tells whether a generation is cancelled after its caller hung up.
 func TestAbandon(t *testing.T) {
 	tests := map[string]struct {
-		does      func(s *flight.Flights)
+		does      func(s *inflight.Tracker)
 		cancelled int
 		left      int // in flight
 	}{
-		"stays away":             {func(*flight.Flights) {}, 1, 0},
-		"comes back here":        {func(s *flight.Flights) { s.TakenUp("x") }, 0, 1},
-		"comes back elsewhere":   {func(s *flight.Flights) { s.Handed("x") }, 0, 0},
-		"comes back, goes again": {func(s *flight.Flights) { s.TakenUp("x"); s.Abandon("x") }, 1, 0},
-		"box ends":               {func(s *flight.Flights) { s.Close() }, 0, 1},
+		"stays away":             {func(*inflight.Tracker) {}, 1, 0},
+		"comes back here":        {func(s *inflight.Tracker) { s.TakenUp("x") }, 0, 1},
+		"comes back elsewhere":   {func(s *inflight.Tracker) { s.Handed("x") }, 0, 0},
+		"comes back, goes again": {func(s *inflight.Tracker) { s.TakenUp("x"); s.Abandon("x") }, 1, 0},
+		"box ends":               {func(s *inflight.Tracker) { s.Close() }, 0, 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				e := &engines{}
-				s := flight.New(&homes{told: map[string][]wire.SettleItem{}}, length.New(), e, 3*time.Second)
-				s.Start(&flight.Flight{Attempt: "x"})
+				s := inflight.New(&homes{told: map[string][]wire.SettleItem{}}, length.New(), e, 3*time.Second)
+				s.Start(&inflight.Generation{Attempt: "x"})
 				s.Abandon("x")
 				time.Sleep(2 * time.Second)
 				is.Equal(e.count(), 0) // not before its time
