--- a/daemon/status.go
+++ b/daemon/status.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"petrelstep/members"
-	"petrelstep/order"
+	"petrelstep/rollout"
 	"petrelstep/wire"
 )
 
@@ -48,7 +48,7 @@
 			fresh[name] = l
 		}
 	}
-	h.Placements = append(h.Placements, order.New(view, hall, fresh).Status...)
+	h.Placements = append(h.Placements, rollout.New(view, hall, fresh).Status...)
 	for i := range h.Placements {
 		h.Placements[i].SinceMs = d.sinceWhen(now, hall, h.Placements[i])
 	}
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -8,8 +8,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/order"
 	"petrelstep/resource"
+	"petrelstep/rollout"
 	"petrelstep/wire"
 )
 
@@ -79,7 +79,7 @@
 		r.log.WithError(err).Debug("lease_not_tended")
 	}
 	view := r.resources.View()
-	plan := order.New(view, r.hall, r.fresh(view))
+	plan := rollout.New(view, r.hall, r.fresh(view))
 	for _, step := range plan.Steps {
 		if !r.send(ctx, view.Upstreams[step.Engine], step) {
 			return
@@ -89,7 +89,7 @@
 
 // send sends one order while the lease surely outlasts it: an upstream that
 // does not check fences must never get an order after a successor's.
-func (r *Reconciler) send(ctx context.Context, u wire.Upstream, step order.Step) bool {
+func (r *Reconciler) send(ctx context.Context, u wire.Upstream, step rollout.Step) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	fence, left := r.lease.Held(time.Now())
--- a/order/order.go
+++ b/rollout/rollout.go
@@ -1,7 +1,7 @@
-// Package order plans the orders that bring a hall's engines to what is
+// Package rollout plans the orders that bring a hall's engines to what is
 // declared: loads that keep the declared number ready, and engines emptied of
 // work before they change.
-package order
+package rollout
 
 import (
 	"sort"
--- a/order/order_test.go
+++ b/rollout/rollout_test.go
@@ -1,4 +1,4 @@
-package order_test
+package rollout_test
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"petrelstep/order"
 	"petrelstep/resource"
+	"petrelstep/rollout"
 	"petrelstep/wire"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // obey carries out a plan; it returns what was wrong with it.
-func (f *fleet) obey(p order.Plan) string {
+func (f *fleet) obey(p rollout.Plan) string {
 	for _, s := range p.Steps {
 		l := f.loads[s.Engine]
 		changes := l.Model != s.Order.Model || l.Version != s.Order.Version
@@ -130,7 +130,7 @@
 				if step < tt.after {
 					declared = tt.first
 				}
-				is.Equal(f.obey(order.New(view(tt.engines, declared), "leith", f.loads)), "")
+				is.Equal(f.obey(rollout.New(view(tt.engines, declared), "leith", f.loads)), "")
 				met = met || f.ready(tt.model, "*") >= tt.least && step >= tt.after-1
 				if met {
 					is.True(f.ready(tt.model, "*") >= tt.least)
@@ -170,7 +170,7 @@
 }
 
 func (f *fleet) turn(rt *rapid.T, engines int, declared map[string]wire.Placement, lost bool) {
-	p := order.New(view(engines, declared), "leith", f.loads)
+	p := rollout.New(view(engines, declared), "leith", f.loads)
 	if lost {
 		p.Steps = nil
 	}
