--- a/rest/rest.go
+++ b/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package rest knows which upstreams have asked this box to send them nothing for a time.
-package rest
+// Package backoff knows which upstreams have asked this box to send them nothing for a time.
+package backoff
 
 import (
 	"cmp"
@@ -73,8 +73,8 @@
 	return max(s.trial.Add(trialTime).Sub(now), 0)
 }
 
-// Rest is one box's. It is safe for use by several goroutines; a nil one knows of no rest.
-type Rest struct {
+// Tracker is one box's. It is safe for use by several goroutines; a nil one knows of no rest.
+type Tracker struct {
 	counter Counter
 	log     *logrus.Entry
 	count   atomic.Int64
@@ -85,15 +85,15 @@
 }
 
 // New returns the rests of a box that was asked for none.
-func New(random *rand.Rand, counter Counter, log *logrus.Entry) *Rest {
-	return &Rest{random: random, counter: counter, log: log, spans: map[string]*span{}}
+func New(random *rand.Rand, counter Counter, log *logrus.Entry) *Tracker {
+	return &Tracker{random: random, counter: counter, log: log, spans: map[string]*span{}}
 }
 
 // none tells, without a lock, whether there is no rest at all.
-func (r *Rest) none() bool { return r == nil || r.count.Load() == 0 }
+func (r *Tracker) none() bool { return r == nil || r.count.Load() == 0 }
 
 // Asked takes an upstream's word that it wants nothing for a time.
-func (r *Rest) Asked(now time.Time, u fleet.Upstream, d time.Duration) {
+func (r *Tracker) Asked(now time.Time, u fleet.Upstream, d time.Duration) {
 	if r == nil || d <= 0 {
 		return
 	}
@@ -125,7 +125,7 @@
 }
 
 // Answered takes an answer that asks for no rest, to a request that was sent at a time.
-func (r *Rest) Answered(now, sent time.Time, u fleet.Upstream) {
+func (r *Tracker) Answered(now, sent time.Time, u fleet.Upstream) {
 	if r.none() {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // Wait returns for how long nothing may go to an upstream; 0 if it may.
-func (r *Rest) Wait(now time.Time, upstream string) time.Duration {
+func (r *Tracker) Wait(now time.Time, upstream string) time.Duration {
 	if r.none() {
 		return 0
 	}
@@ -155,7 +155,7 @@
 
 // Without returns the upstreams of a list to which something may go. The list is not
 // changed.
-func (r *Rest) Without(now time.Time, list []fleet.Upstream) []fleet.Upstream {
+func (r *Tracker) Without(now time.Time, list []fleet.Upstream) []fleet.Upstream {
 	if r.none() {
 		return list
 	}
@@ -173,7 +173,7 @@
 
 // MaySend tells whether a request that is about to go to an upstream may. The first after a
 // rest goes alone until it is answered.
-func (r *Rest) MaySend(now time.Time, upstream string) bool {
+func (r *Tracker) MaySend(now time.Time, upstream string) bool {
 	if r.none() {
 		return true
 	}
@@ -192,7 +192,7 @@
 
 // MayExcept tells whether what can go nowhere else may go to an upstream: where it rests, as
 // long as there are few exceptions.
-func (r *Rest) MayExcept(now time.Time, upstream string) bool {
+func (r *Tracker) MayExcept(now time.Time, upstream string) bool {
 	if r.none() {
 		return true
 	}
@@ -212,7 +212,7 @@
 
 // Names returns the upstreams of a service to which nothing may go, by name: as many as
 // others are told of.
-func (r *Rest) Names(now time.Time, service string) []string {
+func (r *Tracker) Names(now time.Time, service string) []string {
 	if r.none() {
 		return nil
 	}
@@ -229,26 +229,26 @@
 }
 
 // Back returns when a caller is to come back that would have to wait so long.
-func (r *Rest) Back(wait time.Duration) time.Duration {
+func (r *Tracker) Back(wait time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return wait + time.Duration(r.random.Int64N(int64(wait/backPart)+1))
 }
 
 // Forget drops what an upstream asked for, as it has started again.
-func (r *Rest) Forget(upstream string) {
+func (r *Tracker) Forget(upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.drop(upstream)
 }
 
-func (r *Rest) drop(upstream string) {
+func (r *Tracker) drop(upstream string) {
 	delete(r.spans, upstream)
 	r.count.Store(int64(len(r.spans)))
 }
 
 // Tick drops rests that ended long ago.
-func (r *Rest) Tick(now time.Time) {
+func (r *Tracker) Tick(now time.Time) {
 	if r.none() {
 		return
 	}
@@ -262,7 +262,7 @@
 }
 
 // Older lets rests run on by a time in which this box's machine was suspended.
-func (r *Rest) Older(by time.Duration) {
+func (r *Tracker) Older(by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.spans {
@@ -274,7 +274,7 @@
 }
 
 // View returns the rests, for operators.
-func (r *Rest) View(now time.Time) []wire.RestView {
+func (r *Tracker) View(now time.Time) []wire.RestView {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := make([]wire.RestView, 0, len(r.spans))
@@ -285,7 +285,7 @@
 	return list
 }
 
-func (r *Rest) note(change, upstream string, fields logrus.Fields) {
+func (r *Tracker) note(change, upstream string, fields logrus.Fields) {
 	r.counter.Rested(change)
 	r.log.WithFields(fields).WithFields(logrus.Fields{"upstream": upstream, "change": change}).Info("upstream_rest")
 }
--- a/rest/rest_test.go
+++ b/backoff/backoff_test.go
@@ -1,4 +1,4 @@
-package rest
+package backoff
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 // Rested implements Counter.
 func (c counts) Rested(change string) { c[change]++ }
 
-func box() (*Rest, counts) {
+func box() (*Tracker, counts) {
 	c := counts{}
 	return New(rand.New(rand.NewPCG(1, 1)), c, logs.New(io.Discard, "error", "b")), c
 }
@@ -85,15 +85,15 @@
 func TestTrial(t *testing.T) {
 	u := fleet.Upstream{ID: "u", Service: "s"}
 	tests := map[string]struct {
-		heard func(r *Rest, now, sent time.Time)
+		heard func(r *Tracker, now, sent time.Time)
 		after time.Duration
 		goes  bool // the next
 	}{
-		"not answered yet":        {func(*Rest, time.Time, time.Time) {}, 100 * time.Millisecond, false},
-		"lost":                    {func(*Rest, time.Time, time.Time) {}, trialTime, true},
-		"answered":                {func(r *Rest, now, sent time.Time) { r.Answered(now, sent, u) }, 100 * time.Millisecond, true},
-		"turned away with a rest": {func(r *Rest, now, _ time.Time) { r.Asked(now, u, time.Second) }, 100 * time.Millisecond, false},
-		"an old answer":           {func(r *Rest, now, sent time.Time) { r.Answered(now, sent.Add(-5*time.Second), u) }, 100 * time.Millisecond, false},
+		"not answered yet":        {func(*Tracker, time.Time, time.Time) {}, 100 * time.Millisecond, false},
+		"lost":                    {func(*Tracker, time.Time, time.Time) {}, trialTime, true},
+		"answered":                {func(r *Tracker, now, sent time.Time) { r.Answered(now, sent, u) }, 100 * time.Millisecond, true},
+		"turned away with a rest": {func(r *Tracker, now, _ time.Time) { r.Asked(now, u, time.Second) }, 100 * time.Millisecond, false},
+		"an old answer":           {func(r *Tracker, now, sent time.Time) { r.Answered(now, sent.Add(-5*time.Second), u) }, 100 * time.Millisecond, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -171,7 +171,7 @@
 // TestNone shows that a box without rests, or that keeps none, sends to all.
 func TestNone(t *testing.T) {
 	is := is.New(t)
-	var none *Rest
+	var none *Tracker
 	none.Asked(time.Now(), fleet.Upstream{ID: "u"}, time.Minute)
 	none.Answered(time.Now(), time.Now(), fleet.Upstream{ID: "u"})
 	is.True(none.MaySend(time.Now(), "u"))
--- a/choose/choose.go
+++ b/choose/choose.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
+	"petrelstep/backoff"
 	"petrelstep/balance/speeds"
 	"petrelstep/fleet"
 	"petrelstep/reliability"
-	"petrelstep/rest"
 	"petrelstep/route"
 	"petrelstep/upstreamload"
 	"petrelstep/warmup"
@@ -80,7 +80,7 @@
 	Warmup      *warmup.Warmup                // nil: cold upstreams are not spared
 	Part        func(s route.Service) float64 // of what a cold upstream bears that this box may send
 	Limits      Limits                        // nil: nobody names a limit
-	Rest        *rest.Rest                    // that upstreams have asked this box for; nil: none
+	Rest        *backoff.Tracker              // that upstreams have asked this box for; nil: none
 }
 
 // New returns a chooser of a box in a hall.
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -13,6 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"petrelstep/admission"
+	"petrelstep/backoff"
 	"petrelstep/balance/places"
 	"petrelstep/balance/speeds"
 	"petrelstep/choose"
@@ -37,7 +38,6 @@
 	"petrelstep/quarantine"
 	"petrelstep/relay"
 	"petrelstep/reliability"
-	"petrelstep/rest"
 	"petrelstep/retry"
 	"petrelstep/route"
 	"petrelstep/routecache"
@@ -132,7 +132,7 @@
 	quarantine  *quarantine.Quarantine
 	kept        *kept
 	limits      *limits.Limits
-	rest        *rest.Rest
+	rest        *backoff.Tracker
 	limiter     *limiter
 	admission   *admission.Admission
 	sharing     *sharing
@@ -207,7 +207,7 @@
 	e.quarantine = quarantine.New(counts, e.kept, log)
 	e.limits = limits.New(counts, log)
 	e.limiter = newLimiter(e)
-	e.rest = rest.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 8)), counts, log)
+	e.rest = backoff.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 8)), counts, log)
 	e.registrar = newRegistrar(e)
 	e.snapshot = snapshot.New(e.wholeFleet)
 	e.halls = halls.New(e.hallChanged)
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -14,12 +14,12 @@
 	"go.opentelemetry.io/otel/metric"
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 
+	"petrelstep/backoff"
 	"petrelstep/balance/speeds"
 	"petrelstep/limits"
 	"petrelstep/liveness"
 	"petrelstep/quarantine"
 	"petrelstep/refusal"
-	"petrelstep/rest"
 )
 
 // Retry reasons, each with its own counter series.
@@ -171,7 +171,7 @@
 	for _, outcome := range []string{LimitGranted, LimitUsedUp, LimitUnheard} {
 		m.allowed.Add(ctx, 0, metric.WithAttributes(attribute.String("outcome", outcome)))
 	}
-	for _, change := range rest.Changes() {
+	for _, change := range backoff.Changes() {
 		m.rests.Add(ctx, 0, metric.WithAttributes(attribute.String("change", change)))
 	}
 	for _, change := range limits.Changes() {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -15,6 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"petrelstep/admission"
+	"petrelstep/backoff"
 	"petrelstep/balance/places"
 	"petrelstep/balance/speeds"
 	"petrelstep/choose"
@@ -29,7 +30,6 @@
 	"petrelstep/quarantine"
 	"petrelstep/refusal"
 	"petrelstep/reliability"
-	"petrelstep/rest"
 	"petrelstep/retry"
 	"petrelstep/route"
 	"petrelstep/routecache"
@@ -74,7 +74,7 @@
 	Trials      Trials                 // of suspects; nil: as they come
 	Limits      *limits.Limits         // that upstreams name
 	Limiter     Limiter                // nil: nothing is held back for them
-	Rest        *rest.Rest             // that upstreams ask for; nil: none is kept
+	Rest        *backoff.Tracker       // that upstreams ask for; nil: none is kept
 	Budget      *retry.Budget
 	Runs        *runs.Runs
 	Lengths     *length.Lengths // of answers, in tokens
--- a/relay/rest_test.go
+++ b/relay/rest_test.go
@@ -10,15 +10,15 @@
 
 	"github.com/matryer/is"
 
+	"petrelstep/backoff"
 	"petrelstep/fleet"
 	"petrelstep/logs"
 	"petrelstep/refusal"
-	"petrelstep/rest"
 )
 
 // rested lets a world's box keep rests.
-func (w *world) rested() *rest.Rest {
-	w.relay.Rest = rest.New(rand.New(rand.NewPCG(1, 1)), w.relay.Metrics, logs.New(io.Discard, "info", "b"))
+func (w *world) rested() *backoff.Tracker {
+	w.relay.Rest = backoff.New(rand.New(rand.NewPCG(1, 1)), w.relay.Metrics, logs.New(io.Discard, "info", "b"))
 	w.relay.Chooser.Rest = w.relay.Rest
 	return w.relay.Rest
 }
--- a/watch/watch_test.go
+++ b/watch/watch_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/matryer/is"
 
+	"petrelstep/backoff"
 	"petrelstep/exchange"
 	"petrelstep/fleet"
 	"petrelstep/logs"
-	"petrelstep/rest"
 	"petrelstep/watch"
 )
 
@@ -54,7 +54,7 @@
 		f := fleet.New(time.Second)
 		f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
 		says, h := exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}, &heard{}
-		w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &reports{limit: says}, h, &rest.Rest{}, logs.New(io.Discard, "info", "b"))
+		w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &reports{limit: says}, h, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 		w.Look(t.Context(), time.Now())
 		is.Equal(h.said, says)
 		is.True(!h.whole)
@@ -98,7 +98,7 @@
 				if tt.idle {
 					runs = running{}
 				}
-				w := watch.New(f, func(time.Time) time.Duration { return tt.silent }, runs, &tt.reports, &heard{}, &rest.Rest{}, logs.New(io.Discard, "info", "b"))
+				w := watch.New(f, func(time.Time) time.Duration { return tt.silent }, runs, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 				w.Look(t.Context(), time.Now())
 				got, _ := f.Get("u")
 				is.Equal(got.State, tt.want)
@@ -130,7 +130,7 @@
 				f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
 				silent := tt.silent
 				r := &reports{}
-				w := watch.New(f, func(time.Time) time.Duration { return silent }, running{"u": u}, r, &heard{}, &rest.Rest{}, logs.New(io.Discard, "info", "b"))
+				w := watch.New(f, func(time.Time) time.Duration { return silent }, running{"u": u}, r, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 				w.Look(t.Context(), time.Now())
 				silent, r.leaves = 0, true
 				time.Sleep(tt.after)
@@ -164,7 +164,7 @@
 				f := fleet.New(time.Second)
 				u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, Born: 100}
 				f.Put(time.Now(), u)
-				w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &tt.reports, &heard{}, &rest.Rest{}, logs.New(io.Discard, "info", "b"))
+				w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 				w.Look(t.Context(), time.Now())
 				got, _ := f.Get("u")
 				is.Equal(got.Born, tt.born)
@@ -189,7 +189,7 @@
 	f := fleet.New(time.Second)
 	u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, Born: 100}
 	f.Put(time.Now(), u)
-	w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, late{f}, &heard{}, &rest.Rest{}, logs.New(io.Discard, "info", "b"))
+	w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, late{f}, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 	w.Look(t.Context(), time.Now())
 	got, _ := f.Get("u")
 	is.Equal(got.Born, int64(200))
