--- a/edge/limits.go
+++ b/edge/limits.go
@@ -8,10 +8,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/allowance"
 	"petrelstep/members"
 	"petrelstep/metrics"
 	"petrelstep/peer"
+	"petrelstep/ratelimit"
 	"petrelstep/relay"
 	"petrelstep/route"
 	"petrelstep/wire"
@@ -55,8 +55,8 @@
 // limiter gives requests their time at limited upstreams.
 type limiter struct {
 	*Edge
-	whole *allowance.Allowance // that this box keeps for all
-	parts *allowance.Allowance // of its own, while the keeper is not heard
+	whole *ratelimit.Limiter // that this box keeps for all
+	parts *ratelimit.Limiter // of its own, while the keeper is not heard
 
 	mu      sync.Mutex
 	reached float64 // the part that was worked out last
@@ -66,7 +66,7 @@
 
 func newLimiter(e *Edge) *limiter {
 	random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(e.record.Incarnation), stream)) }
-	return &limiter{Edge: e, whole: allowance.New(random(6)), parts: allowance.New(random(7)), usedUp: map[string]time.Time{}}
+	return &limiter{Edge: e, whole: ratelimit.New(random(6)), parts: ratelimit.New(random(7)), usedUp: map[string]time.Time{}}
 }
 
 // knowsUpstream tells whether an upstream is one of the fleet.
@@ -141,13 +141,13 @@
 }
 
 // wholeRate is what this box gives out as the keeper.
-func (l *limiter) wholeRate(now time.Time, perSecond float64) allowance.Rate {
-	return allowance.Rate{PerSecond: max(perSecond, leastRate) * l.reach(now), Saved: min(savedMost, savedPart*perSecond)}
+func (l *limiter) wholeRate(now time.Time, perSecond float64) ratelimit.Rate {
+	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) * l.reach(now), Saved: min(savedMost, savedPart*perSecond)}
 }
 
 // partRate is what this box may send by itself while it does not hear the keeper.
-func (l *limiter) partRate(perSecond float64) allowance.Rate {
-	return allowance.Rate{PerSecond: max(perSecond, leastRate) / float64(max(l.Count(), 1)), Part: true}
+func (l *limiter) partRate(perSecond float64) ratelimit.Rate {
+	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) / float64(max(l.Count(), 1)), Part: true}
 }
 
 // May implements choose.Limits: on engines this box gives room to all, or sends its part.
@@ -180,16 +180,16 @@
 
 // Take implements relay.Limiter: it asks the upstream's keeper. One that is not heard is
 // done without.
-func (l *limiter) Take(ctx context.Context, a relay.LimitAsk) allowance.Turn {
+func (l *limiter) Take(ctx context.Context, a relay.LimitAsk) ratelimit.Turn {
 	now := time.Now()
 	perSecond, at, limited := l.limits.Of(now, a.Upstream)
 	if !limited || l.loose(now, a.Service, perSecond) {
-		return allowance.Turn{Granted: true}
+		return ratelimit.Turn{Granted: true}
 	}
 	turn, by := l.ask(ctx, now, a)
 	outcome := metrics.LimitGranted
 	if by == "" {
-		part := allowance.Ask{Rate: l.partRate(perSecond), Urgency: a.Urgency, Wait: a.Wait}
+		part := ratelimit.Ask{Rate: l.partRate(perSecond), Urgency: a.Urgency, Wait: a.Wait}
 		turn, outcome = l.parts.Take(now, a.Upstream, part), metrics.LimitUnheard
 	}
 	if !turn.Granted {
@@ -211,10 +211,10 @@
 }
 
 // ask asks the keeper, which is returned; empty if it is not heard.
-func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitAsk) (turn allowance.Turn, by string) {
+func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitAsk) (turn ratelimit.Turn, by string) {
 	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, a.Upstream), Urgency: a.Urgency, WaitMs: int(a.Wait.Milliseconds())}
 	answer, by := l.askKeeper(ctx, now, a.Service, ask)
-	return allowance.Turn{Granted: answer.Granted, In: time.Duration(answer.InMs) * time.Millisecond}, by
+	return ratelimit.Turn{Granted: answer.Granted, In: time.Duration(answer.InMs) * time.Millisecond}, by
 }
 
 func (l *limiter) askKeeper(ctx context.Context, now time.Time, service route.Service, ask wire.AllowAsk) (answer wire.AllowAnswer, by string) {
@@ -260,7 +260,7 @@
 	if !l.keeps(now, id) {
 		return wire.AllowAnswer{Elsewhere: true}
 	}
-	turn := l.whole.Take(now, id, allowance.Ask{Rate: rate, Urgency: ask.Urgency, Wait: time.Duration(ask.WaitMs) * time.Millisecond})
+	turn := l.whole.Take(now, id, ratelimit.Ask{Rate: rate, Urgency: ask.Urgency, Wait: time.Duration(ask.WaitMs) * time.Millisecond})
 	return wire.AllowAnswer{Granted: turn.Granted, InMs: int((turn.In + time.Millisecond - 1) / time.Millisecond)}
 }
 
--- a/allowance/allowance.go
+++ b/ratelimit/ratelimit.go
@@ -1,6 +1,6 @@
-// Package allowance gives out how many requests a second limited upstreams take. For
+// Package ratelimit gives out how many requests a second limited upstreams take. For
 // each it keeps one time, when the next request may go.
-package allowance
+package ratelimit
 
 import (
 	"maps"
@@ -54,8 +54,8 @@
 	firstAt time.Time
 }
 
-// Allowance is safe for use by several goroutines.
-type Allowance struct {
+// Limiter is safe for use by several goroutines.
+type Limiter struct {
 	mu     sync.Mutex
 	random *rand.Rand
 	list   map[string]*upstream
@@ -63,15 +63,15 @@
 }
 
 // New returns an allowance of which nothing is saved up.
-func New(random *rand.Rand) *Allowance {
-	return &Allowance{random: random, list: map[string]*upstream{}}
+func New(random *rand.Rand) *Limiter {
+	return &Limiter{random: random, list: map[string]*upstream{}}
 }
 
 // Take gives a request its time at an upstream, if that is at most its wait ahead. Only
 // the most urgent of late have a time ahead; the rest leave one for the next of these:
 // where each time is a third of a second, 94 of 114 urgent requests found one before,
 // though they asked for half of what there is (TestAllLimited).
-func (a *Allowance) Take(now time.Time, id string, ask Ask) Turn {
+func (a *Limiter) Take(now time.Time, id string, ask Ask) Turn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	u := a.of(now, id, ask.Rate)
@@ -92,7 +92,7 @@
 
 // Press gives a request its time now that cannot be held back: those that follow wait
 // for it.
-func (a *Allowance) Press(now time.Time, id string, r Rate) {
+func (a *Limiter) Press(now time.Time, id string, r Rate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.of(now, id, r).goes(r)
@@ -105,7 +105,7 @@
 }
 
 // Given returns how many requests have gone to an upstream since it was first asked for.
-func (a *Allowance) Given(id string) int {
+func (a *Limiter) Given(id string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if u, ok := a.list[id]; ok {
@@ -115,7 +115,7 @@
 }
 
 // Free tells whether a request may go to an upstream now.
-func (a *Allowance) Free(now time.Time, id string, r Rate) bool {
+func (a *Limiter) Free(now time.Time, id string, r Rate) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.of(now, id, r).next.After(now)
@@ -123,7 +123,7 @@
 
 // of returns what is known of an upstream by now. Who is new to it gives the first
 // request its time by chance: of many who begin at once none knows of the others.
-func (a *Allowance) of(now time.Time, id string, r Rate) *upstream {
+func (a *Limiter) of(now time.Time, id string, r Rate) *upstream {
 	a.sweep(now)
 	u, ok := a.list[id]
 	if !ok {
@@ -148,7 +148,7 @@
 
 // Keep forgets the upstreams that are kept elsewhere: what was saved up here goes there
 // meanwhile.
-func (a *Allowance) Keep(here func(id string) bool) {
+func (a *Limiter) Keep(here func(id string) bool) {
 	for _, id := range a.known() {
 		if !here(id) {
 			a.forget(id)
@@ -156,25 +156,25 @@
 	}
 }
 
-func (a *Allowance) known() []string {
+func (a *Limiter) known() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Collect(maps.Keys(a.list))
 }
 
-func (a *Allowance) forget(id string) {
+func (a *Limiter) forget(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.list, id)
 }
 
 // drawn returns a time within that of the next request.
-func (a *Allowance) drawn(now time.Time, r Rate) time.Time {
+func (a *Limiter) drawn(now time.Time, r Rate) time.Time {
 	return now.Add(time.Duration(a.random.Float64() * float64(r.each())))
 }
 
 // sweep forgets upstreams that nobody asks for any more.
-func (a *Allowance) sweep(now time.Time) {
+func (a *Limiter) sweep(now time.Time) {
 	if now.Sub(a.swept) < keptFor {
 		return
 	}
--- a/allowance/allowance_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package allowance
+package ratelimit
 
 import (
 	"math/rand/v2"
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-func begun() *Allowance { return New(rand.New(rand.NewPCG(1, 1))) }
+func begun() *Limiter { return New(rand.New(rand.NewPCG(1, 1))) }
 
 // rested returns an allowance that has rested since it was first asked for something.
-func rested(now time.Time, r Rate) *Allowance {
+func rested(now time.Time, r Rate) *Limiter {
 	a := begun()
 	a.Free(now.Add(-time.Minute/2), "u", r)
 	return a
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -7,9 +7,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/allowance"
 	"petrelstep/choose"
 	"petrelstep/fleet"
+	"petrelstep/ratelimit"
 	"petrelstep/refusal"
 	"petrelstep/route"
 )
@@ -43,7 +43,7 @@
 	// UsedUp returns for how long nothing more is to be had there, as far as is known.
 	UsedUp(now time.Time, upstream string) time.Duration
 	// Take gives a request its time at an upstream, if that is at most a wait ahead.
-	Take(ctx context.Context, a LimitAsk) allowance.Turn
+	Take(ctx context.Context, a LimitAsk) ratelimit.Turn
 }
 
 // placeLimited finds an upstream for a request that no engine answers, however it comes
