--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -19,11 +19,11 @@
 	"petrelstep/digest"
 	"petrelstep/dispatch"
 	"petrelstep/front"
+	"petrelstep/grantclient"
 	"petrelstep/grants"
 	"petrelstep/health"
 	"petrelstep/heartbeat"
 	"petrelstep/home"
-	"petrelstep/homes"
 	"petrelstep/inflight"
 	"petrelstep/keys"
 	"petrelstep/ledger"
@@ -76,7 +76,7 @@
 	within  *digest.Digest // for peers of this hall
 	across  *digest.Digest // for peers of other halls
 	grants  *grants.Grants
-	homes   *homes.Homes
+	homes   *grantclient.Client
 	flights *inflight.Tracker
 	engines *engine.Engine
 	ledger  *ledger.Ledger
@@ -161,7 +161,7 @@
 func (d *Daemon) control(ctx context.Context) {
 	c := d.config
 	d.grants = grants.New(d.params(), d.lengths, d.health, d.enginesOf)
-	d.homes = homes.New(d.members, d.peers, d.grants, d.metrics)
+	d.homes = grantclient.New(d.members, d.peers, d.grants, d.metrics)
 	d.flights = inflight.New(d.homes, d.lengths, d.engines, config.Millis(c.Limits.ComebackMs))
 	d.ledger = ledger.New(ctx, d.table, d, c.Box, d.incarnation, config.Millis(c.AnswersKeptMs))
 }
--- a/homes/homes.go
+++ b/grantclient/grantclient.go
@@ -1,7 +1,7 @@
-// Package homes is the askers' side of grants: it finds the home box of a
+// Package grantclient is the askers' side of grants: it finds the home box of a
 // cell, which may be this one, and goes on to the next in the order when it
 // is gone, leaving or cut off.
-package homes
+package grantclient
 
 import (
 	"context"
@@ -24,8 +24,8 @@
 	settleTime = 2 * time.Second
 )
 
-// Homes is safe for use by several goroutines.
-type Homes struct {
+// Client is safe for use by several goroutines.
+type Client struct {
 	members *members.Members
 	peers   *peer.Peers
 	grants  *grants.Grants
@@ -33,30 +33,30 @@
 }
 
 // New returns the way to all home boxes; own grants are asked of g.
-func New(m *members.Members, p *peer.Peers, g *grants.Grants, counts *metrics.Metrics) *Homes {
-	return &Homes{members: m, peers: p, grants: g, metrics: counts}
+func New(m *members.Members, p *peer.Peers, g *grants.Grants, counts *metrics.Metrics) *Client {
+	return &Client{members: m, peers: p, grants: g, metrics: counts}
 }
 
 // Home returns the home box of a cell, as this box sees it.
-func (h *Homes) Home(cell string) (members.Box, bool) {
+func (h *Client) Home(cell string) (members.Box, bool) {
 	return h.members.First(time.Now(), cell, cells.Hall(cell))
 }
 
 // HomeOf returns the name of a cell's home box; empty if no box is live.
-func (h *Homes) HomeOf(cell string) string {
+func (h *Client) HomeOf(cell string) string {
 	home, _ := h.Home(cell)
 	return home.Name
 }
 
 // IsHome tells whether this box is the home box of a cell.
-func (h *Homes) IsHome(cell string) bool {
+func (h *Client) IsHome(cell string) bool {
 	home, ok := h.Home(cell)
 	return ok && home.Name == h.members.Self().Name
 }
 
 // Ask waits for room on an engine of a cell until ctx ends. It returns the
 // grant and the box that gave it; the error is a refusal.Refusal.
-func (h *Homes) Ask(ctx context.Context, ask wire.Ask) (wire.Grant, string, error) {
+func (h *Client) Ask(ctx context.Context, ask wire.Ask) (wire.Grant, string, error) {
 	began := time.Now()
 	for {
 		home, ok := h.Home(ask.Cell)
@@ -81,7 +81,7 @@
 }
 
 // askOne asks one box; again says that the next in the order should be asked.
-func (h *Homes) askOne(ctx context.Context, home members.Box, ask wire.Ask) (grant wire.Grant, again bool) {
+func (h *Client) askOne(ctx context.Context, home members.Box, ask wire.Ask) (grant wire.Grant, again bool) {
 	if home.Name == h.members.Self().Name {
 		grant = h.grants.Ask(ctx, time.Now(), ask)
 		return grant, grant.Reason == string(refusal.Draining)
@@ -113,7 +113,7 @@
 	}
 }
 
-func (h *Homes) answered(ctx context.Context, home members.Box, ask wire.Ask, g wire.Grant, err error) (wire.Grant, bool) {
+func (h *Client) answered(ctx context.Context, home members.Box, ask wire.Ask, g wire.Grant, err error) (wire.Grant, bool) {
 	switch {
 	case err == nil && g.Reason == string(refusal.Draining):
 		h.members.Heard(time.Now(), withState(home, members.Leaving))
@@ -135,7 +135,7 @@
 
 // withdraw takes an ask back without waiting for the answer: the home box
 // drops what is not settled all the same.
-func (h *Homes) withdraw(home members.Box, ask wire.Ask) {
+func (h *Client) withdraw(home members.Box, ask wire.Ask) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
 		defer cancel()
@@ -147,7 +147,7 @@
 // Settle tells the home box of a cell how generations go on, and returns the
 // box that was told. introduce is asked for the full items when the box is
 // not the one that knows them.
-func (h *Homes) Settle(ctx context.Context, cell string, items func(home string) []wire.SettleItem) bool {
+func (h *Client) Settle(ctx context.Context, cell string, items func(home string) []wire.SettleItem) bool {
 	home, ok := h.Home(cell)
 	if !ok {
 		return false
