--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -20,7 +20,7 @@
 	"petrelstep/dispatch"
 	"petrelstep/front"
 	"petrelstep/grantclient"
-	"petrelstep/grants"
+	"petrelstep/grantserver"
 	"petrelstep/health"
 	"petrelstep/heartbeat"
 	"petrelstep/home"
@@ -75,7 +75,7 @@
 	quota   *quota.Quota
 	within  *digest.Digest // for peers of this hall
 	across  *digest.Digest // for peers of other halls
-	grants  *grants.Grants
+	grants  *grantserver.Server
 	homes   *grantclient.Client
 	flights *inflight.Tracker
 	engines *engine.Engine
@@ -160,7 +160,7 @@
 // control makes the parts that act together with the other boxes.
 func (d *Daemon) control(ctx context.Context) {
 	c := d.config
-	d.grants = grants.New(d.params(), d.lengths, d.health, d.enginesOf)
+	d.grants = grantserver.New(d.params(), d.lengths, d.health, d.enginesOf)
 	d.homes = grantclient.New(d.members, d.peers, d.grants, d.metrics)
 	d.flights = inflight.New(d.homes, d.lengths, d.engines, config.Millis(c.Limits.ComebackMs))
 	d.ledger = ledger.New(ctx, d.table, d, c.Box, d.incarnation, config.Millis(c.AnswersKeptMs))
--- a/grantclient/grantclient.go
+++ b/grantclient/grantclient.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"petrelstep/cells"
-	"petrelstep/grants"
+	"petrelstep/grantserver"
 	"petrelstep/members"
 	"petrelstep/metrics"
 	"petrelstep/peer"
@@ -28,12 +28,12 @@
 type Client struct {
 	members *members.Members
 	peers   *peer.Peers
-	grants  *grants.Grants
+	grants  *grantserver.Server
 	metrics *metrics.Metrics
 }
 
 // New returns the way to all home boxes; own grants are asked of g.
-func New(m *members.Members, p *peer.Peers, g *grants.Grants, counts *metrics.Metrics) *Client {
+func New(m *members.Members, p *peer.Peers, g *grantserver.Server, counts *metrics.Metrics) *Client {
 	return &Client{members: m, peers: p, grants: g, metrics: counts}
 }
 
--- a/grants/grants.go
+++ b/grantserver/grantserver.go
@@ -1,7 +1,7 @@
-// Package grants serves the home boxes' side of grants: it keeps a home.Home
+// Package grantserver serves the home boxes' side of grants: it keeps a home.Home
 // for each cell that this box is asked for, and lets each asker wait for its
 // answer.
-package grants
+package grantserver
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	waiters map[string]chan wire.Grant
 }
 
-// Grants is safe for use by several goroutines.
-type Grants struct {
+// Server is safe for use by several goroutines.
+type Server struct {
 	mu      sync.Mutex
 	params  home.Params
 	lengths home.Lengths
@@ -31,12 +31,12 @@
 }
 
 // New returns grants over cells whose engines are named by engines.
-func New(params home.Params, lengths home.Lengths, h *health.Health, engines func(cell string) []string) *Grants {
-	return &Grants{params: params, lengths: lengths, health: h, engines: engines, cells: map[string]*cell{}}
+func New(params home.Params, lengths home.Lengths, h *health.Health, engines func(cell string) []string) *Server {
+	return &Server{params: params, lengths: lengths, health: h, engines: engines, cells: map[string]*cell{}}
 }
 
 // Configure takes newly declared weights and engines.
-func (g *Grants) Configure(params home.Params) {
+func (g *Server) Configure(params home.Params) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	params.Share = g.params.Share
@@ -49,7 +49,7 @@
 
 // Share sets the part of the free memory that is granted: less than all while
 // boxes are cut off, whose side may have a home box of its own.
-func (g *Grants) Share(share float64) {
+func (g *Server) Share(share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.params.Share == share {
@@ -63,7 +63,7 @@
 
 // Ask waits for the answer to an ask. When ctx ends first the request is
 // taken out of the queue, and a grant that crossed with it is given back.
-func (g *Grants) Ask(ctx context.Context, now time.Time, ask wire.Ask) wire.Grant {
+func (g *Server) Ask(ctx context.Context, now time.Time, ask wire.Ask) wire.Grant {
 	waiter, refused := g.enter(now, ask)
 	if refused != nil {
 		return *refused
@@ -77,7 +77,7 @@
 	}
 }
 
-func (g *Grants) enter(now time.Time, ask wire.Ask) (chan wire.Grant, *wire.Grant) {
+func (g *Server) enter(now time.Time, ask wire.Ask) (chan wire.Grant, *wire.Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -102,7 +102,7 @@
 }
 
 // Withdraw takes a request out; a grant already given is given back.
-func (g *Grants) Withdraw(now time.Time, cellID, attempt string) {
+func (g *Server) Withdraw(now time.Time, cellID, attempt string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c, ok := g.cells[cellID]
@@ -116,7 +116,7 @@
 }
 
 // Settle takes how granted generations go on.
-func (g *Grants) Settle(now time.Time, s wire.Settle) {
+func (g *Server) Settle(now time.Time, s wire.Settle) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.cell(s.Cell)
@@ -127,7 +127,7 @@
 }
 
 // Report takes a load report of an engine of a cell.
-func (g *Grants) Report(now time.Time, cellID string, load wire.EngineLoad) {
+func (g *Server) Report(now time.Time, cellID string, load wire.EngineLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c, ok := g.cells[cellID]; ok {
@@ -136,7 +136,7 @@
 }
 
 // Round grants what fits now, in all cells.
-func (g *Grants) Round(now time.Time) {
+func (g *Server) Round(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, c := range g.cells {
@@ -146,7 +146,7 @@
 }
 
 // Close tells all who wait to ask elsewhere, and takes no more.
-func (g *Grants) Close() {
+func (g *Server) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
@@ -159,7 +159,7 @@
 }
 
 // Waiting returns how many requests wait in all cells.
-func (g *Grants) Waiting() int {
+func (g *Server) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
@@ -169,7 +169,7 @@
 	return n
 }
 
-func (g *Grants) cell(id string) *cell {
+func (g *Server) cell(id string) *cell {
 	c, ok := g.cells[id]
 	if !ok {
 		c = &cell{home: home.New(g.params, g.lengths, g.health), waiters: map[string]chan wire.Grant{}}
@@ -197,7 +197,7 @@
 }
 
 // Cached takes a cache event of an engine of a cell.
-func (g *Grants) Cached(cellID, engine string, seq int, stored bool, block uint64) {
+func (g *Server) Cached(cellID, engine string, seq int, stored bool, block uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c, ok := g.cells[cellID]; ok {
--- a/peer/endpoint/endpoint.go
+++ b/peer/endpoint/endpoint.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"petrelstep/grants"
+	"petrelstep/grantserver"
 	"petrelstep/peer/serve"
 	"petrelstep/wire"
 )
@@ -23,11 +23,11 @@
 type Endpoint struct {
 	ctx    context.Context
 	box    Box
-	grants *grants.Grants
+	grants *grantserver.Server
 }
 
 // New returns the endpoint of a box; asks that wait end with ctx.
-func New(ctx context.Context, box Box, g *grants.Grants) *Endpoint {
+func New(ctx context.Context, box Box, g *grantserver.Server) *Endpoint {
 	return &Endpoint{ctx: ctx, box: box, grants: g}
 }
 
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// Ask waits for room; see package grants.
+// Ask waits for room; see package grantserver.
 func (e *Endpoint) Ask(ask wire.Ask, grant *wire.Grant) error {
 	// A little beyond what the asker waits, so that the queue's own end of
 	// waiting, which tells when to come back, is first.
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/goleak"
 
-	"petrelstep/grants"
+	"petrelstep/grantserver"
 	"petrelstep/health"
 	"petrelstep/home"
 	"petrelstep/length"
@@ -41,7 +41,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	g := grants.New(home.Params{Share: 1, Queue: 10}, length.New(), health.New(), func(string) []string { return nil })
+	g := grantserver.New(home.Params{Share: 1, Queue: 10}, length.New(), health.New(), func(string) []string { return nil })
 	b := &box{}
 	done := make(chan struct{})
 	go func() {
