--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -18,6 +18,7 @@
 	"petrelstep/declare"
 	"petrelstep/digest"
 	"petrelstep/dispatch"
+	"petrelstep/engineload"
 	"petrelstep/front"
 	"petrelstep/grantclient"
 	"petrelstep/grantserver"
@@ -28,7 +29,6 @@
 	"petrelstep/keys"
 	"petrelstep/ledger"
 	"petrelstep/length"
-	"petrelstep/loads"
 	"petrelstep/members"
 	"petrelstep/metrics"
 	"petrelstep/peer"
@@ -70,7 +70,7 @@
 	spread    *spread.Spread
 
 	lengths *length.Lengths
-	loads   *loads.Loads
+	loads   *engineload.Tracker
 	health  *health.Health
 	quota   *quota.Quota
 	within  *digest.Digest // for peers of this hall
@@ -125,7 +125,7 @@
 		keys:        k,
 		resources:   resource.New(),
 		lengths:     length.New(),
-		loads:       loads.New(),
+		loads:       engineload.New(),
 		health:      health.New(),
 		quota:       quota.New(1),
 		within:      digest.New(heartbeat.Period),
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"petrelstep/cells"
+	"petrelstep/engineload"
 	"petrelstep/generation"
 	"petrelstep/health"
 	"petrelstep/inflight"
 	"petrelstep/length"
-	"petrelstep/loads"
 	"petrelstep/metrics"
 	"petrelstep/placement"
 	"petrelstep/prefix"
@@ -65,7 +65,7 @@
 	Cells     func() *cells.Cells
 	Homes     Homes
 	Engines   Engines
-	Loads     *loads.Loads
+	Loads     *engineload.Tracker
 	Health    *health.Health
 	Lengths   *length.Lengths
 	Quota     *quota.Quota
--- a/loads/loads.go
+++ b/engineload/engineload.go
@@ -1,6 +1,6 @@
-// Package loads keeps what one box knows of the engines' load: lagging
+// Package engineload keeps what one box knows of the engines' load: lagging
 // reports, and what was dispatched since each was true.
-package loads
+package engineload
 
 import (
 	"sync"
@@ -26,17 +26,17 @@
 	recent []dispatch
 }
 
-// Loads is safe for use by several goroutines.
-type Loads struct {
+// Tracker is safe for use by several goroutines.
+type Tracker struct {
 	mu      sync.Mutex
 	engines map[string]*known
 }
 
 // New returns an empty view.
-func New() *Loads { return &Loads{engines: map[string]*known{}} }
+func New() *Tracker { return &Tracker{engines: map[string]*known{}} }
 
 // Report takes a report; one older than the last is dropped and false returned.
-func (l *Loads) Report(now time.Time, load wire.EngineLoad) bool {
+func (l *Tracker) Report(now time.Time, load wire.EngineLoad) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.known(load.Engine)
@@ -57,7 +57,7 @@
 
 // Dispatched notes that work for so many tokens went to an engine, from this
 // box or, as a peer announced, from another.
-func (l *Loads) Dispatched(now time.Time, engine string, tokens int) {
+func (l *Tracker) Dispatched(now time.Time, engine string, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.known(engine)
@@ -65,7 +65,7 @@
 }
 
 // Load returns the last report of an engine.
-func (l *Loads) Load(engine string) (wire.EngineLoad, bool) {
+func (l *Tracker) Load(engine string) (wire.EngineLoad, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k, ok := l.engines[engine]
@@ -76,7 +76,7 @@
 }
 
 // Fresh returns the last report of an engine if it came within a while.
-func (l *Loads) Fresh(now time.Time, engine string, within time.Duration) (wire.EngineLoad, bool) {
+func (l *Tracker) Fresh(now time.Time, engine string, within time.Duration) (wire.EngineLoad, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k, ok := l.engines[engine]
@@ -87,7 +87,7 @@
 }
 
 // View returns what placement needs of one engine.
-func (l *Loads) View(now time.Time, engine string) (placement.View, bool) {
+func (l *Tracker) View(now time.Time, engine string) (placement.View, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k, ok := l.engines[engine]
@@ -112,13 +112,13 @@
 }
 
 // Forget drops an engine that is no longer declared.
-func (l *Loads) Forget(engine string) {
+func (l *Tracker) Forget(engine string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.engines, engine)
 }
 
-func (l *Loads) known(engine string) *known {
+func (l *Tracker) known(engine string) *known {
 	k, ok := l.engines[engine]
 	if !ok {
 		k = &known{}
--- a/loads/loads_test.go
+++ b/engineload/engineload_test.go
@@ -1,4 +1,4 @@
-package loads_test
+package engineload_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/loads"
+	"petrelstep/engineload"
 	"petrelstep/standin/heap"
 	"petrelstep/wire"
 )
@@ -22,23 +22,23 @@
 // TestView adds to a report what was dispatched since it was true, and no more.
 func TestView(t *testing.T) {
 	tests := map[string]struct {
-		does func(l *loads.Loads)
+		does func(l *engineload.Tracker)
 		at   time.Duration
 		used int
 	}{
-		"report alone":     {func(*loads.Loads) {}, time.Second, 100},
-		"dispatched since": {func(l *loads.Loads) { l.Dispatched(start.Add(time.Second), "e", 50) }, 2 * time.Second, 150},
-		"seen in a newer report": {func(l *loads.Loads) {
+		"report alone":     {func(*engineload.Tracker) {}, time.Second, 100},
+		"dispatched since": {func(l *engineload.Tracker) { l.Dispatched(start.Add(time.Second), "e", 50) }, 2 * time.Second, 150},
+		"seen in a newer report": {func(l *engineload.Tracker) {
 			l.Dispatched(start.Add(time.Second), "e", 50)
 			l.Report(start, report("e", start.Add(2*time.Second), 170))
 		}, 3 * time.Second, 170},
-		"older report": {func(l *loads.Loads) { l.Report(start, report("e", start.Add(-time.Second), 900)) }, time.Second, 100},
-		"long ago":     {func(l *loads.Loads) { l.Dispatched(start.Add(time.Second), "e", 50) }, time.Minute, 100},
+		"older report": {func(l *engineload.Tracker) { l.Report(start, report("e", start.Add(-time.Second), 900)) }, time.Second, 100},
+		"long ago":     {func(l *engineload.Tracker) { l.Dispatched(start.Add(time.Second), "e", 50) }, time.Minute, 100},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := loads.New()
+			l := engineload.New()
 			l.Report(start, report("e", start, 100))
 			tt.does(l)
 			v, ok := l.View(start.Add(tt.at), "e")
@@ -53,7 +53,7 @@
 	for _, n := range []int{10, 170, 2200} {
 		b.Run(fmt.Sprint(n, " engines"), func(b *testing.B) {
 			before := heap.Used()
-			l := loads.New()
+			l := engineload.New()
 			for i := range n {
 				l.Report(start, report(fmt.Sprint("engine-", i), start, 100))
 			}
--- a/experiment/box.go
+++ b/experiment/box.go
@@ -5,11 +5,11 @@
 	"strconv"
 	"time"
 
+	"petrelstep/engineload"
 	"petrelstep/health"
 	"petrelstep/home"
 	"petrelstep/length"
 	"petrelstep/length/curve"
-	"petrelstep/loads"
 	"petrelstep/placement"
 	"petrelstep/retry"
 	"petrelstep/wire"
@@ -30,7 +30,7 @@
 	w       *world
 	id      int
 	alive   bool
-	loads   *loads.Loads
+	loads   *engineload.Tracker
 	placer  *placement.Placer
 	lengths home.Lengths
 	health  *health.Health
@@ -54,7 +54,7 @@
 func newBox(w *world, id int) *box {
 	b := &box{
 		w: w, id: id, alive: true,
-		loads:   loads.New(),
+		loads:   engineload.New(),
 		placer:  placement.New(w.policy.method, rand.New(rand.NewPCG(uint64(id), w.rng.Uint64()))),
 		lengths: length.New(),
 		health:  health.New(),
