--- a/experiment/box.go
+++ b/experiment/box.go
@@ -9,7 +9,7 @@
 	"petrelstep/health"
 	"petrelstep/home"
 	"petrelstep/length"
-	"petrelstep/length/curve"
+	"petrelstep/length/survival"
 	"petrelstep/placement"
 	"petrelstep/retry"
 	"petrelstep/wire"
@@ -44,9 +44,9 @@
 // oracleLengths reads the length that the oracle put into the class.
 type oracleLengths struct{}
 
-func (oracleLengths) Curve(k length.Key) *curve.Curve {
+func (oracleLengths) Curve(k length.Key) *survival.Curve {
 	n, _ := strconv.Atoi(k.Class)
-	return curve.Known(n)
+	return survival.Known(n)
 }
 func (oracleLengths) Progress(length.Key, int, int) {}
 func (oracleLengths) End(length.Key, int, bool)     {}
--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"petrelstep/length/curve"
+	"petrelstep/length/survival"
 )
 
 // Points is how many points ahead the forecast looks at.
@@ -21,7 +21,7 @@
 	Prompt int // tokens
 	Tokens int // generated so far
 	Most   int // limit on its tokens
-	Curve  *curve.Curve
+	Curve  *survival.Curve
 }
 
 // At returns mean and variance of the memory held so many tokens from now.
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 
 	"petrelstep/forecast"
-	"petrelstep/length/curve"
+	"petrelstep/length/survival"
 )
 
 func need(prompt, tokens, length int) forecast.Need {
-	return forecast.Need{Prompt: prompt, Tokens: tokens, Most: 32768, Curve: curve.Known(length)}
+	return forecast.Need{Prompt: prompt, Tokens: tokens, Most: 32768, Curve: survival.Known(length)}
 }
 
 // TestPeak holds forecasts of known lengths against sums by hand.
@@ -25,7 +25,7 @@
 		"one, grows":         {[]forecast.Need{need(100, 0, 200)}, 100 + 192},
 		"two, one after":     {[]forecast.Need{need(100, 0, 100), need(100, 0, 2000)}, 100 + 1024},
 		"two grow together":  {[]forecast.Need{need(100, 0, 500), need(100, 0, 500)}, 2 * (100 + 448)},
-		"bounded by its own": {[]forecast.Need{{Prompt: 100, Most: 60, Curve: curve.Known(5000)}}, 100},
+		"bounded by its own": {[]forecast.Need{{Prompt: 100, Most: 60, Curve: survival.Known(5000)}}, 100},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -41,11 +41,11 @@
 		b.Run(fmt.Sprint(n, " generations"), func(b *testing.B) {
 			var needs []forecast.Need
 			for i := range n {
-				var hazards [curve.Ranges]float64
+				var hazards [survival.Ranges]float64
 				for r := range hazards {
 					hazards[r] = 0.2
 				}
-				needs = append(needs, forecast.Need{Prompt: 1000, Tokens: 100 * i, Most: 32768, Curve: curve.New(hazards)})
+				needs = append(needs, forecast.Need{Prompt: 1000, Tokens: 100 * i, Most: 32768, Curve: survival.New(hazards)})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/home/home.go
+++ b/home/home.go
@@ -12,7 +12,7 @@
 	"petrelstep/forecast"
 	"petrelstep/health"
 	"petrelstep/length"
-	"petrelstep/length/curve"
+	"petrelstep/length/survival"
 	"petrelstep/pace"
 	"petrelstep/queue"
 	"petrelstep/refusal"
@@ -39,7 +39,7 @@
 
 // Lengths is the learned knowledge of how long generations get.
 type Lengths interface {
-	Curve(k length.Key) *curve.Curve
+	Curve(k length.Key) *survival.Curve
 	Progress(k length.Key, from, to int)
 	End(k length.Key, at int, cut bool)
 }
--- a/length/length.go
+++ b/length/length.go
@@ -9,7 +9,7 @@
 	"math"
 	"sync"
 
-	"petrelstep/length/curve"
+	"petrelstep/length/survival"
 )
 
 const (
@@ -41,11 +41,11 @@
 }
 
 type group struct {
-	ends    [curve.Ranges]float64
-	reached [curve.Ranges]float64
+	ends    [survival.Ranges]float64
+	reached [survival.Ranges]float64
 	total   float64
 	stale   int
-	curve   *curve.Curve
+	curve   *survival.Curve
 }
 
 // Lengths is the learned knowledge of one box. It is safe for use by several
@@ -60,7 +60,7 @@
 
 // Progress tells that a generation grew from so many tokens to so many.
 func (l *Lengths) Progress(k Key, from, to int) {
-	first, last := curve.RangeOf(from), curve.RangeOf(to)
+	first, last := survival.RangeOf(from), survival.RangeOf(to)
 	if first == last {
 		return
 	}
@@ -77,7 +77,7 @@
 // End tells that a generation ended after so many tokens; Progress has told
 // of the way up to there. A cut generation would have gone on.
 func (l *Lengths) End(k Key, at int, cut bool) {
-	r := curve.RangeOf(at)
+	r := survival.RangeOf(at)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.each(k, func(g *group) {
@@ -95,7 +95,7 @@
 }
 
 // Curve returns the survival curve of a group. It is not changed afterwards.
-func (l *Lengths) Curve(k Key) *curve.Curve {
+func (l *Lengths) Curve(k Key) *survival.Curve {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.curveOf(k)
@@ -143,13 +143,13 @@
 	return len(l.groups)
 }
 
-func (l *Lengths) curveOf(k Key) *curve.Curve {
+func (l *Lengths) curveOf(k Key) *survival.Curve {
 	g := l.group(k)
 	if g.curve != nil && g.stale < refreshEnds {
 		return g.curve
 	}
-	var hazards [curve.Ranges]float64
-	var parent *curve.Curve
+	var hazards [survival.Ranges]float64
+	var parent *survival.Curve
 	if wide, ok := k.wider(); ok {
 		parent = l.curveOf(wide)
 	}
@@ -162,7 +162,7 @@
 		hazards[r] = math.Min(hazards[r], 1)
 	}
 	g.stale = 0
-	g.curve = curve.New(hazards)
+	g.curve = survival.New(hazards)
 	return g.curve
 }
 
--- a/length/curve/curve.go
+++ b/length/survival/survival.go
@@ -1,6 +1,6 @@
-// Package curve is the survival curve of a generation's length over
+// Package survival is the survival curve of a generation's length over
 // log-spaced ranges.
-package curve
+package survival
 
 import "math"
 
