--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -28,9 +28,9 @@
 	"petrelstep/inflight"
 	"petrelstep/keys"
 	"petrelstep/ledger"
-	"petrelstep/length"
 	"petrelstep/members"
 	"petrelstep/metrics"
+	"petrelstep/outputlen"
 	"petrelstep/peer"
 	"petrelstep/placement"
 	platformmembers "petrelstep/platform/members"
@@ -69,7 +69,7 @@
 	peers     *peer.Peers
 	spread    *spread.Spread
 
-	lengths *length.Lengths
+	lengths *outputlen.Lengths
 	loads   *engineload.Tracker
 	health  *health.Health
 	quota   *quota.Quota
@@ -124,7 +124,7 @@
 		metrics:     counts,
 		keys:        k,
 		resources:   resource.New(),
-		lengths:     length.New(),
+		lengths:     outputlen.New(),
 		loads:       engineload.New(),
 		health:      health.New(),
 		quota:       quota.New(1),
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -17,8 +17,8 @@
 	"petrelstep/generation"
 	"petrelstep/health"
 	"petrelstep/inflight"
-	"petrelstep/length"
 	"petrelstep/metrics"
+	"petrelstep/outputlen"
 	"petrelstep/placement"
 	"petrelstep/prefix"
 	"petrelstep/quota"
@@ -67,7 +67,7 @@
 	Engines   Engines
 	Loads     *engineload.Tracker
 	Health    *health.Health
-	Lengths   *length.Lengths
+	Lengths   *outputlen.Lengths
 	Quota     *quota.Quota
 	Budget    *retry.Budget
 	Flights   *inflight.Tracker
@@ -99,7 +99,7 @@
 	if ok, wait := d.Quota.Request(time.Now(), req.Organisation, req.Terms.RequestsPerSecond); !ok {
 		return nil, refusal.New(refusal.QuotaRequests, "requests a second").WithRetryAfter(wait)
 	}
-	key := length.Key{Organisation: req.Organisation, Model: req.Body.Model, Class: string(req.Body.Class)}
+	key := outputlen.Key{Organisation: req.Organisation, Model: req.Body.Model, Class: string(req.Body.Class)}
 	prompt := promptTokens(req.Body.Prompt)
 	promised := prompt + int(min(d.Lengths.Curve(key).Mean(), float64(req.Body.MaxTokens)))
 	if !d.Quota.Promise(time.Now(), req.Organisation, promised, req.Terms.TokensInFlight) {
@@ -117,7 +117,7 @@
 }
 
 // tries dispatches until a first token comes or nothing is left to try.
-func (d *Dispatcher) tries(ctx context.Context, req Request, key length.Key, prompt int, deadline time.Time) (*Running, error) {
+func (d *Dispatcher) tries(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time) (*Running, error) {
 	var avoid []string
 	var last refusal.Refusal
 	waits := retry.Waits()
@@ -171,7 +171,7 @@
 
 // place finds an engine: at once for what is expected to be short, by a grant
 // of the home box for the rest.
-func (d *Dispatcher) place(ctx context.Context, req Request, key length.Key, prompt int, deadline time.Time, avoid []string) (try, error) {
+func (d *Dispatcher) place(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time, avoid []string) (try, error) {
 	view := d.Resources.View()
 	t := try{attempt: token.New()}
 	policy := view.Policy
@@ -258,7 +258,7 @@
 
 // attempt dispatches once. A failure comes with the reason to retry by, or
 // with none where it may not be retried.
-func (d *Dispatcher) attempt(ctx context.Context, req Request, key length.Key, prompt int, deadline time.Time, t try) (*Running, *refusal.Refusal, string) {
+func (d *Dispatcher) attempt(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time, t try) (*Running, *refusal.Refusal, string) {
 	f := &inflight.Generation{
 		Attempt: t.attempt, Cell: t.cell, Engine: t.engine, Address: t.address, Key: key, Prompt: prompt,
 		MaxTokens: req.Body.MaxTokens, Granted: t.home != "", Home: t.home,
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -3,7 +3,7 @@
 import (
 	"petrelstep/generation"
 	"petrelstep/inflight"
-	"petrelstep/length"
+	"petrelstep/outputlen"
 	"petrelstep/ticket"
 )
 
@@ -43,7 +43,7 @@
 func (d *Dispatcher) TakenUp(c ticket.Claims, g *generation.Generation) *Running {
 	f := &inflight.Generation{
 		Attempt: c.Attempt, Engine: c.Engine, Address: c.Address, Cell: d.Cells().Of(c.Engine),
-		Key: length.Key{Organisation: c.Organisation, Model: c.Model},
+		Key: outputlen.Key{Organisation: c.Organisation, Model: c.Model},
 	}
 	if known := d.Flights.Get(c.Attempt); known != nil {
 		f = known
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -21,12 +21,12 @@
 	"petrelstep/evacuate"
 	"petrelstep/fleet"
 	"petrelstep/halls"
-	"petrelstep/length"
 	"petrelstep/limits"
 	"petrelstep/liveness"
 	"petrelstep/members"
 	"petrelstep/metrics"
 	"petrelstep/moveturns"
+	"petrelstep/outputlen"
 	"petrelstep/peer"
 	"petrelstep/platform/blocklist"
 	"petrelstep/platform/callers"
@@ -249,7 +249,7 @@
 	e.relay = relay.New(relay.Parts{
 		Belief: e.belief, Fleet: e.fleet, Chooser: chooser, Admitter: e, Places: e.places, Tally: e.tally, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
 		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Rest: e.rest, Budget: e.budget,
-		Runs: e.runs, Lengths: length.New(), Prefill: reading, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, Silent: e.silentForAll, Log: e.log,
+		Runs: e.runs, Lengths: outputlen.New(), Prefill: reading, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, Silent: e.silentForAll, Log: e.log,
 	})
 	e.callers = callers.New(e.relay, e.bodyMost, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Parts{
--- a/experiment/box.go
+++ b/experiment/box.go
@@ -8,8 +8,8 @@
 	"petrelstep/engineload"
 	"petrelstep/health"
 	"petrelstep/home"
-	"petrelstep/length"
-	"petrelstep/length/survival"
+	"petrelstep/outputlen"
+	"petrelstep/outputlen/survival"
 	"petrelstep/placement"
 	"petrelstep/retry"
 	"petrelstep/wire"
@@ -44,19 +44,19 @@
 // oracleLengths reads the length that the oracle put into the class.
 type oracleLengths struct{}
 
-func (oracleLengths) Curve(k length.Key) *survival.Curve {
+func (oracleLengths) Curve(k outputlen.Key) *survival.Curve {
 	n, _ := strconv.Atoi(k.Class)
 	return survival.Known(n)
 }
-func (oracleLengths) Progress(length.Key, int, int) {}
-func (oracleLengths) End(length.Key, int, bool)     {}
+func (oracleLengths) Progress(outputlen.Key, int, int) {}
+func (oracleLengths) End(outputlen.Key, int, bool)     {}
 
 func newBox(w *world, id int) *box {
 	b := &box{
 		w: w, id: id, alive: true,
 		loads:   engineload.New(),
 		placer:  placement.New(w.policy.method, rand.New(rand.NewPCG(uint64(id), w.rng.Uint64()))),
-		lengths: length.New(),
+		lengths: outputlen.New(),
 		health:  health.New(),
 		budget:  retry.New(),
 		flying:  map[string]*request{},
@@ -120,12 +120,12 @@
 	}
 }
 
-func (b *box) key(q *request) length.Key {
+func (b *box) key(q *request) outputlen.Key {
 	c := string(q.class)
 	if b.w.policy.oracle {
 		c = strconv.Itoa(q.length)
 	}
-	return length.Key{Organisation: strconv.Itoa(q.organisation), Model: modelName, Class: c}
+	return outputlen.Key{Organisation: strconv.Itoa(q.organisation), Model: modelName, Class: c}
 }
 
 // take serves a request: straight to an engine, or by way of a grant.
--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"petrelstep/length/survival"
+	"petrelstep/outputlen/survival"
 )
 
 // Points is how many points ahead the forecast looks at.
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	"petrelstep/forecast"
-	"petrelstep/length/survival"
+	"petrelstep/outputlen/survival"
 )
 
 func need(prompt, tokens, length int) forecast.Need {
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -14,8 +14,8 @@
 	"petrelstep/dispatch"
 	"petrelstep/generation"
 	"petrelstep/inflight"
-	"petrelstep/length"
 	"petrelstep/metrics"
+	"petrelstep/outputlen"
 	"petrelstep/sse"
 	"petrelstep/standin/text"
 	"petrelstep/upstream/engine"
@@ -80,7 +80,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	flights := inflight.New(nil, length.New(), nil, 0)
+	flights := inflight.New(nil, outputlen.New(), nil, 0)
 	return dispatch.NewRunning(g, &inflight.Generation{Attempt: attempt}, flights)
 }
 
@@ -156,7 +156,7 @@
 		if err != nil {
 			return
 		}
-		running := dispatch.NewRunning(g, &inflight.Generation{Attempt: attempt}, inflight.New(nil, length.New(), nil, 0))
+		running := dispatch.NewRunning(g, &inflight.Generation{Attempt: attempt}, inflight.New(nil, outputlen.New(), nil, 0))
 		out := newWriter(w, time.Now())
 		_ = new(Front).relay(r.Context(), out, running, 0)
 		_ = out.flush()
--- a/home/engine.go
+++ b/home/engine.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"petrelstep/forecast"
-	"petrelstep/length"
+	"petrelstep/outputlen"
 	"petrelstep/prefix"
 	"petrelstep/wire"
 )
@@ -32,7 +32,7 @@
 
 type run struct {
 	attempt string
-	key     length.Key
+	key     outputlen.Key
 	prompt  int
 	most    int
 	tokens  int       // as last told
--- a/home/home.go
+++ b/home/home.go
@@ -11,8 +11,8 @@
 
 	"petrelstep/forecast"
 	"petrelstep/health"
-	"petrelstep/length"
-	"petrelstep/length/survival"
+	"petrelstep/outputlen"
+	"petrelstep/outputlen/survival"
 	"petrelstep/pace"
 	"petrelstep/queue"
 	"petrelstep/refusal"
@@ -39,9 +39,9 @@
 
 // Lengths is the learned knowledge of how long generations get.
 type Lengths interface {
-	Curve(k length.Key) *survival.Curve
-	Progress(k length.Key, from, to int)
-	End(k length.Key, at int, cut bool)
+	Curve(k outputlen.Key) *survival.Curve
+	Progress(k outputlen.Key, from, to int)
+	End(k outputlen.Key, at int, cut bool)
 }
 
 // Home is not safe for use by several goroutines.
@@ -297,8 +297,8 @@
 	}
 }
 
-func keyOf(organisation, model, class string) length.Key {
-	return length.Key{Organisation: organisation, Model: model, Class: class}
+func keyOf(organisation, model, class string) outputlen.Key {
+	return outputlen.Key{Organisation: organisation, Model: model, Class: class}
 }
 
 func later(a, b time.Time) time.Time {
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -10,7 +10,7 @@
 
 	"petrelstep/health"
 	"petrelstep/home"
-	"petrelstep/length"
+	"petrelstep/outputlen"
 	"petrelstep/standin/heap"
 	"petrelstep/wire"
 )
@@ -29,8 +29,8 @@
 }
 
 func newFixture(engines int, params home.Params) *fixture {
-	lengths := length.New()
-	key := length.Key{Organisation: "o", Model: "m", Class: "draft"}
+	lengths := outputlen.New()
+	key := outputlen.Key{Organisation: "o", Model: "m", Class: "draft"}
 	for i := range 200 {
 		lengths.Progress(key, 0, 900+i)
 		lengths.End(key, 900+i, false)
--- a/inflight/inflight.go
+++ b/inflight/inflight.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"petrelstep/length"
+	"petrelstep/outputlen"
 	"petrelstep/wire"
 )
 
@@ -46,7 +46,7 @@
 	Cell      string
 	Engine    string
 	Address   string
-	Key       length.Key
+	Key       outputlen.Key
 	Prompt    int
 	MaxTokens int
 	Granted   bool   // by a home box, which is settled with
@@ -62,7 +62,7 @@
 type Tracker struct {
 	mu       sync.Mutex
 	homes    Homes
-	lengths  *length.Lengths
+	lengths  *outputlen.Lengths
 	engines  Canceller
 	comeback time.Duration
 	all      map[string]*Generation
@@ -70,7 +70,7 @@
 }
 
 // New returns an empty registry; callers have comeback to take their streams up.
-func New(homes Homes, lengths *length.Lengths, engines Canceller, comeback time.Duration) *Tracker {
+func New(homes Homes, lengths *outputlen.Lengths, engines Canceller, comeback time.Duration) *Tracker {
 	return &Tracker{homes: homes, lengths: lengths, engines: engines, comeback: comeback, all: map[string]*Generation{}}
 }
 
--- a/inflight/inflight_test.go
+++ b/inflight/inflight_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 
 	"petrelstep/inflight"
-	"petrelstep/length"
+	"petrelstep/outputlen"
 	"petrelstep/timer"
 	"petrelstep/wire"
 )
@@ -78,7 +78,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := &homes{home: "a", told: map[string][]wire.SettleItem{}}
-		s := inflight.New(h, length.New(), &engines{}, time.Second)
+		s := inflight.New(h, outputlen.New(), &engines{}, time.Second)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { s.Run(ctx, timer.New()); close(done) }()
@@ -122,7 +122,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				e := &engines{}
-				s := inflight.New(&homes{told: map[string][]wire.SettleItem{}}, length.New(), e, 3*time.Second)
+				s := inflight.New(&homes{told: map[string][]wire.SettleItem{}}, outputlen.New(), e, 3*time.Second)
 				s.Start(&inflight.Generation{Attempt: "x"})
 				s.Abandon("x")
 				time.Sleep(2 * time.Second)
--- a/length/length.go
+++ b/outputlen/outputlen.go
@@ -1,15 +1,15 @@
-// Package length learns how long generations get. It keeps, for groups of
+// Package outputlen learns how long generations get. It keeps, for groups of
 // like generations, the chance that one ends within each of a row of
 // log-spaced ranges of length, given that it got that far (the hazard of
 // Kaplan and Meier, 1958). Generations that still run, or were cut off, count
 // as far as they got: leaving them out would make long answers look rare.
-package length
+package outputlen
 
 import (
 	"math"
 	"sync"
 
-	"petrelstep/length/survival"
+	"petrelstep/outputlen/survival"
 )
 
 const (
--- a/length/length_test.go
+++ b/outputlen/outputlen_test.go
@@ -1,4 +1,4 @@
-package length_test
+package outputlen_test
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/length"
+	"petrelstep/outputlen"
 	"petrelstep/standin/heap"
 )
 
-var key = length.Key{Organisation: "o", Model: "m", Class: "draft"}
+var key = outputlen.Key{Organisation: "o", Model: "m", Class: "draft"}
 
 // learn draws lengths by the seed and tells the estimator; those longer than
 // cut are cut off there.
-func learn(l *length.Lengths, k length.Key, n int, median float64, cut int) {
+func learn(l *outputlen.Lengths, k outputlen.Key, n int, median float64, cut int) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range n {
 		tokens := int(median * math.Exp(rng.NormFloat64()))
@@ -49,7 +49,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := length.New()
+			l := outputlen.New()
 			learn(l, key, tt.n, 1000, tt.cut)
 			got := l.Curve(key).Survival(tt.at)
 			is.True(math.Abs(got-tt.want) <= tt.near)
@@ -60,7 +60,7 @@
 // TestShift changes the lengths: the estimate follows.
 func TestShift(t *testing.T) {
 	is := is.New(t)
-	l := length.New()
+	l := outputlen.New()
 	learn(l, key, 400, 1000, 1<<20)
 	before := l.Curve(key).Mean()
 	learn(l, key, 800, 3000, 1<<20)
@@ -70,19 +70,19 @@
 // TestWider lets a new organisation start from what its class and model tell.
 func TestWider(t *testing.T) {
 	is := is.New(t)
-	l := length.New()
+	l := outputlen.New()
 	learn(l, key, 300, 1000, 1<<20)
-	fresh := l.Curve(length.Key{Organisation: "new", Model: "m", Class: "draft"})
+	fresh := l.Curve(outputlen.Key{Organisation: "new", Model: "m", Class: "draft"})
 	is.True(math.Abs(fresh.Mean()-l.Curve(key).Mean()) < 200)
 }
 
 func BenchmarkEnd(b *testing.B) {
 	for _, groups := range []int{10, 100, 4420} { // 260 organisations on 17 models
 		b.Run(fmt.Sprint(groups, " groups"), func(b *testing.B) {
-			l := length.New()
-			keys := make([]length.Key, groups)
+			l := outputlen.New()
+			keys := make([]outputlen.Key, groups)
 			for i := range keys {
-				keys[i] = length.Key{Organisation: fmt.Sprint("o", i%260), Model: fmt.Sprint("m", i/260), Class: "draft"}
+				keys[i] = outputlen.Key{Organisation: fmt.Sprint("o", i%260), Model: fmt.Sprint("m", i/260), Class: "draft"}
 				l.End(keys[i], 500, false)
 			}
 			b.ReportAllocs()
@@ -103,9 +103,9 @@
 	for _, n := range []int{100, 1000, 4420} {
 		b.Run(fmt.Sprint(n, " groups"), func(b *testing.B) {
 			before := heap.Used()
-			l := length.New()
+			l := outputlen.New()
 			for i := range n {
-				k := length.Key{Organisation: fmt.Sprint("o", i%260), Model: fmt.Sprint("m", i/260), Class: "draft"}
+				k := outputlen.Key{Organisation: fmt.Sprint("o", i%260), Model: fmt.Sprint("m", i/260), Class: "draft"}
 				l.End(k, 500, false)
 				l.Curve(k)
 			}
@@ -122,8 +122,8 @@
 // its kind is not known, then what those like it had.
 func TestLeft(t *testing.T) {
 	is := is.New(t)
-	l := length.New()
-	k := length.Key{Organisation: "o", Model: "m", Class: "draft"}
+	l := outputlen.New()
+	k := outputlen.Key{Organisation: "o", Model: "m", Class: "draft"}
 	is.Equal(l.Left(k, 0, 2000), 1000)
 	is.Equal(l.Left(k, 500, 2000), 750)
 	is.Equal(l.Within(k, 500, 2000), 0.25)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"petrelstep/grantserver"
 	"petrelstep/health"
 	"petrelstep/home"
-	"petrelstep/length"
+	"petrelstep/outputlen"
 	"petrelstep/peer"
 	"petrelstep/peer/endpoint"
 	"petrelstep/standin/relay"
@@ -41,7 +41,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	g := grantserver.New(home.Params{Share: 1, Queue: 10}, length.New(), health.New(), func(string) []string { return nil })
+	g := grantserver.New(home.Params{Share: 1, Queue: 10}, outputlen.New(), health.New(), func(string) []string { return nil })
 	b := &box{}
 	done := make(chan struct{})
 	go func() {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -22,9 +22,9 @@
 	"petrelstep/exchange"
 	"petrelstep/fingerprint"
 	"petrelstep/fleet"
-	"petrelstep/length"
 	"petrelstep/limits"
 	"petrelstep/metrics"
+	"petrelstep/outputlen"
 	"petrelstep/prefill"
 	"petrelstep/protect/buffers"
 	"petrelstep/quarantine"
@@ -77,7 +77,7 @@
 	Rest        *backoff.Tracker       // that upstreams ask for; nil: none is kept
 	Budget      *retry.Budget
 	Runs        *runs.Runs
-	Lengths     *length.Lengths // of answers, in tokens
+	Lengths     *outputlen.Lengths // of answers, in tokens
 	Prefill     *prefill.Prefill
 	Metrics     *metrics.Metrics
 	Stopping    func() (Stop, bool)  // false unless this box is being stopped
@@ -116,7 +116,7 @@
 	log          *logrus.Entry
 	first        time.Duration // to the first event or the whole answer
 	waited       time.Duration // for room
-	lengths      *length.Lengths
+	lengths      *outputlen.Lengths
 	print        fingerprint.Fingerprint
 	ran          atomic.Bool      // it may have been run by an upstream
 	ended        atomic.Bool      // an upstream has ended under its last try
@@ -125,8 +125,8 @@
 }
 
 // kind names the answers that are like this request's in length.
-func (j *job) kind() length.Key {
-	return length.Key{Organisation: j.organisation, Model: j.req.Model, Class: j.route.Name}
+func (j *job) kind() outputlen.Key {
+	return outputlen.Key{Organisation: j.organisation, Model: j.req.Model, Class: j.route.Name}
 }
 
 // left returns how many tokens of the answer are expected once so many were made.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -21,9 +21,9 @@
 	"petrelstep/choose"
 	"petrelstep/exchange"
 	"petrelstep/fleet"
-	"petrelstep/length"
 	"petrelstep/logs"
 	"petrelstep/metrics"
+	"petrelstep/outputlen"
 	"petrelstep/prefill"
 	"petrelstep/protect/buffers"
 	"petrelstep/refusal"
@@ -241,7 +241,7 @@
 	w.fleet.Replace(time.Now(), list, 1, false)
 	w.failed = reliability.New()
 	w.relay = relay.New(relay.Parts{
-		Belief: w.belief, Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Sender: w.sender, Lengths: length.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
+		Belief: w.belief, Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Sender: w.sender, Lengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
 		Chooser: choose.New(choose.Parts{Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
 		Full: func() bool { return w.full },
 		Stopping: func() (relay.Stop, bool) {
@@ -252,7 +252,7 @@
 }
 
 // learn lets a hundred answers of each length end.
-func (w *world) learn(k length.Key, like []int) {
+func (w *world) learn(k outputlen.Key, like []int) {
 	for range 100 {
 		for _, tokens := range like {
 			w.relay.Lengths.Progress(k, 0, tokens)
@@ -775,7 +775,7 @@
 				w := newWorld(t, reply{events: []int{0}})
 				w.leaves, w.most = tt.left, tt.most
 				req := request("/draft/")
-				w.learn(length.Key{Organisation: "council", Class: "draft"}, tt.like)
+				w.learn(outputlen.Key{Organisation: "council", Class: "draft"}, tt.like)
 				c := &caller{}
 				w.relay.Serve(t.Context(), req, c)
 				is.Equal(c.refused == nil, tt.taken)
