--- a/home/home.go
+++ b/home/home.go
@@ -13,9 +13,9 @@
 	"petrelstep/health"
 	"petrelstep/outputlen"
 	"petrelstep/outputlen/survival"
-	"petrelstep/pace"
 	"petrelstep/queue"
 	"petrelstep/refusal"
+	"petrelstep/steptime"
 	"petrelstep/wire"
 )
 
@@ -49,7 +49,7 @@
 	params  Params
 	lengths Lengths
 	health  *health.Health
-	paces   map[string]*pace.Pace // by model
+	paces   map[string]*steptime.Model // by model
 	queue   *queue.Queue
 	engines map[string]*engine
 	names   []string // of engines, sorted
@@ -66,7 +66,7 @@
 		params:  params,
 		lengths: lengths,
 		health:  h,
-		paces:   map[string]*pace.Pace{},
+		paces:   map[string]*steptime.Model{},
 		queue:   queue.New(params.Queue),
 		engines: map[string]*engine{},
 		runs:    map[string]*run{},
@@ -273,10 +273,10 @@
 	}
 }
 
-func (h *Home) paceOf(model string) *pace.Pace {
+func (h *Home) paceOf(model string) *steptime.Model {
 	p, ok := h.paces[model]
 	if !ok {
-		p = pace.New()
+		p = steptime.New()
 		h.paces[model] = p
 	}
 	return p
--- a/pace/pace.go
+++ b/steptime/steptime.go
@@ -1,6 +1,6 @@
-// Package pace learns how long an engine's step takes from the size of its
+// Package steptime learns how long an engine's step takes from the size of its
 // batch and its memory in use, by least squares with forgetting.
-package pace
+package steptime
 
 import "time"
 
@@ -10,9 +10,9 @@
 	warm = 8
 )
 
-// Pace is the learned relation for engines of one kind. It is not safe for
+// Model is the learned relation for engines of one kind. It is not safe for
 // use by several goroutines.
-type Pace struct {
+type Model struct {
 	// Sums of a weighted regression of y on (1, x1, x2).
 	s, s1, s2, s11, s12, s22 float64
 	sy, s1y, s2y             float64
@@ -20,11 +20,11 @@
 }
 
 // New returns a pace that knows nothing.
-func New() *Pace { return &Pace{} }
+func New() *Model { return &Model{} }
 
 // Observe takes one report: generations in the batch, memory in use in
 // tokens, and the mean time of a step.
-func (p *Pace) Observe(batch, used int, step time.Duration) {
+func (p *Model) Observe(batch, used int, step time.Duration) {
 	if batch == 0 || step <= 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 }
 
 // Step returns the expected time of a step; zero while too little is known.
-func (p *Pace) Step(batch, used int) time.Duration {
+func (p *Model) Step(batch, used int) time.Duration {
 	if p.seen < warm {
 		return 0
 	}
@@ -59,7 +59,7 @@
 
 // fit solves the normal equations; a small ridge keeps them solvable while
 // all reports are alike.
-func (p *Pace) fit() (a, b, c float64) {
+func (p *Model) fit() (a, b, c float64) {
 	const ridge = 1e-3
 	m1, m2, my := p.s1/p.s, p.s2/p.s, p.sy/p.s
 	c11 := p.s11/p.s - m1*m1 + ridge
--- a/pace/pace_test.go
+++ b/steptime/steptime_test.go
@@ -1,4 +1,4 @@
-package pace_test
+package steptime_test
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/pace"
+	"petrelstep/steptime"
 )
 
 // TestStep learns a linear relation with noise, and predicts what lies between
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	truth := func(batch, used int) float64 { return 12 + 0.1*float64(batch) + 0.1*float64(used)/1000 }
-	p := pace.New()
+	p := steptime.New()
 	is.Equal(p.Step(10, 10_000), time.Duration(0)) // nothing is known
 	for range 300 {
 		batch, used := 1+rng.IntN(40), rng.IntN(60_000)
@@ -30,7 +30,7 @@
 }
 
 func BenchmarkStep(b *testing.B) {
-	p := pace.New()
+	p := steptime.New()
 	for i := range 20 {
 		p.Observe(i+1, i*1000, 20*time.Millisecond)
 	}
