--- a/declare/declare.go
+++ b/declare/declare.go
@@ -12,7 +12,7 @@
 	"petrelstep/platform/table"
 	"petrelstep/refusal"
 	"petrelstep/resource"
-	"petrelstep/token"
+	"petrelstep/uniqueid"
 	"petrelstep/wire"
 )
 
@@ -135,7 +135,7 @@
 }
 
 func transaction(r, next wire.Resource, revisionVersion int) (wire.Transaction, string) {
-	token := token.New()
+	token := uniqueid.New()
 	change := mustJSON(wire.Change{Token: token, Resource: next})
 	return wire.Transaction{
 		Token: token,
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -25,7 +25,7 @@
 	"petrelstep/refusal"
 	"petrelstep/resource"
 	"petrelstep/retry"
-	"petrelstep/token"
+	"petrelstep/uniqueid"
 	"petrelstep/wire"
 )
 
@@ -173,7 +173,7 @@
 // of the home box for the rest.
 func (d *Dispatcher) place(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time, avoid []string) (try, error) {
 	view := d.Resources.View()
-	t := try{attempt: token.New()}
+	t := try{attempt: uniqueid.New()}
 	policy := view.Policy
 	expected := min(d.Lengths.Curve(key).Mean(), float64(req.Body.MaxTokens)) + float64(prompt)
 	if policy.Method != wire.PolicyMethodForecast || expected <= float64(policy.ShortTokens) {
--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"petrelstep/platform/table"
-	"petrelstep/token"
+	"petrelstep/uniqueid"
 	"petrelstep/wire"
 )
 
@@ -180,7 +180,7 @@
 }
 
 func transaction(batch []write) wire.Transaction {
-	tx := wire.Transaction{Token: token.New()}
+	tx := wire.Transaction{Token: uniqueid.New()}
 	for _, w := range batch {
 		tx.Checks = append(tx.Checks, w.check)
 		tx.Writes = append(tx.Writes, w.row)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"petrelstep/refusal"
-	"petrelstep/token"
+	"petrelstep/uniqueid"
 	"petrelstep/wire"
 )
 
@@ -76,7 +76,7 @@
 // Begin asks for the right to dispatch a call. It returns an entry, or the
 // answer that is kept of an earlier dispatch, or a refusal.Refusal.
 func (l *Ledger) Begin(ctx context.Context, c Call) (*Entry, *wire.LedgerRecord, error) {
-	e := &Entry{Token: token.New(), key: rowKey(c)}
+	e := &Entry{Token: uniqueid.New(), key: rowKey(c)}
 	e.record = wire.LedgerRecord{
 		State: wire.LedgerRecordStateDispatched, Token: e.Token, Box: l.box, Incarnation: l.incarnation,
 		BodyHash: c.BodyHash, AtMs: int(time.Now().UnixMilli()),
@@ -246,7 +246,7 @@
 			continue
 		}
 		tx := wire.Transaction{
-			Token:  token.New(),
+			Token:  uniqueid.New(),
 			Checks: []wire.RowCheck{{Key: row.Key, Version: row.Version}},
 			Writes: []wire.RowWrite{{Key: row.Key, Remove: true}},
 		}
--- a/token/token.go
+++ b/uniqueid/uniqueid.go
@@ -1,6 +1,6 @@
-// Package token makes ids that are never used again: of attempts, of
+// Package uniqueid makes ids that are never used again: of attempts, of
 // transactions, of rows.
-package token
+package uniqueid
 
 import (
 	"crypto/rand"
