--- a/edge/run.go
+++ b/edge/run.go
@@ -15,8 +15,8 @@
 	"petrelstep/gossip"
 	"petrelstep/peer/edgepoint"
 	"petrelstep/platform/manifest"
+	"petrelstep/probe"
 	"petrelstep/readpolicy"
-	"petrelstep/watch"
 )
 
 const (
@@ -151,9 +151,9 @@
 	upstreams := follow.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log)
 	all.Go(func() { upstreams.Run(ctx) })
 	all.Go(func() { e.timer.Every(ctx, "tick", tickEvery, e.tick) })
-	look := watch.New(e.fleet, e.storeSilent, e.runs, e.upstreams, e.limits, e.rest, e.log)
+	look := probe.New(e.fleet, e.storeSilent, e.runs, e.upstreams, e.limits, e.rest, e.log)
 	all.Go(func() {
-		e.timer.Every(ctx, "watch", watch.Period, func(now time.Time) { look.Look(ctx, now) })
+		e.timer.Every(ctx, "watch", probe.Period, func(now time.Time) { look.Look(ctx, now) })
 	})
 	all.Go(func() { e.join(ctx) })
 	all.Go(func() {
--- a/watch/watch.go
+++ b/probe/probe.go
@@ -1,7 +1,7 @@
-// Package watch looks at upstreams themselves while the store tells nothing: boxes
+// Package probe looks at upstreams themselves while the store tells nothing: boxes
 // still reach engines then, and their own reports are the only news that they
 // leave.
-package watch
+package probe
 
 import (
 	"cmp"
@@ -70,8 +70,8 @@
 	Upstreams() map[string]fleet.Upstream
 }
 
-// Watch is one box's. Its looks are made one after the other.
-type Watch struct {
+// Prober is one box's. Its looks are made one after the other.
+type Prober struct {
 	fleet   *fleet.Fleet
 	silent  func(now time.Time) time.Duration
 	runs    Runs
@@ -84,13 +84,13 @@
 
 // New returns a watch; Look is to be called each Period. silent tells for how
 // long the store has answered nobody that this box hears of.
-func New(f *fleet.Fleet, silent func(now time.Time) time.Duration, runs Runs, reports Reports, limits Limits, rests Rests, log *logrus.Entry) *Watch {
-	return &Watch{fleet: f, silent: silent, runs: runs, reports: reports, limits: limits, rests: rests, log: log}
+func New(f *fleet.Fleet, silent func(now time.Time) time.Duration, runs Runs, reports Reports, limits Limits, rests Rests, log *logrus.Entry) *Prober {
+	return &Prober{fleet: f, silent: silent, runs: runs, reports: reports, limits: limits, rests: rests, log: log}
 }
 
 // Look reads the reports of the upstreams that matter, if the store is silent or
 // was so until just now.
-func (w *Watch) Look(ctx context.Context, now time.Time) {
+func (w *Prober) Look(ctx context.Context, now time.Time) {
 	silent := w.silent(now)
 	if silent >= outage {
 		w.until = now.Add(afterwards)
@@ -111,7 +111,7 @@
 	all.Wait()
 }
 
-func (w *Watch) look(ctx context.Context, u fleet.Upstream) {
+func (w *Prober) look(ctx context.Context, u fleet.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, reportTime)
 	defer cancel()
 	sent := time.Now()
--- a/watch/watch_test.go
+++ b/probe/probe_test.go
@@ -1,4 +1,4 @@
-package watch_test
+package probe_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"petrelstep/exchange"
 	"petrelstep/fleet"
 	"petrelstep/logs"
-	"petrelstep/watch"
+	"petrelstep/probe"
 )
 
 type reports struct {
@@ -26,13 +26,13 @@
 	calls  int
 }
 
-func (r *reports) Word(ctx context.Context, _ string) (watch.Word, error) {
+func (r *reports) Word(ctx context.Context, _ string) (probe.Word, error) {
 	r.calls++
 	if r.hang {
 		<-ctx.Done()
-		return watch.Word{}, ctx.Err()
+		return probe.Word{}, ctx.Err()
 	}
-	return watch.Word{Leaves: r.leaves, Born: r.born, Limit: r.limit}, r.err
+	return probe.Word{Leaves: r.leaves, Born: r.born, Limit: r.limit}, r.err
 }
 
 // heard keeps what upstreams say that they take.
@@ -54,7 +54,7 @@
 		f := fleet.New(time.Second)
 		f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
 		says, h := exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}, &heard{}
-		w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &reports{limit: says}, h, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
+		w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &reports{limit: says}, h, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 		w.Look(t.Context(), time.Now())
 		is.Equal(h.said, says)
 		is.True(!h.whole)
@@ -98,7 +98,7 @@
 				if tt.idle {
 					runs = running{}
 				}
-				w := watch.New(f, func(time.Time) time.Duration { return tt.silent }, runs, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
+				w := probe.New(f, func(time.Time) time.Duration { return tt.silent }, runs, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 				w.Look(t.Context(), time.Now())
 				got, _ := f.Get("u")
 				is.Equal(got.State, tt.want)
@@ -130,7 +130,7 @@
 				f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
 				silent := tt.silent
 				r := &reports{}
-				w := watch.New(f, func(time.Time) time.Duration { return silent }, running{"u": u}, r, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
+				w := probe.New(f, func(time.Time) time.Duration { return silent }, running{"u": u}, r, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 				w.Look(t.Context(), time.Now())
 				silent, r.leaves = 0, true
 				time.Sleep(tt.after)
@@ -164,7 +164,7 @@
 				f := fleet.New(time.Second)
 				u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, Born: 100}
 				f.Put(time.Now(), u)
-				w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
+				w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 				w.Look(t.Context(), time.Now())
 				got, _ := f.Get("u")
 				is.Equal(got.Born, tt.born)
@@ -177,9 +177,9 @@
 // late answers for an incarnation that ends before its word arrives.
 type late struct{ fleet *fleet.Fleet }
 
-func (l late) Word(context.Context, string) (watch.Word, error) {
+func (l late) Word(context.Context, string) (probe.Word, error) {
 	l.fleet.Put(time.Now(), fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:81", State: fleet.Open, Version: 1, Born: 200})
-	return watch.Word{Leaves: true}, nil
+	return probe.Word{Leaves: true}, nil
 }
 
 // TestLateReport holds that a report which names no incarnation is of the one that was
@@ -189,7 +189,7 @@
 	f := fleet.New(time.Second)
 	u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, Born: 100}
 	f.Put(time.Now(), u)
-	w := watch.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, late{f}, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
+	w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, late{f}, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 	w.Look(t.Context(), time.Now())
 	got, _ := f.Get("u")
 	is.Equal(got.Born, int64(200))
