--- a/spread/spread.go
+++ b/broadcast/broadcast.go
@@ -1,7 +1,7 @@
-// Package spread tells the other boxes of an accepted change: all boxes of
+// Package broadcast tells the other boxes of an accepted change: all boxes of
 // this hall, and one of each other hall, which passes it on in its own. What
 // does not get through is made up for by heartbeats and by reading the table.
-package spread
+package broadcast
 
 import (
 	"context"
@@ -21,17 +21,17 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Spread is safe for use by several goroutines.
-type Spread struct {
+// Broadcaster is safe for use by several goroutines.
+type Broadcaster struct {
 	members *members.Members
 	peers   Peers
 }
 
 // New returns a way to tell the boxes that m knows.
-func New(m *members.Members, p Peers) *Spread { return &Spread{members: m, peers: p} }
+func New(m *members.Members, p Peers) *Broadcaster { return &Broadcaster{members: m, peers: p} }
 
 // Accepted tells of a change that was accepted here.
-func (s *Spread) Accepted(ctx context.Context, set wire.ChangeSet) {
+func (s *Broadcaster) Accepted(ctx context.Context, set wire.ChangeSet) {
 	now := time.Now()
 	self := s.members.Self()
 	halls := map[string][]members.Box{}
@@ -50,7 +50,7 @@
 }
 
 // Relay passes a change on in this box's hall.
-func (s *Spread) Relay(ctx context.Context, set wire.ChangeSet) {
+func (s *Broadcaster) Relay(ctx context.Context, set wire.ChangeSet) {
 	set.Relay = false
 	self := s.members.Self()
 	var boxes []members.Box
@@ -62,7 +62,7 @@
 	s.each(ctx, boxes, set)
 }
 
-func (s *Spread) each(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
+func (s *Broadcaster) each(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
 	set.Relay = false
 	var all sync.WaitGroup
 	for _, b := range boxes {
@@ -72,7 +72,7 @@
 }
 
 // first tells one box of a hall, live ones before others, until one has it.
-func (s *Spread) first(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
+func (s *Broadcaster) first(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
 	set.Relay = true
 	for _, want := range []members.State{members.Live, members.Leaving, members.Suspect} {
 		for _, b := range boxes {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *Spread) tell(ctx context.Context, b members.Box, set wire.ChangeSet) bool {
+func (s *Broadcaster) tell(ctx context.Context, b members.Box, set wire.ChangeSet) bool {
 	ctx, cancel := context.WithTimeout(ctx, tellTime)
 	defer cancel()
 	var done wire.Nothing
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -12,6 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"petrelstep/admin"
+	"petrelstep/broadcast"
 	"petrelstep/catchup"
 	"petrelstep/cells"
 	"petrelstep/config"
@@ -40,7 +41,6 @@
 	"petrelstep/quota"
 	"petrelstep/resource"
 	"petrelstep/retry"
-	"petrelstep/spread"
 	"petrelstep/ticket"
 	"petrelstep/timer"
 	"petrelstep/upstream/engine"
@@ -67,7 +67,7 @@
 	list      *platformmembers.Members
 	table     *table.Table
 	peers     *peer.Peers
-	spread    *spread.Spread
+	spread    *broadcast.Broadcaster
 
 	lengths *outputlen.Lengths
 	loads   *engineload.Tracker
@@ -153,7 +153,7 @@
 		Name: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: d.incarnation, State: members.Live,
 	})
 	d.peers = peer.New(d.keys.PeerClient())
-	d.spread = spread.New(d.members, d.peers)
+	d.spread = broadcast.New(d.members, d.peers)
 	d.catchUp = catchup.New(d.table, d.resources)
 }
 
