--- a/catchup/catchup.go
+++ b/catchup/catchup.go
@@ -8,7 +8,7 @@
 	"encoding/json"
 	"strconv"
 
-	"petrelstep/declare"
+	"petrelstep/configwriter"
 	"petrelstep/resource"
 	"petrelstep/wire"
 )
@@ -25,12 +25,12 @@
 
 // CatchUp reads the table.
 type CatchUp struct {
-	table     declare.Table
+	table     configwriter.Table
 	resources *resource.Resources
 }
 
 // New returns a reader of the table into r.
-func New(t declare.Table, r *resource.Resources) *CatchUp {
+func New(t configwriter.Table, r *resource.Resources) *CatchUp {
 	return &CatchUp{table: t, resources: r}
 }
 
@@ -54,7 +54,7 @@
 }
 
 func (c *CatchUp) revision(ctx context.Context) (int, error) {
-	row, err := c.table.Get(ctx, declare.RevisionKey)
+	row, err := c.table.Get(ctx, configwriter.RevisionKey)
 	if err != nil {
 		return 0, err
 	}
@@ -63,13 +63,13 @@
 }
 
 func (c *CatchUp) changes(ctx context.Context, now, newest int) (whole bool, err error) {
-	rows, err := c.table.Scan(ctx, declare.ChangePrefix, declare.ChangeKey(now))
+	rows, err := c.table.Scan(ctx, configwriter.ChangePrefix, configwriter.ChangeKey(now))
 	if err != nil {
 		return false, err
 	}
 	set := wire.ChangeSet{Revision: newest, Since: now}
 	for _, row := range rows {
-		if change, ok := declare.DecodeChange(row); ok {
+		if change, ok := configwriter.DecodeChange(row); ok {
 			set.Items = append(set.Items, change.Resource)
 		}
 	}
@@ -84,7 +84,7 @@
 		if err != nil {
 			return err
 		}
-		rows, err := c.table.Scan(ctx, declare.ResourcePrefix, "")
+		rows, err := c.table.Scan(ctx, configwriter.ResourcePrefix, "")
 		if err != nil {
 			return err
 		}
--- a/declare/declare.go
+++ b/configwriter/configwriter.go
@@ -1,6 +1,6 @@
-// Package declare writes the configuration: each accepted change is committed
+// Package configwriter writes the configuration: each accepted change is committed
 // to the platform's table with the next global revision, or not at all.
-package declare
+package configwriter
 
 import (
 	"context"
@@ -47,8 +47,8 @@
 	Mistakes(now *resource.View, r wire.Resource) []string
 }
 
-// Declarer is safe for use by several goroutines.
-type Declarer struct {
+// Writer is safe for use by several goroutines.
+type Writer struct {
 	table     Table
 	verifier  Verifier
 	resources *resource.Resources
@@ -57,14 +57,14 @@
 
 // New returns a declarer. catchUp brings the configuration in force up to the
 // table's, so that references are checked against the newest.
-func New(t Table, v Verifier, r *resource.Resources, catchUp func(ctx context.Context) error) *Declarer {
-	return &Declarer{table: t, verifier: v, resources: r, catchUp: catchUp}
+func New(t Table, v Verifier, r *resource.Resources, catchUp func(ctx context.Context) error) *Writer {
+	return &Writer{table: t, verifier: v, resources: r, catchUp: catchUp}
 }
 
 // Write commits a resource if its version is the one now in the table, and
 // returns it with its new version and revision. The error is a
 // refusal.Refusal; only unknown_outcome leaves open whether it was accepted.
-func (d *Declarer) Write(ctx context.Context, r wire.Resource) (wire.Resource, error) {
+func (d *Writer) Write(ctx context.Context, r wire.Resource) (wire.Resource, error) {
 	for range triesMost {
 		if err := d.catchUp(ctx); err != nil {
 			return r, refusal.New(refusal.StoreDown, "the table cannot be read").WithRetryAfter(comeBack)
@@ -77,7 +77,7 @@
 	return r, refusal.New(refusal.StoreDown, "too many writes race").WithRetryAfter(comeBack)
 }
 
-func (d *Declarer) writeOnce(ctx context.Context, r wire.Resource) (done wire.Resource, again bool, err error) {
+func (d *Writer) writeOnce(ctx context.Context, r wire.Resource) (done wire.Resource, again bool, err error) {
 	view := d.resources.View()
 	if places := d.verifier.Mistakes(view, r); len(places) > 0 {
 		return r, false, refusal.New(refusal.BadRequest, "the resource has mistakes").WithPlaces(places)
@@ -97,7 +97,7 @@
 
 // commit sends one transaction until it is settled. Sent again after a lost
 // reply, it meets its own change row.
-func (d *Declarer) commit(ctx context.Context, r, next wire.Resource, revisionVersion int) (wire.Resource, bool, error) {
+func (d *Writer) commit(ctx context.Context, r, next wire.Resource, revisionVersion int) (wire.Resource, bool, error) {
 	tx, token := transaction(r, next, revisionVersion)
 	lost := false
 	for range unsettledMost {
@@ -116,7 +116,7 @@
 	return r, false, refusal.New(refusal.UnknownOutcome, "the table's reply was lost").WithRetryAfter(comeBack)
 }
 
-func (d *Declarer) conflicted(ctx context.Context, r, next wire.Resource, token string, rows []wire.Row, lost bool) (wire.Resource, bool, error) {
+func (d *Writer) conflicted(ctx context.Context, r, next wire.Resource, token string, rows []wire.Row, lost bool) (wire.Resource, bool, error) {
 	if lost {
 		row, err := d.table.Get(ctx, ChangeKey(next.Revision))
 		if err != nil {
--- a/declare/declare_test.go
+++ b/configwriter/configwriter_test.go
@@ -1,4 +1,4 @@
-package declare_test
+package configwriter_test
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 
 	"petrelstep/catchup"
-	"petrelstep/declare"
+	"petrelstep/configwriter"
 	"petrelstep/refusal"
 	"petrelstep/resource"
 	"petrelstep/standin/platform"
@@ -29,13 +29,13 @@
 type box struct {
 	resources *resource.Resources
 	catchUp   *catchup.CatchUp
-	declarer  *declare.Declarer
+	declarer  *configwriter.Writer
 }
 
 func newBox(p *platform.Platform) *box {
 	r := resource.New()
 	c := catchup.New(p.Direct(), r)
-	return &box{resources: r, catchUp: c, declarer: declare.New(p.Direct(), verify.New(), r, c.Run)}
+	return &box{resources: r, catchUp: c, declarer: configwriter.New(p.Direct(), verify.New(), r, c.Run)}
 }
 
 func (b *box) write(version int, region string) (wire.Resource, refusal.Refusal) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -16,7 +16,7 @@
 	"petrelstep/catchup"
 	"petrelstep/cells"
 	"petrelstep/config"
-	"petrelstep/declare"
+	"petrelstep/configwriter"
 	"petrelstep/digest"
 	"petrelstep/dispatch"
 	"petrelstep/engineload"
@@ -181,7 +181,7 @@
 		Metrics: d.metrics, Log: d.log, TellTaken: d.tellTaken, Ready: d.configured,
 		BodyMost: c.Limits.BodyBytes, Streams: c.Limits.Streams,
 	})
-	declarer := declare.New(d.table, verify.New(), d.resources, d.catchUp.Run)
+	declarer := configwriter.New(d.table, verify.New(), d.resources, d.catchUp.Run)
 	d.admin = admin.New(admin.Parts{
 		Resources: d.resources, Write: d.write(declarer), Status: d.status, Drain: d.Drain, Ready: d.ready,
 		Metrics: d.metrics, OperatorKey: c.OperatorKeyHash, Log: d.log,
@@ -189,7 +189,7 @@
 }
 
 // write commits a resource and tells the other boxes before it is answered.
-func (d *Daemon) write(declarer *declare.Declarer) func(context.Context, wire.Resource) (wire.Resource, error) {
+func (d *Daemon) write(declarer *configwriter.Writer) func(context.Context, wire.Resource) (wire.Resource, error) {
 	return func(ctx context.Context, r wire.Resource) (wire.Resource, error) {
 		done, err := declarer.Write(ctx, r)
 		if err != nil {
