--- a/commands/losses.go
+++ b/commands/losses.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/subcommands"
 
-	lost "petrelstep/losses"
+	lost "petrelstep/lossreport"
 )
 
 func init() { subcommands.Register(&losses{}, "operators") }
--- a/losses/chart.go
+++ b/lossreport/chart.go
@@ -1,4 +1,4 @@
-package losses
+package lossreport
 
 import (
 	"time"
@@ -14,7 +14,7 @@
 )
 
 // Chart draws what became of the requests of each second, as an SVG.
-func (l *Losses) Chart() ([]byte, error) {
+func (l *Report) Chart() ([]byte, error) {
 	if len(l.requests) == 0 {
 		return nil, &EmptyError{}
 	}
--- a/losses/losses.go
+++ b/lossreport/lossreport.go
@@ -1,7 +1,7 @@
-// Package losses reads the logs of boxes and tells where time and answers were
+// Package lossreport reads the logs of boxes and tells where time and answers were
 // lost: of which routes, organisations, halls, engines and seconds, and whether
 // in the queue, at the engine, by pauses or by refusals.
-package losses
+package lossreport
 
 import (
 	"cmp"
@@ -52,18 +52,18 @@
 	streams      bool
 }
 
-// Losses are those of one set of logs.
-type Losses struct{ requests []request }
+// Report are those of one set of logs.
+type Report struct{ requests []request }
 
 // New works out the losses from the logs' lines.
-func New(lines []timeline.Line) *Losses {
+func New(lines []timeline.Line) *Report {
 	halls := map[string]string{}
 	for _, l := range lines {
 		if l.Event == "started" {
 			halls[l.Box] = l.Fields["hall"]
 		}
 	}
-	l := &Losses{}
+	l := &Report{}
 	for _, line := range lines {
 		if ended[line.Event] {
 			l.requests = append(l.requests, requestOf(line, halls[line.Box]))
--- a/losses/losses_test.go
+++ b/lossreport/lossreport_test.go
@@ -1,4 +1,4 @@
-package losses_test
+package lossreport_test
 
 import (
 	"bytes"
@@ -8,14 +8,14 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/losses"
+	"petrelstep/lossreport"
 	"petrelstep/timeline"
 )
 
 const head = `time="2026-12-02T10:00:00.000Z" level=info event=started box=b1 hall=leith` + "\n"
 
 // of returns the losses of one box's log.
-func of(t *testing.T, lines ...string) *losses.Losses {
+func of(t *testing.T, lines ...string) *lossreport.Report {
 	t.Helper()
 	text := head
 	for _, l := range lines {
@@ -23,7 +23,7 @@
 	}
 	read, err := timeline.Read(strings.NewReader(text))
 	is.New(t).NoErr(err)
-	return losses.New(read)
+	return lossreport.New(read)
 }
 
 // TestOutcomes shows under what each end of a request counts.
@@ -90,6 +90,6 @@
 	is.NoErr(err)
 	is.True(bytes.Contains(picture, []byte("<svg")))
 	_, err = of(t).Chart()
-	var empty *losses.EmptyError
+	var empty *lossreport.EmptyError
 	is.True(errors.As(err, &empty))
 }
--- a/losses/write.go
+++ b/lossreport/write.go
@@ -1,4 +1,4 @@
-package losses
+package lossreport
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 )
 
 // Write prints the tables.
-func (l *Losses) Write(out io.Writer) error {
+func (l *Report) Write(out io.Writer) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "route\tasked\t%s\tstall_s\n", strings.Join(outcomes, "\t"))
 	routes := groups(l.requests, func(r request) string { return r.route })
@@ -114,7 +114,7 @@
 }
 
 // reasons prints what was refused, and why.
-func (l *Losses) reasons(out io.Writer) {
+func (l *Report) reasons(out io.Writer) {
 	fmt.Fprintf(out, "\nrefused\troute\tcount\n")
 	var all []request
 	for _, r := range l.requests {
@@ -128,7 +128,7 @@
 }
 
 // worst prints the groups with the most requests that were not in time.
-func (l *Losses) worst(out io.Writer, what string, of func(request) string) {
+func (l *Report) worst(out io.Writer, what string, of func(request) string) {
 	list := groups(l.requests, of)
 	missed := func(g group) int { return len(g.requests) - g.count(inTime) }
 	slices.SortStableFunc(list, func(a, b group) int { return cmp.Compare(missed(b), missed(a)) })
