--- a/edge/admit.go
+++ b/edge/admit.go
@@ -144,7 +144,7 @@
 	return admission.Grant{Upstream: fleet.Upstream{ID: answer.Upstream}, Load: float64(answer.LoadPct) / 100}, true, nil
 }
 
-// AdmitFor implements edgepoint.Box: it waits for room for another box's request.
+// AdmitFor implements edgerpc.Box: it waits for room for another box's request.
 func (e *Edge) AdmitFor(ctx context.Context, ask wire.AdmitAsk) wire.AdmitAnswer {
 	e.timer.Check()
 	service, ok := e.service(ask.Service)
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -29,7 +29,7 @@
 	fleetCall = 1000
 )
 
-// Heard implements edgepoint.Box: it answers as a hub does, as the asker holds
+// Heard implements edgerpc.Box: it answers as a hub does, as the asker holds
 // this box to be one.
 func (e *Edge) Heard(from wire.Gossip) wire.GossipAnswer {
 	e.timer.Check()
@@ -130,7 +130,7 @@
 	return list
 }
 
-// Configuration implements edgepoint.Box.
+// Configuration implements edgerpc.Box.
 func (e *Edge) Configuration() wire.Configuration {
 	e.timer.Check()
 	table, _, _ := e.belief.Now(time.Now())
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -241,7 +241,7 @@
 	return answer, ""
 }
 
-// AllowFor implements edgepoint.Box: it gives a request its time at an upstream of which
+// AllowFor implements edgerpc.Box: it gives a request its time at an upstream of which
 // this box is the keeper.
 func (l *limiter) AllowFor(ask wire.AllowAsk) wire.AllowAnswer {
 	l.timer.Check()
@@ -264,7 +264,7 @@
 	return wire.AllowAnswer{Granted: turn.Granted, InMs: int((turn.In + time.Millisecond - 1) / time.Millisecond)}
 }
 
-// AllowFor implements edgepoint.Box.
+// AllowFor implements edgerpc.Box.
 func (e *Edge) AllowFor(ask wire.AllowAsk) wire.AllowAnswer { return e.limiter.AllowFor(ask) }
 
 // View returns what this box knows of each limited upstream.
--- a/edge/run.go
+++ b/edge/run.go
@@ -13,7 +13,7 @@
 
 	"petrelstep/follow"
 	"petrelstep/gossip"
-	"petrelstep/peer/edgepoint"
+	"petrelstep/peer/edgerpc"
 	"petrelstep/platform/manifest"
 	"petrelstep/probe"
 	"petrelstep/readpolicy"
@@ -103,7 +103,7 @@
 	}
 	peers := listeners[len(listeners)-1]
 	all.Go(func() {
-		if err := edgepoint.New(ctx, e, e.turns).Serve(peers); err != nil {
+		if err := edgerpc.New(ctx, e, e.turns).Serve(peers); err != nil {
 			e.log.WithError(err).Error("peers_not_served")
 		}
 	})
--- a/peer/edgepoint/edgepoint.go
+++ b/peer/edgerpc/edgerpc.go
@@ -1,6 +1,6 @@
-// Package edgepoint is what a box before the users' platform answers to its
+// Package edgerpc is what a box before the users' platform answers to its
 // peers, by net/rpc.
-package edgepoint
+package edgerpc
 
 import (
 	"context"
@@ -24,32 +24,32 @@
 	AllowFor(ask wire.AllowAsk) wire.AllowAnswer
 }
 
-// Edgepoint holds the methods; its name on the wire is Peer.
-type Edgepoint struct {
+// Endpoint holds the methods; its name on the wire is Peer.
+type Endpoint struct {
 	ctx   context.Context
 	box   Box
 	turns *moveturns.Scheduler
 }
 
 // New returns the endpoint of a box; waits for turns end with ctx.
-func New(ctx context.Context, box Box, t *moveturns.Scheduler) *Edgepoint {
-	return &Edgepoint{ctx: ctx, box: box, turns: t}
+func New(ctx context.Context, box Box, t *moveturns.Scheduler) *Endpoint {
+	return &Endpoint{ctx: ctx, box: box, turns: t}
 }
 
 // Gossip takes a peer's word and answers with what the box knows.
-func (e *Edgepoint) Gossip(from wire.Gossip, answer *wire.GossipAnswer) error {
+func (e *Endpoint) Gossip(from wire.Gossip, answer *wire.GossipAnswer) error {
 	*answer = e.box.Heard(from)
 	return nil
 }
 
 // Configuration answers with the configuration in force.
-func (e *Edgepoint) Configuration(_ wire.Nothing, answer *wire.Configuration) error {
+func (e *Endpoint) Configuration(_ wire.Nothing, answer *wire.Configuration) error {
 	*answer = e.box.Configuration()
 	return nil
 }
 
 // Admit waits for an engine with room for a request.
-func (e *Edgepoint) Admit(ask wire.AdmitAsk, answer *wire.AdmitAnswer) error {
+func (e *Endpoint) Admit(ask wire.AdmitAsk, answer *wire.AdmitAnswer) error {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Duration(ask.WaitMs)*time.Millisecond)
 	defer cancel()
 	*answer = e.box.AdmitFor(ctx, ask)
@@ -57,13 +57,13 @@
 }
 
 // Allow gives a request its time at a limited upstream.
-func (e *Edgepoint) Allow(ask wire.AllowAsk, answer *wire.AllowAnswer) error {
+func (e *Endpoint) Allow(ask wire.AllowAsk, answer *wire.AllowAnswer) error {
 	*answer = e.box.AllowFor(ask)
 	return nil
 }
 
 // Turn waits for the turn to move a run off an upstream.
-func (e *Edgepoint) Turn(ask wire.TurnAsk, answer *wire.TurnAnswer) error {
+func (e *Endpoint) Turn(ask wire.TurnAsk, answer *wire.TurnAnswer) error {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Duration(ask.WaitMs)*time.Millisecond)
 	defer cancel()
 	answer.Target, answer.Granted = e.turns.Take(ctx, moveturns.Ask{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Tokens: ask.Tokens, Most: time.Duration(ask.MostMs) * time.Millisecond})
@@ -71,11 +71,11 @@
 }
 
 // TurnBack takes a turn back.
-func (e *Edgepoint) TurnBack(ask wire.TurnAsk, answer *wire.Nothing) error {
+func (e *Endpoint) TurnBack(ask wire.TurnAsk, answer *wire.Nothing) error {
 	e.turns.GiveBack(ask.Upstream, ask.Box)
 	answer.Ok = true
 	return nil
 }
 
 // Serve answers peers until the endpoint's context ends.
-func (e *Edgepoint) Serve(listener net.Listener) error { return serve.Serve(e.ctx, e, listener) }
+func (e *Endpoint) Serve(listener net.Listener) error { return serve.Serve(e.ctx, e, listener) }
