--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -11,8 +11,8 @@
 	"testing"
 
 	"petrelstep/sse"
+	"petrelstep/standin/cluster"
 	"petrelstep/standin/engine"
-	"petrelstep/standin/set"
 	"petrelstep/wire"
 )
 
@@ -20,7 +20,7 @@
 // from a stand-in engine, and through a box. The difference is what a box adds.
 func BenchmarkFirstToken(b *testing.B) {
 	options := []engine.Options{{Name: "e0", Model: "m", Speed: 1000}}
-	s, err := set.New(set.Options{Boxes: 1, Engines: options})
+	s, err := cluster.New(cluster.Options{Boxes: 1, Engines: options})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+set.CallerKey)
+	req.Header.Set("Authorization", "Bearer "+cluster.CallerKey)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		b.Fatal(err)
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -16,8 +16,8 @@
 
 	"petrelstep/client"
 	"petrelstep/standin/batch"
+	"petrelstep/standin/cluster"
 	"petrelstep/standin/engine"
-	"petrelstep/standin/set"
 	"petrelstep/standin/text"
 	"petrelstep/wire"
 )
@@ -40,9 +40,9 @@
 	return all
 }
 
-func newSet(t testing.TB, boxes int, all []engine.Options) *set.Set {
+func newSet(t testing.TB, boxes int, all []engine.Options) *cluster.Cluster {
 	t.Helper()
-	s, err := set.New(set.Options{Boxes: boxes, Engines: all})
+	s, err := cluster.New(cluster.Options{Boxes: boxes, Engines: all})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,8 +64,8 @@
 }
 
 // generate reads a generation to its end; at the token of a number it calls at.
-func generate(s *set.Set, box int, req wire.GenerationRequest, token int, at func()) reading {
-	c := s.Callers(set.CallerKey)
+func generate(s *cluster.Cluster, box int, req wire.GenerationRequest, token int, at func()) reading {
+	c := s.Callers(cluster.CallerKey)
 	defer c.Close()
 	var r reading
 	r.out = c.Generate(context.Background(), box, req, func(t string) {
@@ -90,45 +90,45 @@
 // attempt would say, token by token.
 var generationTests = map[string]struct {
 	deliver wire.GenerationRequestDeliver
-	strike  func(s *set.Set) // at the tenth token
-	before  func(s *set.Set)
+	strike  func(s *cluster.Cluster) // at the tenth token
+	before  func(s *cluster.Cluster)
 	ending  string
 	reason  string
 }{
 	"sound x stream": {deliver: "stream", ending: "done"},
 	"sound x whole":  {deliver: "whole", ending: "done"},
 	"box killed x middle": {
-		deliver: "stream", strike: func(s *set.Set) { s.Kill(0) }, ending: "done",
+		deliver: "stream", strike: func(s *cluster.Cluster) { s.Kill(0) }, ending: "done",
 	},
 	"planned stop x middle": {
-		deliver: "stream", strike: func(s *set.Set) { s.Boxes[0].Daemon.Drain() }, ending: "done",
+		deliver: "stream", strike: func(s *cluster.Cluster) { s.Boxes[0].Daemon.Drain() }, ending: "done",
 	},
 	"engine killed x middle": {
-		deliver: "stream", strike: func(s *set.Set) { killAll(s, 100) }, ending: "failed", reason: "generation_lost",
+		deliver: "stream", strike: func(s *cluster.Cluster) { killAll(s, 100) }, ending: "failed", reason: "generation_lost",
 	},
 	"engine frozen x middle": {
-		deliver: "stream", strike: func(s *set.Set) { faultAll(s, wire.FaultModeFreeze, 500) }, ending: "done",
+		deliver: "stream", strike: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeFreeze, 500) }, ending: "done",
 	},
 	"engine reclaimed x middle": {
-		deliver: "stream", strike: func(s *set.Set) { faultAll(s, wire.FaultModeReclaim, 60_000) }, ending: "done",
+		deliver: "stream", strike: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeReclaim, 60_000) }, ending: "done",
 	},
 	"one engine killed x before first token": {
-		deliver: "stream", before: func(s *set.Set) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeKill, DelayMs: 60_000}) }, ending: "done",
+		deliver: "stream", before: func(s *cluster.Cluster) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeKill, DelayMs: 60_000}) }, ending: "done",
 	},
 	"all engines leaving x dispatch": {
-		deliver: "stream", before: func(s *set.Set) { faultAll(s, wire.FaultModeReclaim, 60_000) }, ending: "not_run", reason: "no_upstream",
+		deliver: "stream", before: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeReclaim, 60_000) }, ending: "not_run", reason: "no_upstream",
 	},
 	"table down x all": {
-		deliver: "stream", before: func(s *set.Set) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }, ending: "done",
+		deliver: "stream", before: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }, ending: "done",
 	},
 	"box killed and engine frozen x middle": {
-		deliver: "stream", strike: func(s *set.Set) { faultAll(s, wire.FaultModeFreeze, 400); s.Kill(0) }, ending: "done",
+		deliver: "stream", strike: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeFreeze, 400); s.Kill(0) }, ending: "done",
 	},
 }
 
-func killAll(s *set.Set, down int) { faultAll(s, wire.FaultModeKill, down) }
+func killAll(s *cluster.Cluster, down int) { faultAll(s, wire.FaultModeKill, down) }
 
-func faultAll(s *set.Set, mode wire.FaultMode, delay int) {
+func faultAll(s *cluster.Cluster, mode wire.FaultMode, delay int) {
 	for _, e := range s.Engines {
 		e.Fault(wire.Fault{Mode: mode, DelayMs: delay})
 	}
@@ -184,7 +184,7 @@
 	is := is.New(t)
 	s := newSet(t, 1, engines(1, 0.5))
 	ctx, cancel := context.WithCancel(context.Background())
-	c := s.Callers(set.CallerKey)
+	c := s.Callers(cluster.CallerKey)
 	defer c.Close()
 	out := c.Generate(ctx, 0, draft("stream"), func(string) { cancel() })
 	is.Equal(out.Ending, "unknown") // the client's own word: it gave up
@@ -196,9 +196,9 @@
 	is.Equal(s.Boxes[0].Daemon.InFlight(), 0)
 }
 
-func takeUp(s *set.Set, id string, last int) *http.Response {
+func takeUp(s *cluster.Cluster, id string, last int) *http.Response {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+s.Boxes[0].Settings.Listen.Callers+"/v1/generations/"+id, nil)
-	req.Header.Set("Authorization", "Bearer "+set.CallerKey)
+	req.Header.Set("Authorization", "Bearer "+cluster.CallerKey)
 	req.Header.Set("Last-Event-ID", strings.Repeat("0", 1)+itoa(last))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -216,26 +216,28 @@
 // whole path. The call is sent again with its key until it is settled; the
 // service's own history says how often it ran.
 var callTests = map[string]struct {
-	strike func(s *set.Set)
+	strike func(s *cluster.Cluster)
 	first  string // ending of the first sending
 	last   string // ending of the last
 	ran    int
 }{
 	"sound x call":         {first: "done", last: "done", ran: 1},
-	"reply lost x service": {strike: func(s *set.Set) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeLoseReply, Count: 1}) }, first: "unknown", last: "unknown", ran: 1},
-	"cut x service":        {strike: func(s *set.Set) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeDown, Count: 1}) }, first: "unknown", last: "unknown", ran: 0},
-	"store down x intent":  {strike: func(s *set.Set) { s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeDown}) }, first: "not_run", last: "done", ran: 1},
-	"reply lost x intent": {strike: func(s *set.Set) {
+	"reply lost x service": {strike: func(s *cluster.Cluster) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeLoseReply, Count: 1}) }, first: "unknown", last: "unknown", ran: 1},
+	"cut x service":        {strike: func(s *cluster.Cluster) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeDown, Count: 1}) }, first: "unknown", last: "unknown", ran: 0},
+	"store down x intent":  {strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeDown}) }, first: "not_run", last: "done", ran: 1},
+	"reply lost x intent": {strike: func(s *cluster.Cluster) {
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeLoseReply, Count: 1})
 	}, first: "done", last: "done", ran: 1},
-	"replies lost x intent": {strike: func(s *set.Set) {
+	"replies lost x intent": {strike: func(s *cluster.Cluster) {
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeLoseReply, Count: 3})
 	}, first: "not_run", last: "done", ran: 1},
-	"slow x intent": {strike: func(s *set.Set) {
+	"slow x intent": {strike: func(s *cluster.Cluster) {
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeSlow, DelayMs: 200, Count: 1})
 	}, first: "done", last: "done", ran: 1},
-	"service slow x call": {strike: func(s *set.Set) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeSlow, DelayMs: 300, Count: 1}) }, first: "done", last: "done", ran: 1},
-	"reply lost x both sides": {strike: func(s *set.Set) {
+	"service slow x call": {strike: func(s *cluster.Cluster) {
+		s.Service.Fault(wire.Fault{Mode: wire.FaultModeSlow, DelayMs: 300, Count: 1})
+	}, first: "done", last: "done", ran: 1},
+	"reply lost x both sides": {strike: func(s *cluster.Cluster) {
 		s.Service.Fault(wire.Fault{Mode: wire.FaultModeLoseReply, Count: 1})
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeLoseReply, Count: 1})
 	}, first: "unknown", last: "unknown", ran: 1},
@@ -258,7 +260,7 @@
 }
 
 // again sends a call again, to either box, until it ends as wanted.
-func again(s *set.Set, key, want string) string {
+func again(s *cluster.Cluster, key, want string) string {
 	last := ""
 	for i := range 20 {
 		last = callOnce(s, i%2, key)
@@ -271,7 +273,7 @@
 }
 
 // ranTimes returns how often the service ran a call.
-func ranTimes(s *set.Set, body string) int {
+func ranTimes(s *cluster.Cluster, body string) int {
 	ran := 0
 	for _, r := range s.Service.History() {
 		if r.Body == body {
@@ -281,8 +283,8 @@
 	return ran
 }
 
-func callOnce(s *set.Set, box int, key string) string {
-	c := s.Callers(set.CallerKey)
+func callOnce(s *cluster.Cluster, box int, key string) string {
+	c := s.Callers(cluster.CallerKey)
 	defer c.Close()
 	_, _, err := c.Service(context.Background(), box, http.MethodPost, "portal/notices", key, []byte(key))
 	var refused *client.Error
@@ -318,7 +320,7 @@
 	"missing field":        {body: `{"model":"m"}`, status: 400, reason: "bad_request", place: "prompt"},
 	"too large":            {body: `{"model":"m","prompt":"` + strings.Repeat("x", 5000) + `"}`, status: 413, reason: "too_large"},
 	"unknown model":        {body: `{"model":"nobody","prompt":"p"}`, status: 404, reason: "unknown_model"},
-	"model not allowed":    {key: set.OtherKey, status: 403, reason: "not_allowed"},
+	"model not allowed":    {key: cluster.OtherKey, status: 403, reason: "not_allowed"},
 	"model without engine": {body: `{"model":"unserved","prompt":"p"}`, status: 503, reason: "no_upstream"},
 	"unknown service":      {method: "POST", path: "/v1/services/nobody/x", status: 404, reason: "unknown_service"},
 	"unknown path":         {method: "GET", path: "/v2/x", status: 404, reason: "unknown_resource"},
@@ -331,7 +333,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			before := counter(s, tt.reason)
-			method, path, body, key := "POST", "/v1/generations", `{"model":"m","prompt":"p"}`, set.CallerKey
+			method, path, body, key := "POST", "/v1/generations", `{"model":"m","prompt":"p"}`, cluster.CallerKey
 			if tt.method != "" {
 				method, path = tt.method, tt.path
 			}
@@ -366,7 +368,7 @@
 }
 
 // counter reads a refusal's counter from the box's metrics.
-func counter(s *set.Set, reason string) int {
+func counter(s *cluster.Cluster, reason string) int {
 	resp, err := http.Get("http://" + s.Boxes[0].Settings.Listen.Admin + "/metrics")
 	if err != nil {
 		return -1
@@ -388,12 +390,12 @@
 func TestInForce(t *testing.T) {
 	is := is.New(t)
 	s := newSet(t, 3, engines(1, 8))
-	done, err := s.Put(1, set.Resource(wire.ResourceKindHall, "leith", map[string]string{"region": "edinburgh"}))
+	done, err := s.Put(1, cluster.Resource(wire.ResourceKindHall, "leith", map[string]string{"region": "edinburgh"}))
 	is.NoErr(err)
 	for _, b := range s.Boxes {
 		is.Equal(b.Daemon.Revision(), done.Revision) // told before the operator was answered
 	}
-	_, err = s.Put(2, set.Resource(wire.ResourceKindHall, "leith", map[string]string{"region": "x"}))
+	_, err = s.Put(2, cluster.Resource(wire.ResourceKindHall, "leith", map[string]string{"region": "x"}))
 	var refused *client.Error
 	is.True(asRefused(err, &refused))
 	is.Equal(refused.Body.Reason, "conflict")
@@ -425,10 +427,10 @@
 }
 
 // leavingTests are the ways in which an upstream says, or is said, to leave.
-var leavingTests = map[string]func(s *set.Set){
-	"its own report": func(s *set.Set) { s.Engines[0].Leave() },
-	"reclaimed":      func(s *set.Set) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeReclaim, DelayMs: 60_000}) },
-	"declared": func(s *set.Set) {
+var leavingTests = map[string]func(s *cluster.Cluster){
+	"its own report": func(s *cluster.Cluster) { s.Engines[0].Leave() },
+	"reclaimed":      func(s *cluster.Cluster) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeReclaim, DelayMs: 60_000}) },
+	"declared": func(s *cluster.Cluster) {
 		var now wire.Resource
 		c := s.Admin(s.Boxes[0])
 		defer c.Close()
@@ -464,30 +466,30 @@
 // stopTests is the fault matrix of a planned stop: what is in flight at the box
 // that is stopped, and what else strikes.
 var stopTests = map[string]struct {
-	work   func(s *set.Set, stop func()) (ending string, takenUp int)
-	strike func(s *set.Set)
+	work   func(s *cluster.Cluster, stop func()) (ending string, takenUp int)
+	strike func(s *cluster.Cluster)
 }{
 	"stream":       {work: stopInStream("stream")},
 	"whole answer": {work: stopInStream("whole")},
-	"call that must not be repeated": {work: func(s *set.Set, stop func()) (string, int) {
+	"call that must not be repeated": {work: func(s *cluster.Cluster, stop func()) (string, int) {
 		s.Service.Fault(wire.Fault{Mode: wire.FaultModeSlow, DelayMs: 800, Count: 1})
 		time.AfterFunc(300*time.Millisecond, stop)
 		return callOnce(s, 0, "k"), 0
 	}},
-	"draft waiting for room": {work: func(s *set.Set, stop func()) (string, int) {
+	"draft waiting for room": {work: func(s *cluster.Cluster, stop func()) (string, int) {
 		s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeFreeze, DelayMs: 1500})
 		time.AfterFunc(300*time.Millisecond, stop)
 		r := generate(s, 0, draft("stream"), 0, nil)
 		return r.out.Ending, r.out.TakenUp
 	}},
-	"stream, table down":       {work: stopInStream("stream"), strike: func(s *set.Set) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }},
-	"stream, list down":        {work: stopInStream("stream"), strike: func(s *set.Set) { s.Platform.Fault(wire.Fault{Part: "members", Mode: wire.FaultModeDown}) }},
-	"stream, engine frozen":    {work: stopInStream("stream"), strike: func(s *set.Set) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeFreeze, DelayMs: 500}) }},
-	"stream, other box killed": {work: stopInStream("stream"), strike: func(s *set.Set) { s.Kill(1) }},
+	"stream, table down":       {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }},
+	"stream, list down":        {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "members", Mode: wire.FaultModeDown}) }},
+	"stream, engine frozen":    {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeFreeze, DelayMs: 500}) }},
+	"stream, other box killed": {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Kill(1) }},
 }
 
-func stopInStream(deliver wire.GenerationRequestDeliver) func(*set.Set, func()) (string, int) {
-	return func(s *set.Set, stop func()) (string, int) {
+func stopInStream(deliver wire.GenerationRequestDeliver) func(*cluster.Cluster, func()) (string, int) {
+	return func(s *cluster.Cluster, stop func()) (string, int) {
 		if deliver == "whole" {
 			time.AfterFunc(200*time.Millisecond, stop)
 			r := generate(s, 0, draft(deliver), 0, nil)
@@ -572,7 +574,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // each has a set of its own
 			is := is.New(t)
-			s, err := set.New(set.Options{Boxes: 1, Engines: engines(1, 2), Relays: true})
+			s, err := cluster.New(cluster.Options{Boxes: 1, Engines: engines(1, 2), Relays: true})
 			is.NoErr(err)
 			defer s.Close()
 			r := generate(s, 0, draft("stream"), 10, func() { s.Relays[0].Cut(tt.last) })
--- a/standin/set/set.go
+++ b/standin/cluster/cluster.go
@@ -1,7 +1,7 @@
-// Package set runs a whole small set in one process, for tests: the stand-in
+// Package cluster runs a whole small set in one process, for tests: the stand-in
 // platform, engines and service, and boxes with all their parts, each on
 // loopback addresses of its own.
-package set
+package cluster
 
 import (
 	"context"
@@ -55,8 +55,8 @@
 	up       <-chan struct{} // closed once its addresses are open
 }
 
-// Set is what runs.
-type Set struct {
+// Cluster is what runs.
+type Cluster struct {
 	Platform *platform.Platform
 	Engines  []*engine.Engine
 	Service  *service.Service
@@ -79,9 +79,9 @@
 
 // New starts a set, declares its resources and waits until all boxes have
 // them and know their engines.
-func New(options Options) (*Set, error) {
+func New(options Options) (*Cluster, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Set{Platform: platform.New(platform.Options{}), Service: service.New(), options: options, stop: stop}
+	s := &Cluster{Platform: platform.New(platform.Options{}), Service: service.New(), options: options, stop: stop}
 	s.servers = append(s.servers, httptest.NewServer(s.Platform.Handler()))
 	serviceServer := httptest.NewServer(s.Service)
 	s.servers = append(s.servers, serviceServer)
@@ -114,7 +114,7 @@
 }
 
 // reach returns the address by which boxes reach an engine.
-func (s *Set) reach(address string) (string, error) {
+func (s *Cluster) reach(address string) (string, error) {
 	if !s.options.Relays {
 		return address, nil
 	}
@@ -148,7 +148,7 @@
 	return Resource(wire.ResourceKindUpstream, name, spec)
 }
 
-func (s *Set) declare(upstreams []wire.Resource) error {
+func (s *Cluster) declare(upstreams []wire.Resource) error {
 	all := []wire.Resource{
 		Resource(wire.ResourceKindModel, "m", map[string]any{"max_tokens": 16384}),
 		Resource(wire.ResourceKindModel, "unserved", map[string]any{}),
@@ -173,7 +173,7 @@
 }
 
 // settled tells whether every box has the newest configuration and serves.
-func (s *Set) settled(engines int) bool {
+func (s *Cluster) settled(engines int) bool {
 	newest := 0
 	for _, b := range s.Boxes {
 		if b == nil {
@@ -191,7 +191,7 @@
 	return true
 }
 
-func (s *Set) running() int {
+func (s *Cluster) running() int {
 	n := 0
 	for _, b := range s.Boxes {
 		if b != nil {
@@ -201,7 +201,7 @@
 	return n
 }
 
-func (s *Set) await(ready func() bool, what string) error {
+func (s *Cluster) await(ready func() bool, what string) error {
 	for end := time.Now().Add(readyTime); time.Now().Before(end); {
 		if ready() {
 			return nil
@@ -212,10 +212,10 @@
 }
 
 // Await waits until something is so; false if it never comes.
-func (s *Set) Await(so func() bool) bool { return s.await(so, "") == nil }
+func (s *Cluster) Await(so func() bool) bool { return s.await(so, "") == nil }
 
 // Put declares a resource at a box.
-func (s *Set) Put(box int, r wire.Resource) (wire.Resource, error) {
+func (s *Cluster) Put(box int, r wire.Resource) (wire.Resource, error) {
 	var done wire.Resource
 	path := fmt.Sprintf("/v1/resources/%s/%s", r.Kind, r.Name)
 	c := s.Admin(s.Boxes[box])
@@ -225,12 +225,12 @@
 }
 
 // Admin returns an operator's client of a box.
-func (s *Set) Admin(b *Box) *client.Client {
+func (s *Cluster) Admin(b *Box) *client.Client {
 	return client.New([]string{"http://" + b.Settings.Listen.Admin}, OperatorKey)
 }
 
 // Callers returns a caller's client of all boxes that run.
-func (s *Set) Callers(key string) *client.Client {
+func (s *Cluster) Callers(key string) *client.Client {
 	var boxes []string
 	for _, b := range s.Boxes {
 		boxes = append(boxes, "http://"+b.Settings.Listen.Callers)
@@ -243,7 +243,7 @@
 const startTries = 5
 
 // StartBox starts a box, or starts one anew that was killed or stopped.
-func (s *Set) StartBox(i int) error {
+func (s *Cluster) StartBox(i int) error {
 	var last error
 	for range startTries {
 		b, err := s.startOnce(i)
@@ -259,7 +259,7 @@
 	return last
 }
 
-func (s *Set) keep(i int, b *Box) {
+func (s *Cluster) keep(i int, b *Box) {
 	if i < len(s.Boxes) {
 		s.Boxes[i] = b
 		return
@@ -268,7 +268,7 @@
 }
 
 // awaitBox waits until a box answers, or has ended.
-func (s *Set) awaitBox(b *Box) error {
+func (s *Cluster) awaitBox(b *Box) error {
 	var ended error
 	err := s.await(func() bool {
 		select {
@@ -286,7 +286,7 @@
 	return err
 }
 
-func (s *Set) startOnce(i int) (*Box, error) {
+func (s *Cluster) startOnce(i int) (*Box, error) {
 	c, err := s.settings(i)
 	if err != nil {
 		return nil, err
@@ -311,7 +311,7 @@
 	return b, nil
 }
 
-func (s *Set) settings(i int) (config.Config, error) {
+func (s *Cluster) settings(i int) (config.Config, error) {
 	raw, err := json.Marshal(map[string]any{
 		"box": fmt.Sprint("box", i), "hall": hallOf(i, s.options.Boxes),
 		"listen":      map[string]string{"callers": free(), "admin": free(), "peers": free()},
@@ -346,21 +346,21 @@
 }
 
 // Kill ends a box at once, as a loss of its machine does.
-func (s *Set) Kill(i int) {
+func (s *Cluster) Kill(i int) {
 	s.Boxes[i].cancel()
 	<-s.Boxes[i].done
 	s.Boxes[i].over = true
 }
 
 // Stop begins the planned stop of a box and waits for its end.
-func (s *Set) Stop(i int) error {
+func (s *Cluster) Stop(i int) error {
 	s.Boxes[i].Daemon.Drain()
 	s.Boxes[i].over = true
 	return <-s.Boxes[i].done
 }
 
 // Close ends all.
-func (s *Set) Close() {
+func (s *Cluster) Close() {
 	for _, b := range s.Boxes {
 		b.cancel()
 		if !b.over {
--- a/standin/set/set_test.go
+++ b/standin/cluster/cluster_test.go
@@ -1,4 +1,4 @@
-package set
+package cluster
 
 import (
 	"io"
