--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -24,7 +24,7 @@
 	"petrelstep/metrics"
 	"petrelstep/platform/store"
 	"petrelstep/standin/platform"
-	"petrelstep/standin/started"
+	"petrelstep/standin/readylog"
 	"petrelstep/standin/worker"
 	"petrelstep/wire"
 )
@@ -151,7 +151,7 @@
 		Listen: wire.Listen{Callers: b.callers, Admin: b.admin, Peers: free(s.t)}, Limits: wire.Limits{BodyBytes: 4096},
 		Edge: &wire.Edge{Ready: b.ready, KeyAgeMs: 5000, LeaveMs: 2000, RetryRatio: 0.2, RetrySlack: 50, MemoryMb: 512, Descriptors: 8192, Moves: wire.EdgeMovesTurns, Processors: 1, LinkMbit: 1000},
 	}}
-	up := started.New(io.Discard)
+	up := readylog.New(io.Discard)
 	b.Edge = edge.New(c, logs.New(up, "info", name), counts)
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
--- a/soak/site/box.go
+++ b/soak/site/box.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"petrelstep/soak/verdict"
+	"petrelstep/standin/readylog"
 	"petrelstep/standin/relay"
-	"petrelstep/standin/started"
 )
 
 const (
@@ -101,7 +101,7 @@
 	if err != nil {
 		return false
 	}
-	up := started.New(log)
+	up := readylog.New(log)
 	b.command = exec.Command(b.options.Daemon, "-settings", file)
 	b.command.Stdout, b.command.Stderr = up, log
 	if b.command.Start() != nil {
--- a/standin/cluster/cluster.go
+++ b/standin/cluster/cluster.go
@@ -23,9 +23,9 @@
 	"petrelstep/metrics"
 	"petrelstep/standin/engine"
 	"petrelstep/standin/platform"
+	"petrelstep/standin/readylog"
 	"petrelstep/standin/relay"
 	"petrelstep/standin/service"
-	"petrelstep/standin/started"
 	"petrelstep/wire"
 )
 
@@ -300,7 +300,7 @@
 	if out == nil {
 		out = io.Discard
 	}
-	up := started.New(out)
+	up := readylog.New(out)
 	d, err := daemon.New(ctx, c, logs.New(up, "info", c.Box), counts)
 	if err != nil {
 		cancel()
--- a/standin/started/started.go
+++ b/standin/readylog/readylog.go
@@ -1,7 +1,7 @@
-// Package started tells when a box under test has opened its addresses. That
+// Package readylog tells when a box under test has opened its addresses. That
 // something answers there is no sign of it: an address that was found free may
 // have been taken by another server since.
-package started
+package readylog
 
 import (
 	"bytes"
@@ -12,19 +12,19 @@
 // event is what a box logs once its addresses are open.
 var event = []byte("event=started ")
 
-// Started passes a box's log on and watches it. It is safe for use by several
+// Writer passes a box's log on and watches it. It is safe for use by several
 // goroutines.
-type Started struct {
+type Writer struct {
 	out  io.Writer
 	done chan struct{}
 	once sync.Once
 }
 
 // New returns a log that is passed on to out.
-func New(out io.Writer) *Started { return &Started{out: out, done: make(chan struct{})} }
+func New(out io.Writer) *Writer { return &Writer{out: out, done: make(chan struct{})} }
 
 // Write implements io.Writer; a line comes in one call.
-func (s *Started) Write(line []byte) (int, error) {
+func (s *Writer) Write(line []byte) (int, error) {
 	if bytes.Contains(line, event) {
 		s.once.Do(func() { close(s.done) })
 	}
@@ -32,4 +32,4 @@
 }
 
 // Done is closed once the box has opened its addresses.
-func (s *Started) Done() <-chan struct{} { return s.done }
+func (s *Writer) Done() <-chan struct{} { return s.done }
