--- a/engineload/engineload_test.go
+++ b/engineload/engineload_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"petrelstep/engineload"
-	"petrelstep/standin/heap"
+	"petrelstep/standin/heapsize"
 	"petrelstep/wire"
 )
 
@@ -52,12 +52,12 @@
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10, 170, 2200} {
 		b.Run(fmt.Sprint(n, " engines"), func(b *testing.B) {
-			before := heap.Used()
+			before := heapsize.Used()
 			l := engineload.New()
 			for i := range n {
 				l.Report(start, report(fmt.Sprint("engine-", i), start, 100))
 			}
-			used := float64(heap.Used() - before)
+			used := float64(heapsize.Used() - before)
 			runtime.KeepAlive(l)
 			for b.Loop() {
 			}
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -11,7 +11,7 @@
 	"petrelstep/health"
 	"petrelstep/home"
 	"petrelstep/outputlen"
-	"petrelstep/standin/heap"
+	"petrelstep/standin/heapsize"
 	"petrelstep/wire"
 )
 
@@ -224,9 +224,9 @@
 func BenchmarkMemory(b *testing.B) {
 	for _, engines := range []int{16, 64, 256} {
 		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) {
-			before := heap.Used()
+			before := heapsize.Used()
 			f := crowded(b, engines, 0)
-			used := float64(heap.Used() - before)
+			used := float64(heapsize.Used() - before)
 			runtime.KeepAlive(f)
 			for b.Loop() {
 			}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"petrelstep/members"
-	"petrelstep/standin/heap"
+	"petrelstep/standin/heapsize"
 	"petrelstep/wire"
 )
 
@@ -172,12 +172,12 @@
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{50, 350, 1000} {
 		b.Run(fmt.Sprint(n, " boxes"), func(b *testing.B) {
-			before := heap.Used()
+			before := heapsize.Used()
 			l := members.New(alive("self", 1, members.Live))
 			for i := range n {
 				l.Heard(start, members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%13), Address: fmt.Sprint(i), State: members.Live})
 			}
-			used := float64(heap.Used() - before)
+			used := float64(heapsize.Used() - before)
 			runtime.KeepAlive(l)
 			for b.Loop() {
 			}
--- a/outputlen/outputlen_test.go
+++ b/outputlen/outputlen_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"petrelstep/outputlen"
-	"petrelstep/standin/heap"
+	"petrelstep/standin/heapsize"
 )
 
 var key = outputlen.Key{Organisation: "o", Model: "m", Class: "draft"}
@@ -102,14 +102,14 @@
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{100, 1000, 4420} {
 		b.Run(fmt.Sprint(n, " groups"), func(b *testing.B) {
-			before := heap.Used()
+			before := heapsize.Used()
 			l := outputlen.New()
 			for i := range n {
 				k := outputlen.Key{Organisation: fmt.Sprint("o", i%260), Model: fmt.Sprint("m", i/260), Class: "draft"}
 				l.End(k, 500, false)
 				l.Curve(k)
 			}
-			used := float64(heap.Used() - before)
+			used := float64(heapsize.Used() - before)
 			runtime.KeepAlive(l)
 			for b.Loop() {
 			}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -14,7 +14,7 @@
 	"petrelstep/fleet"
 	"petrelstep/logs"
 	"petrelstep/quarantine"
-	"petrelstep/standin/heap"
+	"petrelstep/standin/heapsize"
 	"petrelstep/wire"
 )
 
@@ -381,14 +381,14 @@
 		b.Run(fmt.Sprint(suspects, " suspects"), func(b *testing.B) {
 			var q *quarantine.Quarantine
 			for b.Loop() {
-				before := heap.Used()
+				before := heapsize.Used()
 				q, _ = newOne()
 				for i := range suspects {
 					for end := range 3 {
 						q.Ended(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprintf("upstream-%d-%d", i/40, end)})
 					}
 				}
-				b.ReportMetric(float64(heap.Used()-before)/float64(suspects), "B/suspect")
+				b.ReportMetric(float64(heapsize.Used()-before)/float64(suspects), "B/suspect")
 			}
 			runtime.KeepAlive(q)
 		})
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"petrelstep/resource"
-	"petrelstep/standin/heap"
+	"petrelstep/standin/heapsize"
 	"petrelstep/wire"
 )
 
@@ -129,14 +129,14 @@
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(n, " resources"), func(b *testing.B) {
-			before := heap.Used()
+			before := heapsize.Used()
 			l := resource.New()
 			var all []wire.Resource
 			for i := range n {
 				all = append(all, hall(i+1, fmt.Sprint("hall-", i), "r"))
 			}
 			l.Apply(set(0, n, all...))
-			used := float64(heap.Used() - before)
+			used := float64(heapsize.Used() - before)
 			runtime.KeepAlive(l)
 			for b.Loop() {
 			}
--- a/standin/heap/heap.go
+++ b/standin/heapsize/heapsize.go
@@ -1,5 +1,5 @@
-// Package heap measures how much memory a state takes, for benchmarks.
-package heap
+// Package heapsize measures how much memory a state takes, for benchmarks.
+package heapsize
 
 import "runtime"
 
