--- a/soak/verdict/verdict.go
+++ b/soak/checker/checker.go
@@ -1,6 +1,6 @@
-// Package verdict holds what callers were told against what workers ran. It
+// Package checker holds what callers were told against what workers ran. It
 // sees only both ends of a site, as the users do.
-package verdict
+package checker
 
 import (
 	"fmt"
@@ -95,20 +95,20 @@
 // String returns a line.
 func (b Break) String() string { return b.Promise + " " + b.Request + ": " + b.Detail }
 
-// Verdict checks histories of one site.
-type Verdict struct {
+// Checker checks histories of one site.
+type Checker struct {
 	events int           // in a stream
 	key    time.Duration // that a key may be served after it was taken away
 	hall   time.Duration // that a hall may get runs after it was evacuated
 }
 
 // New returns a verdict over streams of so many events.
-func New(events int, key, hall time.Duration) *Verdict {
-	return &Verdict{events: events, key: key, hall: hall}
+func New(events int, key, hall time.Duration) *Checker {
+	return &Checker{events: events, key: key, hall: hall}
 }
 
 // closed returns the runs that began in a hall while it was evacuated.
-func (v *Verdict) closed(ran []Ran, evacuations []Evacuation) []Break {
+func (v *Checker) closed(ran []Ran, evacuations []Evacuation) []Break {
 	var broken []Break
 	for _, r := range ran {
 		for _, e := range evacuations {
@@ -121,7 +121,7 @@
 }
 
 // Check returns what is broken.
-func (v *Verdict) Check(attempts []Attempt, ran []Ran, stops []Stop, evacuations []Evacuation) []Break {
+func (v *Checker) Check(attempts []Attempt, ran []Ran, stops []Stop, evacuations []Evacuation) []Break {
 	runs := map[string][]Ran{}
 	for _, r := range ran {
 		runs[r.ID] = append(runs[r.ID], r)
@@ -150,7 +150,7 @@
 }
 
 // answer holds a success against the worker's own text.
-func (v *Verdict) answer(a Attempt, runs []Ran) (promise, detail string) {
+func (v *Checker) answer(a Attempt, runs []Ran) (promise, detail string) {
 	if a.Status != http.StatusOK {
 		return "", ""
 	}
@@ -171,7 +171,7 @@
 	return Mixed, fmt.Sprintf("answered %q by none of its %d runs", a.Answer, len(runs))
 }
 
-func (v *Verdict) stream(a Attempt) (promise, detail string) {
+func (v *Checker) stream(a Attempt) (promise, detail string) {
 	var whole strings.Builder
 	for i := range v.events {
 		fmt.Fprintf(&whole, "id: %d\ndata: %s %d\n\n", i, a.ID, i)
@@ -219,7 +219,7 @@
 	return "", ""
 }
 
-func (v *Verdict) revoked(a Attempt, runs []Ran) (promise, detail string) {
+func (v *Checker) revoked(a Attempt, runs []Ran) (promise, detail string) {
 	if len(runs) == 0 || a.Revoked.IsZero() || a.Sent.Sub(a.Revoked) <= v.key {
 		return "", ""
 	}
--- a/soak/verdict/limits.go
+++ b/soak/checker/limits.go
@@ -1,4 +1,4 @@
-package verdict
+package checker
 
 import (
 	"fmt"
@@ -38,7 +38,7 @@
 // Limited returns the needs in which a worker got more than it took, from boxes that it
 // had told; struck is when each box was ended, stopped or held, which excuses it until
 // it has had time to hear. It returns how many requests were counted too.
-func (v *Verdict) Limited(attempts []Attempt, ran []Ran, needs []Need, struck map[string][]Span) (broken []Break, counted int) {
+func (v *Checker) Limited(attempts []Attempt, ran []Ran, needs []Need, struck map[string][]Span) (broken []Break, counted int) {
 	boxes := make(map[string]string, len(attempts))
 	for _, a := range attempts {
 		boxes[a.ID] = a.Box
--- a/soak/verdict/words.go
+++ b/soak/checker/words.go
@@ -1,4 +1,4 @@
-package verdict
+package checker
 
 import (
 	"fmt"
@@ -41,7 +41,7 @@
 // Heard returns the requests that reached workers against what those had said to the
 // boxes that sent them. A box that was struck meanwhile is excused. It returns how many
 // words were held against them too.
-func (v *Verdict) Heard(attempts []Attempt, arrived []Arrived, struck, broken map[string][]Span) (breaks []Break, counted int) {
+func (v *Checker) Heard(attempts []Attempt, arrived []Arrived, struck, broken map[string][]Span) (breaks []Break, counted int) {
 	h := heard{attempts: map[string]Attempt{}, arrived: arrived, struck: struck, broken: broken}
 	for _, a := range attempts {
 		h.attempts[a.ID] = a
--- a/soak/verdict/words_test.go
+++ b/soak/checker/words_test.go
@@ -1,4 +1,4 @@
-package verdict_test
+package checker_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/soak/verdict"
+	"petrelstep/soak/checker"
 	"petrelstep/standin/worker"
 )
 
@@ -15,7 +15,7 @@
 func TestHeard(t *testing.T) {
 	began := time.Now()
 	at := func(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
-	span := func(from, until float64) []verdict.Span { return []verdict.Span{{From: at(from), Until: at(until)}} }
+	span := func(from, until float64) []checker.Span { return []checker.Span{{From: at(from), Until: at(until)}} }
 	tests := map[string]struct {
 		leaves bool
 		rest   time.Duration
@@ -23,8 +23,8 @@
 		after  []float64 // when further requests of the same box reach it
 		box    string    // of those; the same where empty
 		life   int64
-		struck []verdict.Span
-		broken []verdict.Span
+		struck []checker.Span
+		broken []checker.Span
 		breaks int
 	}{
 		"it leaves, one soon after":         {leaves: true, answer: "answer to first by w", after: []float64{1.5}},
@@ -48,8 +48,8 @@
 			if tt.rest > 0 {
 				status = 503
 			}
-			attempts := []verdict.Attempt{{ID: "first", Box: "b", Sent: began, Ended: began, Status: status, Complete: true, Answer: tt.answer}}
-			arrived := []verdict.Arrived{{Worker: "w", Life: 7, Arrival: worker.Arrival{ID: "first", At: began, Leaves: tt.leaves, Rest: tt.rest}}}
+			attempts := []checker.Attempt{{ID: "first", Box: "b", Sent: began, Ended: began, Status: status, Complete: true, Answer: tt.answer}}
+			arrived := []checker.Arrived{{Worker: "w", Life: 7, Arrival: worker.Arrival{ID: "first", At: began, Leaves: tt.leaves, Rest: tt.rest}}}
 			box, life := "b", int64(7)
 			if tt.box != "" {
 				box = tt.box
@@ -59,10 +59,10 @@
 			}
 			for i, s := range tt.after {
 				id := fmt.Sprint(i)
-				attempts = append(attempts, verdict.Attempt{ID: id, Box: box, Sent: at(s), Ended: at(s)})
-				arrived = append(arrived, verdict.Arrived{Worker: "w", Life: life, Arrival: worker.Arrival{ID: id, At: at(s)}})
+				attempts = append(attempts, checker.Attempt{ID: id, Box: box, Sent: at(s), Ended: at(s)})
+				arrived = append(arrived, checker.Arrived{Worker: "w", Life: life, Arrival: worker.Arrival{ID: id, At: at(s)}})
 			}
-			breaks, _ := verdict.New(0, 0, 0).Heard(attempts, arrived, map[string][]verdict.Span{"b": tt.struck}, map[string][]verdict.Span{"w": tt.broken})
+			breaks, _ := checker.New(0, 0, 0).Heard(attempts, arrived, map[string][]checker.Span{"b": tt.struck}, map[string][]checker.Span{"w": tt.broken})
 			is.New(t).Equal(len(breaks), tt.breaks)
 		})
 	}
--- a/soak/load/load.go
+++ b/soak/load/load.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"petrelstep/soak/checker"
 	"petrelstep/soak/site"
-	"petrelstep/soak/verdict"
 	"petrelstep/standin/caller"
 )
 
@@ -46,9 +46,9 @@
 	endsEvery = 400 * time.Millisecond
 )
 
-var plain = []verdict.Kind{verdict.Once, verdict.Look}
+var plain = []checker.Kind{checker.Once, checker.Look}
 
-var kinds = []verdict.Kind{verdict.Draft, verdict.Check, verdict.Once, verdict.Once, verdict.Look, verdict.Look}
+var kinds = []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Once, checker.Look, checker.Look}
 
 // Load is safe for use by several goroutines.
 type Load struct {
@@ -58,7 +58,7 @@
 	ends   bool
 
 	mu       sync.Mutex
-	attempts []verdict.Attempt
+	attempts []checker.Attempt
 }
 
 // New returns callers of a site that Run starts. In crowds they press plain services at
@@ -69,10 +69,10 @@
 }
 
 // Attempts returns all requests that have ended.
-func (l *Load) Attempts() []verdict.Attempt {
+func (l *Load) Attempts() []checker.Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]verdict.Attempt(nil), l.attempts...)
+	return append([]checker.Attempt(nil), l.attempts...)
 }
 
 // Run keeps so many callers at work until ctx ends, and waits for their answers.
@@ -97,7 +97,7 @@
 		id := fmt.Sprint("ends-", n)
 		box := l.site.Boxes[random.IntN(len(l.site.Boxes))]
 		asking, cancel := context.WithTimeout(context.Background(), patience)
-		l.send(asking, client, box, verdict.Attempt{ID: id, Kind: verdict.Check, Organisation: "council", Target: site.Target(verdict.Check, targets), Body: site.Ends}, l.site.Key("council"), 0)
+		l.send(asking, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.Ends}, l.site.Key("council"), 0)
 		cancel()
 		time.Sleep(endsEvery)
 	}
@@ -129,14 +129,14 @@
 }
 
 // ask sends one request, and returns whether it may be asked again, and when.
-func (l *Load) ask(client *caller.Caller, random *rand.Rand, number int, box *site.Box, kind verdict.Kind, id string) (wait time.Duration, again bool) {
+func (l *Load) ask(client *caller.Caller, random *rand.Rand, number int, box *site.Box, kind checker.Kind, id string) (wait time.Duration, again bool) {
 	organisation := []string{"council", "firm"}[random.IntN(2)]
 	key := l.site.Key(organisation)
 	if old := l.site.OldKey(organisation); old != "" && random.IntN(oldKeyShare) == 0 {
 		key = old
 	}
-	a := verdict.Attempt{ID: id, Kind: kind, Organisation: organisation, Target: site.Target(kind, random.IntN(targets))}
-	if kind == verdict.Draft || kind == verdict.Once {
+	a := checker.Attempt{ID: id, Kind: kind, Organisation: organisation, Target: site.Target(kind, random.IntN(targets))}
+	if kind == checker.Draft || kind == checker.Once {
 		a.Body = "body of " + id
 	}
 	left := patience
@@ -161,7 +161,7 @@
 }
 
 // send sends an attempt and keeps what came of it; it returns when to come back.
-func (l *Load) send(ctx context.Context, client *caller.Caller, box *site.Box, a verdict.Attempt, key string, pause time.Duration) (ended verdict.Attempt, back time.Duration) {
+func (l *Load) send(ctx context.Context, client *caller.Caller, box *site.Box, a checker.Attempt, key string, pause time.Duration) (ended checker.Attempt, back time.Duration) {
 	a.Box, a.Sent = box.Name, time.Now()
 	answer := client.Ask(ctx, box.Link.Address(), caller.Request{
 		ID: a.ID, Host: site.Host(), Target: a.Target, Body: a.Body, Key: key, Wait: patience, Tokens: "900,240", Pause: pause,
--- a/soak/site/box.go
+++ b/soak/site/box.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"petrelstep/soak/verdict"
+	"petrelstep/soak/checker"
 	"petrelstep/standin/readylog"
 	"petrelstep/standin/relay"
 )
@@ -35,7 +35,7 @@
 	Lock sync.Mutex
 
 	mu     sync.Mutex
-	struck []verdict.Span // when its process was ended, stopped or held
+	struck []checker.Span // when its process was ended, stopped or held
 
 	options Options
 	hall    string
@@ -132,11 +132,11 @@
 func (b *Box) Struck(from time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.struck = append(b.struck, verdict.Span{From: from, Until: time.Now()})
+	b.struck = append(b.struck, checker.Span{From: from, Until: time.Now()})
 }
 
 // Strikes returns when the process was ended, stopped or held.
-func (b *Box) Strikes() []verdict.Span {
+func (b *Box) Strikes() []checker.Span {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.struck
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"petrelstep/soak/verdict"
+	"petrelstep/soak/checker"
 	"petrelstep/standin/platform"
 	"petrelstep/standin/relay"
 	"petrelstep/standin/worker"
@@ -56,7 +56,7 @@
 	ended   sync.Once // by a strike, or by what it runs
 
 	mu     sync.Mutex
-	broken []verdict.Span // when its link was
+	broken []checker.Span // when its link was
 }
 
 // Break breaks the worker's link, and notes that for as long as it takes.
@@ -65,7 +65,7 @@
 	do()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.broken = append(w.broken, verdict.Span{From: from, Until: time.Now()})
+	w.broken = append(w.broken, checker.Span{From: from, Until: time.Now()})
 }
 
 // Site is safe for use by several goroutines.
@@ -152,14 +152,14 @@
 }
 
 // prefix of a kind's paths; the stand-in worker streams below /stream/.
-func prefix(kind verdict.Kind) string {
+func prefix(kind checker.Kind) string {
 	if kind.Streams() {
 		return "stream/" + string(kind)
 	}
 	return string(kind)
 }
 
-func route(kind verdict.Kind, service string, attempts int) platform.Route {
+func route(kind checker.Kind, service string, attempts int) platform.Route {
 	return platform.Route{
 		Name: string(kind), Host: host, Prefix: "/" + prefix(kind) + "/", Service: service, Attempts: attempts,
 		Streams: kind.Streams(), Repeatable: kind.Repeatable(),
@@ -178,7 +178,7 @@
 	s.Platform.Declare(platform.Manifest{
 		Version: s.version, Keys: keys,
 		Routes: []platform.Route{
-			route(verdict.Draft, "llm", 1), route(verdict.Check, "llm", 2), route(verdict.Once, "plain", 2), route(verdict.Look, "plain", 2),
+			route(checker.Draft, "llm", 1), route(checker.Check, "llm", 2), route(checker.Once, "plain", 2), route(checker.Look, "plain", 2),
 		},
 	})
 }
@@ -440,13 +440,13 @@
 }
 
 // Ran returns all that workers ran.
-func (s *Site) Ran() []verdict.Ran {
+func (s *Site) Ran() []checker.Ran {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ran []verdict.Ran
+	var ran []checker.Ran
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, r := range w.Runs() {
-			ran = append(ran, verdict.Ran{Worker: w.ID, Life: w.Born(), Hall: w.Hall, Run: r})
+			ran = append(ran, checker.Ran{Worker: w.ID, Life: w.Born(), Hall: w.Hall, Run: r})
 		}
 	}
 	return ran
@@ -454,13 +454,13 @@
 
 // Arrived returns all requests that reached workers, and when the workers' links were
 // broken.
-func (s *Site) Arrived() (arrived []verdict.Arrived, broken map[string][]verdict.Span) {
+func (s *Site) Arrived() (arrived []checker.Arrived, broken map[string][]checker.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	broken = map[string][]verdict.Span{}
+	broken = map[string][]checker.Span{}
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, a := range w.Arrivals() {
-			arrived = append(arrived, verdict.Arrived{Worker: w.ID, Life: w.Born(), Arrival: a})
+			arrived = append(arrived, checker.Arrived{Worker: w.ID, Life: w.Born(), Arrival: a})
 		}
 		w.mu.Lock()
 		broken[w.ID] = append(broken[w.ID], w.broken...)
@@ -470,8 +470,8 @@
 }
 
 // Struck returns when each box's process was ended, stopped or held.
-func (s *Site) Struck() map[string][]verdict.Span {
-	struck := map[string][]verdict.Span{}
+func (s *Site) Struck() map[string][]checker.Span {
+	struck := map[string][]checker.Span{}
 	for _, b := range s.Boxes {
 		struck[b.Name] = b.Strikes()
 	}
@@ -479,7 +479,7 @@
 }
 
 // Target returns a request's path by its kind and a number.
-func Target(kind verdict.Kind, n int) string { return fmt.Sprintf("/%s/%d", prefix(kind), n) }
+func Target(kind checker.Kind, n int) string { return fmt.Sprintf("/%s/%d", prefix(kind), n) }
 
 // Host is that of all routes.
 func Host() string { return host }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -9,10 +9,10 @@
 	"net/http"
 	"time"
 
+	"petrelstep/soak/checker"
 	"petrelstep/soak/load"
 	"petrelstep/soak/site"
 	"petrelstep/soak/strike"
-	"petrelstep/soak/verdict"
 )
 
 const (
@@ -50,7 +50,7 @@
 func (e *NotReadyError) Error() string { return e.Box + " is not ready" }
 
 // NotServedError says that requests are not served after all trouble has ended.
-type NotServedError struct{ Kind verdict.Kind }
+type NotServedError struct{ Kind checker.Kind }
 
 // Error implements error.
 func (e *NotServedError) Error() string {
@@ -66,7 +66,7 @@
 	Ends                              int // of workers, under the request that ends them
 	Limited                           int // requests at workers that named limits
 	Heard                             int // words of workers that leave or ask for rest
-	Breaks                            []verdict.Break
+	Breaks                            []checker.Break
 }
 
 // String returns the closing line.
@@ -103,7 +103,7 @@
 	}()
 	striking, cancel := context.WithTimeout(ctx, s.Last)
 	defer cancel()
-	needs := make(chan []verdict.Need, 1)
+	needs := make(chan []checker.Need, 1)
 	go func() { needs <- s.needs(striking, strikes) }()
 	words := make(chan error, 1)
 	go func() { words <- s.words(striking, strikes) }()
@@ -119,10 +119,10 @@
 	<-done
 	attempts, ran := callers.Attempts(), at.Ran()
 	t := s.check(attempts, ran, strikes)
-	broken, counted := verdict.New(site.Events, 0, 0).Limited(attempts, ran, named, at.Struck())
+	broken, counted := checker.New(site.Events, 0, 0).Limited(attempts, ran, named, at.Struck())
 	t.Limited, t.Breaks = counted, append(t.Breaks, broken...)
 	arrived, links := at.Arrived()
-	broken, t.Heard = verdict.New(site.Events, 0, 0).Heard(attempts, arrived, at.Struck(), links)
+	broken, t.Heard = checker.New(site.Events, 0, 0).Heard(attempts, arrived, at.Struck(), links)
 	t.Breaks = append(t.Breaks, broken...)
 	return t, err
 }
@@ -136,7 +136,7 @@
 }
 
 // needs lets workers name limits, if they are to.
-func (s *Soak) needs(ctx context.Context, strikes *strike.Strikes) []verdict.Need {
+func (s *Soak) needs(ctx context.Context, strikes *strike.Strikes) []checker.Need {
 	if !s.Needs {
 		return nil
 	}
@@ -158,7 +158,7 @@
 		return err
 	}
 	began := time.Now()
-	for _, kind := range []verdict.Kind{verdict.Draft, verdict.Check, verdict.Once, verdict.Look} {
+	for _, kind := range []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Look} {
 		served := func() bool {
 			for _, a := range callers.Attempts() {
 				if a.Kind == kind && a.Sent.After(began) && a.Complete && a.Status == http.StatusOK {
@@ -183,7 +183,7 @@
 	return false
 }
 
-func (s *Soak) check(attempts []verdict.Attempt, ran []verdict.Ran, strikes *strike.Strikes) Tally {
+func (s *Soak) check(attempts []checker.Attempt, ran []checker.Ran, strikes *strike.Strikes) Tally {
 	stops, evacuations := strikes.Stops(), strikes.Evacuations()
 	t := Tally{Requests: len(attempts), Runs: len(ran), Stops: len(stops), Evacuations: len(evacuations)}
 	for _, a := range attempts {
@@ -204,9 +204,9 @@
 			t.Ends++
 		}
 	}
-	t.Breaks = verdict.New(site.Events, site.KeyAge+keySlack, hallTime).Check(attempts, ran, stops, evacuations)
+	t.Breaks = checker.New(site.Events, site.KeyAge+keySlack, hallTime).Check(attempts, ran, stops, evacuations)
 	if t.Ends > endsMost {
-		t.Breaks = append(t.Breaks, verdict.Break{Promise: verdict.Ends, Detail: fmt.Sprint(t.Ends, " workers ended under it")})
+		t.Breaks = append(t.Breaks, checker.Break{Promise: checker.Ends, Detail: fmt.Sprint(t.Ends, " workers ended under it")})
 	}
 	return t
 }
--- a/soak/strike/strike.go
+++ b/soak/strike/strike.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
+	"petrelstep/soak/checker"
 	"petrelstep/soak/site"
-	"petrelstep/soak/verdict"
 	"petrelstep/standin/platform"
 	"petrelstep/standin/relay"
 	"petrelstep/standin/worker"
@@ -71,10 +71,10 @@
 	mu      sync.Mutex
 	active  int
 	ended   time.Time // of the last strike
-	stops   []verdict.Stop
+	stops   []checker.Stop
 	failure error
 
-	evacuations []verdict.Evacuation
+	evacuations []checker.Evacuation
 }
 
 // New returns strikes at a site; out is told of each.
@@ -151,7 +151,7 @@
 	time.Sleep(evacuated)
 	if s.quietSince(from.Add(-calm)) {
 		s.mu.Lock()
-		s.evacuations = append(s.evacuations, verdict.Evacuation{Hall: hall, From: from, Until: time.Now()})
+		s.evacuations = append(s.evacuations, checker.Evacuation{Hall: hall, From: from, Until: time.Now()})
 		s.mu.Unlock()
 	}
 	s.site.Platform.TakeBack(hall)
@@ -159,10 +159,10 @@
 }
 
 // Evacuations returns those with nothing else wrong.
-func (s *Strikes) Evacuations() []verdict.Evacuation { return s.evacuations }
+func (s *Strikes) Evacuations() []checker.Evacuation { return s.evacuations }
 
 // Stops returns the planned stops with nothing else wrong.
-func (s *Strikes) Stops() []verdict.Stop { return s.stops }
+func (s *Strikes) Stops() []checker.Stop { return s.stops }
 
 func (s *Strikes) strike(p plan) {
 	s.mu.Lock()
@@ -360,7 +360,7 @@
 	}
 	if quiet && s.quietSince(signal.Add(-calm)) {
 		s.mu.Lock()
-		s.stops = append(s.stops, verdict.Stop{Box: b.Name, From: signal.Add(-calm), Signal: signal, Until: time.Now()})
+		s.stops = append(s.stops, checker.Stop{Box: b.Name, From: signal.Add(-calm), Signal: signal, Until: time.Now()})
 		s.mu.Unlock()
 	}
 	return b.Start()
