--- a/soak/strike/strike.go
+++ b/soak/faults/faults.go
@@ -1,7 +1,7 @@
-// Package strike does to a site what its users' days do: it breaks processes,
+// Package faults does to a site what its users' days do: it breaks processes,
 // links, the store and workers, one thing after the other and several at once,
 // drawn from a seed.
-package strike
+package faults
 
 import (
 	"context"
@@ -58,8 +58,8 @@
 // Error implements error.
 func (e *StopError) Error() string { return "stop of " + e.Box + ": not ended in " + stopTime.String() }
 
-// Strikes is a seed's.
-type Strikes struct {
+// Injector is a seed's.
+type Injector struct {
 	site   *site.Site
 	random *rand.Rand
 	halls  *rand.Rand // which are evacuated
@@ -78,8 +78,8 @@
 }
 
 // New returns strikes at a site; out is told of each.
-func New(s *site.Site, seed uint64, out io.Writer) *Strikes {
-	return &Strikes{site: s, random: rand.New(rand.NewPCG(seed, 0)), halls: rand.New(rand.NewPCG(seed, 1)), entry: rand.New(rand.NewPCG(seed, 2)), need: rand.New(rand.NewPCG(seed, 3)), word: rand.New(rand.NewPCG(seed, 4)), out: out}
+func New(s *site.Site, seed uint64, out io.Writer) *Injector {
+	return &Injector{site: s, random: rand.New(rand.NewPCG(seed, 0)), halls: rand.New(rand.NewPCG(seed, 1)), entry: rand.New(rand.NewPCG(seed, 2)), need: rand.New(rand.NewPCG(seed, 3)), word: rand.New(rand.NewPCG(seed, 4)), out: out}
 }
 
 // plan is one strike, drawn.
@@ -91,7 +91,7 @@
 
 // Run strikes until ctx ends, and waits until all is whole again. An error says
 // that a box did not start, or a stand-in.
-func (s *Strikes) Run(ctx context.Context) error {
+func (s *Injector) Run(ctx context.Context) error {
 	began := time.Now()
 	var all sync.WaitGroup
 	for ctx.Err() == nil {
@@ -122,7 +122,7 @@
 }
 
 // stopCalmly stops a box once nothing has been wrong for a while.
-func (s *Strikes) stopCalmly(ctx context.Context, b *site.Box, began time.Time) {
+func (s *Injector) stopCalmly(ctx context.Context, b *site.Box, began time.Time) {
 	select {
 	case <-time.After(calm + pauseMost):
 	case <-ctx.Done():
@@ -134,7 +134,7 @@
 
 // evacuateCalmly evacuates a hall once nothing has been wrong for a while, and takes
 // that back.
-func (s *Strikes) evacuateCalmly(ctx context.Context, hall string, began time.Time) {
+func (s *Injector) evacuateCalmly(ctx context.Context, hall string, began time.Time) {
 	select {
 	case <-time.After(calm + pauseMost):
 	case <-ctx.Done():
@@ -145,7 +145,7 @@
 }
 
 // evacuate is judged where nothing else is wrong.
-func (s *Strikes) evacuate(hall string) error {
+func (s *Injector) evacuate(hall string) error {
 	from := time.Now()
 	s.site.Platform.Evacuate(hall)
 	time.Sleep(evacuated)
@@ -159,12 +159,12 @@
 }
 
 // Evacuations returns those with nothing else wrong.
-func (s *Strikes) Evacuations() []checker.Evacuation { return s.evacuations }
+func (s *Injector) Evacuations() []checker.Evacuation { return s.evacuations }
 
 // Stops returns the planned stops with nothing else wrong.
-func (s *Strikes) Stops() []checker.Stop { return s.stops }
+func (s *Injector) Stops() []checker.Stop { return s.stops }
 
-func (s *Strikes) strike(p plan) {
+func (s *Injector) strike(p plan) {
 	s.mu.Lock()
 	s.active++
 	s.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // at does something to a worker of the service that was drawn.
-func (s *Strikes) at(d drawn, do func(w *site.Worker) error) func(time.Duration) error {
+func (s *Injector) at(d drawn, do func(w *site.Worker) error) func(time.Duration) error {
 	return func(time.Duration) error {
 		if w := s.site.Pick(d.service, d.number); w != nil {
 			return do(w)
@@ -201,7 +201,7 @@
 
 // draw returns the next strike. All that is random is drawn here, so that a
 // seed's strikes are the same on each run.
-func (s *Strikes) draw() plan {
+func (s *Injector) draw() plan {
 	d := drawn{
 		box: s.site.Boxes[s.random.IntN(len(s.site.Boxes))], service: []string{"llm", "llm", "plain"}[s.random.IntN(3)],
 		number: s.random.IntN(1000), way: relay.Way(s.random.IntN(3)),
@@ -216,7 +216,7 @@
 }
 
 // onBox returns strikes at a process and its links.
-func (s *Strikes) onBox(d drawn) []plan {
+func (s *Injector) onBox(d drawn) []plan {
 	b := d.box
 	kill := plan{"kill " + b.Name, d.short, func(last time.Duration) error { return s.kill(b, last) }}
 	stop := plan{"stop " + b.Name, d.last, func(time.Duration) error { return s.stop(b) }}
@@ -232,7 +232,7 @@
 }
 
 // onStore returns strikes at the store and at what the operator keeps there.
-func (s *Strikes) onStore(d drawn) []plan {
+func (s *Injector) onStore(d drawn) []plan {
 	organisation := []string{"council", "firm"}[d.number%2]
 	revoke := plan{"keys taken away from " + organisation, 0, func(time.Duration) error { s.site.Revoke(organisation); return nil }}
 	return []plan{
@@ -252,7 +252,7 @@
 }
 
 // onWorker returns strikes at a worker and its link.
-func (s *Strikes) onWorker(d drawn) []plan {
+func (s *Injector) onWorker(d drawn) []plan {
 	leaves := plan{"a worker leaves: " + d.service, site.Notice, s.at(d, func(w *site.Worker) error { return s.site.Leave(w, true) })}
 	spoils := plan{fmt.Sprint("bad answers of ", d.service, ": ", d.faults), 0, func(time.Duration) error {
 		for _, w := range s.site.Live(d.service) {
@@ -277,7 +277,7 @@
 }
 
 // onEntry draws a strike at a worker that starts again under its id, or at its entry.
-func (s *Strikes) onEntry() plan {
+func (s *Injector) onEntry() plan {
 	d := drawn{service: []string{"llm", "llm", "plain"}[s.entry.IntN(3)], number: s.entry.IntN(1000), short: time.Duration(s.entry.Int64N(int64(lastMost)))}
 	silent := s.entry.IntN(2) == 0
 	if s.entry.IntN(2) == 0 {
@@ -301,7 +301,7 @@
 }
 
 // faults draws some answers that a worker spoils.
-func (s *Strikes) faults() []worker.Fault {
+func (s *Injector) faults() []worker.Fault {
 	all := []worker.Fault{
 		worker.Full, worker.Failure, worker.Reset, worker.Cut, worker.Unsealed, worker.Foreign, worker.Extra, worker.Unframed,
 		worker.NotHTTP, worker.LostReply, worker.Busy,
@@ -313,7 +313,7 @@
 	return faults
 }
 
-func (s *Strikes) store(f wire.Fault) func(time.Duration) error {
+func (s *Injector) store(f wire.Fault) func(time.Duration) error {
 	return func(last time.Duration) error {
 		s.site.Platform.Fault(f)
 		time.Sleep(last)
@@ -322,7 +322,7 @@
 	}
 }
 
-func (s *Strikes) kill(b *site.Box, last time.Duration) error {
+func (s *Injector) kill(b *site.Box, last time.Duration) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
 	defer b.Struck(time.Now())
@@ -332,7 +332,7 @@
 	return b.Start()
 }
 
-func (s *Strikes) pause(b *site.Box, last time.Duration) error {
+func (s *Injector) pause(b *site.Box, last time.Duration) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
 	defer b.Struck(time.Now())
@@ -344,7 +344,7 @@
 
 // stop stops a box as planned and starts it again. Where nothing else is wrong
 // from well before until its end, no answer may be cut off.
-func (s *Strikes) stop(b *site.Box) error {
+func (s *Injector) stop(b *site.Box) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
 	signal := time.Now()
@@ -368,7 +368,7 @@
 
 // quietSince tells whether nothing but one strike was under way since a time, and no
 // worker ended under a request: what ran there is lost with it, whoever else stops.
-func (s *Strikes) quietSince(at time.Time) bool {
+func (s *Injector) quietSince(at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.active <= 1 && s.ended.Before(at) && s.site.EndedUnder().Before(at)
--- a/soak/strike/need.go
+++ b/soak/faults/need.go
@@ -1,4 +1,4 @@
-package strike
+package faults
 
 import (
 	"context"
@@ -23,7 +23,7 @@
 
 // Needs lets workers name limits, change them and take them back, one worker after the other,
 // until ctx ends. What is random about it is drawn apart from all strikes.
-func (s *Strikes) Needs(ctx context.Context) []checker.Need {
+func (s *Injector) Needs(ctx context.Context) []checker.Need {
 	var needs []checker.Need
 	for ctx.Err() == nil {
 		pass(ctx, time.Duration(s.need.Int64N(int64(needPause))))
@@ -38,7 +38,7 @@
 	return needs
 }
 
-func (s *Strikes) draws() string { return limits[s.need.IntN(len(limits))] }
+func (s *Injector) draws() string { return limits[s.need.IntN(len(limits))] }
 
 // need lets a worker name two limits, one after the other.
 func need(ctx context.Context, w *site.Worker, limits ...string) checker.Need {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"petrelstep/soak/checker"
+	"petrelstep/soak/faults"
 	"petrelstep/soak/load"
 	"petrelstep/soak/site"
-	"petrelstep/soak/strike"
 )
 
 const (
@@ -94,7 +94,7 @@
 	if err := ready(at); err != nil {
 		return Tally{}, err
 	}
-	callers, strikes := load.New(at, s.Seed, s.Crowds, s.Ends), strike.New(at, s.Seed, s.Out)
+	callers, strikes := load.New(at, s.Seed, s.Crowds, s.Ends), faults.New(at, s.Seed, s.Out)
 	working, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -128,7 +128,7 @@
 }
 
 // words lets workers leave by their answers and ask for rest, if they are to.
-func (s *Soak) words(ctx context.Context, strikes *strike.Strikes) error {
+func (s *Soak) words(ctx context.Context, strikes *faults.Injector) error {
 	if !s.Words {
 		return nil
 	}
@@ -136,7 +136,7 @@
 }
 
 // needs lets workers name limits, if they are to.
-func (s *Soak) needs(ctx context.Context, strikes *strike.Strikes) []checker.Need {
+func (s *Soak) needs(ctx context.Context, strikes *faults.Injector) []checker.Need {
 	if !s.Needs {
 		return nil
 	}
@@ -183,7 +183,7 @@
 	return false
 }
 
-func (s *Soak) check(attempts []checker.Attempt, ran []checker.Ran, strikes *strike.Strikes) Tally {
+func (s *Soak) check(attempts []checker.Attempt, ran []checker.Ran, strikes *faults.Injector) Tally {
 	stops, evacuations := strikes.Stops(), strikes.Evacuations()
 	t := Tally{Requests: len(attempts), Runs: len(ran), Stops: len(stops), Evacuations: len(evacuations)}
 	for _, a := range attempts {
