--- a/vocabulary/vocabulary.go
+++ b/unknownfields/unknownfields.go
@@ -1,6 +1,6 @@
-// Package vocabulary notices words of another system that this one does not read. Such a
+// Package unknownfields notices words of another system that this one does not read. Such a
 // word may be new to the other system's protocol and bind whoever hears it.
-package vocabulary
+package unknownfields
 
 import (
 	"strconv"
@@ -29,9 +29,9 @@
 	WordUnreadable(place, word string)
 }
 
-// Vocabulary is that of one place, such as the heads of one system's answers. It is safe
+// Reporter is that of one place, such as the heads of one system's answers. It is safe
 // for use by several goroutines.
-type Vocabulary struct {
+type Reporter struct {
 	place   string
 	known   map[string]bool
 	counter Counter
@@ -42,8 +42,8 @@
 }
 
 // New returns the vocabulary of a place whose words are known.
-func New(place string, known []string, counter Counter, log *logrus.Entry) *Vocabulary {
-	v := &Vocabulary{place: place, known: map[string]bool{}, counter: counter, log: log, noted: map[string]time.Time{}}
+func New(place string, known []string, counter Counter, log *logrus.Entry) *Reporter {
+	v := &Reporter{place: place, known: map[string]bool{}, counter: counter, log: log, noted: map[string]time.Time{}}
 	for _, word := range known {
 		v.known[word] = true
 	}
@@ -52,7 +52,7 @@
 
 // Hear counts a word that is not known, and logs it once a minute; speaker names who said
 // it. A nil vocabulary knows every word.
-func (v *Vocabulary) Hear(now time.Time, speaker, word, value string) {
+func (v *Reporter) Hear(now time.Time, speaker, word, value string) {
 	if v == nil || v.known[word] {
 		return
 	}
@@ -64,7 +64,7 @@
 }
 
 // Unreadable counts a known word whose value cannot be read, and logs it once a minute.
-func (v *Vocabulary) Unreadable(now time.Time, speaker, word, value string) {
+func (v *Reporter) Unreadable(now time.Time, speaker, word, value string) {
 	if v == nil {
 		return
 	}
@@ -75,12 +75,12 @@
 	}
 }
 
-func (v *Vocabulary) line(speaker, word, value string) *logrus.Entry {
+func (v *Reporter) line(speaker, word, value string) *logrus.Entry {
 	return v.log.WithFields(logrus.Fields{"place": v.place, "word": quoted(word), "value": quoted(value), "speaker": speaker})
 }
 
 // note returns the name under which a word is counted, and whether it is to be logged.
-func (v *Vocabulary) note(now time.Time, word string) (counted string, due bool) {
+func (v *Reporter) note(now time.Time, word string) (counted string, due bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	at, noted := v.noted[word]
--- a/vocabulary/vocabulary_test.go
+++ b/unknownfields/unknownfields_test.go
@@ -1,4 +1,4 @@
-package vocabulary_test
+package unknownfields_test
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 	"github.com/matryer/is"
 
 	"petrelstep/logs"
-	"petrelstep/vocabulary"
+	"petrelstep/unknownfields"
 )
 
 type counts map[string]int
 
-// WordUnread implements vocabulary.Counter.
+// WordUnread implements unknownfields.Counter.
 func (c counts) WordUnread(place, word string) { c[place+"/"+word]++ }
 
-// WordUnreadable implements vocabulary.Counter.
+// WordUnreadable implements unknownfields.Counter.
 func (c counts) WordUnreadable(place, word string) { c["unreadable "+place+"/"+word]++ }
 
 // TestHear shows which words are counted and logged.
@@ -43,7 +43,7 @@
 			is := is.New(t)
 			var out bytes.Buffer
 			c := counts{}
-			v := vocabulary.New("heads", []string{"Date"}, c, logs.New(&out, "info", "b"))
+			v := unknownfields.New("heads", []string{"Date"}, c, logs.New(&out, "info", "b"))
 			for i, word := range tt.words {
 				v.Hear(now.Add(time.Duration(i)*tt.after), "u1", word, "1")
 			}
@@ -59,14 +59,14 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	c := counts{}
-	v := vocabulary.New("heads", nil, c, logs.New(&out, "info", "b"))
+	v := unknownfields.New("heads", nil, c, logs.New(&out, "info", "b"))
 	for i := range 1000 {
 		v.Hear(time.Now(), "u1", fmt.Sprint("word", i), strings.Repeat("x", 1<<20))
 	}
 	is.Equal(len(c), 33)
-	is.Equal(c["heads/"+vocabulary.Other], 1000-32)
+	is.Equal(c["heads/"+unknownfields.Other], 1000-32)
 	is.True(out.Len() < 32*400)
-	var none *vocabulary.Vocabulary
+	var none *unknownfields.Reporter
 	none.Hear(time.Now(), "u1", "word", "")
 	none.Unreadable(time.Now(), "u1", "word", "")
 }
