--- a/admin/admin.go
+++ b/admin/admin.go
@@ -17,11 +17,11 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/check"
 	"petrelstep/front"
 	"petrelstep/metrics"
 	"petrelstep/refusal"
 	"petrelstep/resource"
+	"petrelstep/schemacheck"
 	"petrelstep/sse"
 	"petrelstep/wire"
 )
@@ -47,11 +47,11 @@
 // Admin is safe for use by several goroutines.
 type Admin struct {
 	Parts
-	resource *check.Checker
+	resource *schemacheck.Checker
 }
 
 // New returns the interface.
-func New(parts Parts) *Admin { return &Admin{Parts: parts, resource: check.New("Resource")} }
+func New(parts Parts) *Admin { return &Admin{Parts: parts, resource: schemacheck.New("Resource")} }
 
 // Handler serves the operators' address.
 func (a *Admin) Handler() http.Handler {
@@ -152,7 +152,7 @@
 	}
 	var item wire.Resource
 	if err := a.resource.Decode(raw, &item); err != nil {
-		var m *check.Mistakes
+		var m *schemacheck.Mistakes
 		errors.As(err, &m)
 		return refusal.New(refusal.BadRequest, "the resource has mistakes").WithPlaces(m.Places)
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"petrelstep/check"
+	"petrelstep/schemacheck"
 	"petrelstep/wire"
 )
 
@@ -37,8 +37,8 @@
 		return Config{}, &Error{File: file, Places: []string{err.Error()}}
 	}
 	var c Config
-	if err := check.New("Settings").Decode(raw, &c.Settings); err != nil {
-		var m *check.Mistakes
+	if err := schemacheck.New("Settings").Decode(raw, &c.Settings); err != nil {
+		var m *schemacheck.Mistakes
 		errors.As(err, &m)
 		return Config{}, &Error{File: file, Places: m.Places}
 	}
--- a/front/front.go
+++ b/front/front.go
@@ -15,7 +15,6 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/check"
 	"petrelstep/dispatch"
 	"petrelstep/inflight"
 	"petrelstep/ledger"
@@ -23,6 +22,7 @@
 	"petrelstep/refusal"
 	"petrelstep/resource"
 	"petrelstep/retry"
+	"petrelstep/schemacheck"
 	"petrelstep/ticket"
 	"petrelstep/upstream/engine"
 	"petrelstep/upstream/service"
@@ -54,7 +54,7 @@
 // Front is safe for use by several goroutines.
 type Front struct {
 	Parts
-	generation *check.Checker
+	generation *schemacheck.Checker
 	streams    atomic.Int64
 	draining   atomic.Bool
 	turn       atomic.Uint64
@@ -62,7 +62,7 @@
 
 // New returns a front.
 func New(parts Parts) *Front {
-	return &Front{Parts: parts, generation: check.New("GenerationRequest")}
+	return &Front{Parts: parts, generation: schemacheck.New("GenerationRequest")}
 }
 
 // Drain makes the front take nothing new.
@@ -186,7 +186,7 @@
 }
 
 func mistakes(err error) error {
-	var m *check.Mistakes
+	var m *schemacheck.Mistakes
 	if errors.As(err, &m) {
 		return refusal.New(refusal.BadRequest, "the request has mistakes").WithPlaces(m.Places)
 	}
--- a/check/check.go
+++ b/schemacheck/schemacheck.go
@@ -1,6 +1,6 @@
-// Package check holds JSON against a schema and lists every mistake with its
+// Package schemacheck holds JSON against a schema and lists every mistake with its
 // place, unknown fields too.
-package check
+package schemacheck
 
 import (
 	"bytes"
--- a/check/check_test.go
+++ b/schemacheck/schemacheck_test.go
@@ -1,4 +1,4 @@
-package check_test
+package schemacheck_test
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/check"
+	"petrelstep/schemacheck"
 	"petrelstep/wire"
 )
 
@@ -23,7 +23,7 @@
 		"not JSON":       {`{`, []string{"not JSON"}},
 		"enum":           {`{"model":"m","prompt":"p","deliver":"later"}`, []string{"/deliver"}},
 	}
-	checker := check.New("GenerationRequest")
+	checker := schemacheck.New("GenerationRequest")
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -34,7 +34,7 @@
 				is.Equal(body.MaxTokens, 32768) // the defaults are filled in
 				return
 			}
-			var m *check.Mistakes
+			var m *schemacheck.Mistakes
 			is.True(errors.As(err, &m))
 			is.Equal(len(m.Places), len(tt.places))
 			for i, part := range tt.places {
@@ -47,14 +47,14 @@
 // FuzzDecode decodes anything as what callers, operators and files send: no
 // panic, and every mistake has a place.
 func FuzzDecode(f *testing.F) {
-	checkers := []*check.Checker{check.New("GenerationRequest"), check.New("Resource"), check.New("Settings"), check.New("Upstream")}
+	checkers := []*schemacheck.Checker{schemacheck.New("GenerationRequest"), schemacheck.New("Resource"), schemacheck.New("Settings"), schemacheck.New("Upstream")}
 	f.Add([]byte(`{"model":"m","prompt":"p"}`))
 	f.Add([]byte(`{"kind":"Hall","name":"leith","spec":{"region":"r"}}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		for _, c := range checkers {
 			var v any
 			err := c.Decode(in, &v)
-			var m *check.Mistakes
+			var m *schemacheck.Mistakes
 			if err != nil && (!errors.As(err, &m) || len(m.Places) == 0) {
 				t.Fatalf("%q: %v", in, err)
 			}
--- a/verify/verify.go
+++ b/verify/verify.go
@@ -8,21 +8,21 @@
 	"slices"
 	"sort"
 
-	"petrelstep/check"
 	"petrelstep/resource"
+	"petrelstep/schemacheck"
 	"petrelstep/wire"
 )
 
 // Verifier holds the compiled schemas.
 type Verifier struct {
-	checks map[wire.ResourceKind]*check.Checker
+	checks map[wire.ResourceKind]*schemacheck.Checker
 }
 
 // New compiles the schemas of all kinds.
 func New() *Verifier {
-	v := &Verifier{checks: map[wire.ResourceKind]*check.Checker{}}
+	v := &Verifier{checks: map[wire.ResourceKind]*schemacheck.Checker{}}
 	for _, kind := range Kinds() {
-		v.checks[kind] = check.New(string(kind))
+		v.checks[kind] = schemacheck.New(string(kind))
 	}
 	return v
 }
@@ -47,7 +47,7 @@
 	}
 	var spec any
 	if err := checker.Decode(r.Spec, &spec); err != nil {
-		var m *check.Mistakes
+		var m *schemacheck.Mistakes
 		errors.As(err, &m)
 		places := make([]string, len(m.Places))
 		for i, p := range m.Places {
