--- a/admission/admission.go
+++ b/admission/admission.go
@@ -18,8 +18,8 @@
 
 	"petrelstep/balance/shares"
 	"petrelstep/balance/speeds"
-	"petrelstep/choose"
 	"petrelstep/fleet"
+	"petrelstep/picker"
 	"petrelstep/refusal"
 	"petrelstep/route"
 	"petrelstep/upstreamload"
@@ -76,7 +76,7 @@
 
 // ranking lists the upstreams of a service, the best first.
 type ranking interface {
-	Ranked(now time.Time, w choose.Want) []choose.Choice
+	Ranked(now time.Time, w picker.Want) []picker.Choice
 	// SampledFrom returns the number of upstreams of a service of which a sample is ranked;
 	// 0 where all are.
 	SampledFrom(s route.Service) int
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -16,9 +16,9 @@
 
 	"petrelstep/admission"
 	"petrelstep/balance/shares"
-	"petrelstep/choose"
 	"petrelstep/fleet"
 	"petrelstep/logs"
+	"petrelstep/picker"
 	"petrelstep/prefill"
 	"petrelstep/refusal"
 	"petrelstep/reliability"
@@ -41,7 +41,7 @@
 	tally   *upstreamload.Tracker
 	mu      sync.Mutex
 	fleet   *fleet.Fleet
-	chooser *choose.Chooser
+	chooser *picker.Picker
 	order   []string // in which requests had room
 	back    map[string]time.Duration
 }
@@ -57,7 +57,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	w := &world{fleet: f, tally: upstreamload.New(), back: map[string]time.Duration{}}
-	chooser := choose.New(choose.Parts{Fleet: f, Tally: w.tally, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
+	chooser := picker.New(picker.Parts{Fleet: f, Tally: w.tally, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	w.chooser = chooser
 	w.Admission = admission.New(chooser, w.tally, prefill.New(), s, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
 	return w
--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -20,9 +20,9 @@
 	"petrelstep/admission"
 	"petrelstep/balance/shares"
 	"petrelstep/balance/speeds"
-	"petrelstep/choose"
 	"petrelstep/fleet"
 	"petrelstep/logs"
+	"petrelstep/picker"
 	"petrelstep/prefill"
 	"petrelstep/refusal"
 	"petrelstep/reliability"
@@ -160,7 +160,7 @@
 	scene    scene
 	engines  map[string]*crowdEngineRun
 	tallies  []*upstreamload.Tracker
-	choosers []*choose.Chooser
+	choosers []*picker.Picker
 	speeds   []*speeds.Speeds // of the boxes
 	keeper   *admission.Admission
 
@@ -253,7 +253,7 @@
 			c.speeds[i] = speeds.New(f, noCount{}, logs.New(io.Discard, "info", "b"))
 		}
 		c.tallies = append(c.tallies, upstreamload.New())
-		c.choosers = append(c.choosers, choose.New(choose.Parts{
+		c.choosers = append(c.choosers, picker.New(picker.Parts{
 			Fleet: f, Tally: c.tallies[i], Reliability: reliability.New(), Reading: reading, Speeds: c.speeds[i], Hall: "leith", Random: rand.New(rand.NewPCG(7, uint64(i))),
 		}))
 	}
@@ -271,7 +271,7 @@
 // place finds an engine for a request of a box, as its policy does.
 func (c *crowd) place(ctx context.Context, box int, ask admission.Ask) (string, error) {
 	if !c.scene.queue {
-		u, _, _ := c.choosers[box].Choose(time.Now(), choose.Want{Service: crowdService, Tokens: ask.Prompt + ask.Answer})
+		u, _, _ := c.choosers[box].Choose(time.Now(), picker.Want{Service: crowdService, Tokens: ask.Prompt + ask.Answer})
 		return u.ID, nil
 	}
 	for ctx.Err() == nil {
--- a/admission/hold.go
+++ b/admission/hold.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"petrelstep/choose"
+	"petrelstep/picker"
 )
 
 const (
@@ -29,7 +29,7 @@
 }
 
 // anyCheap tells whether an engine is cheap that takes new work.
-func anyCheap(ranked []choose.Choice) bool {
+func anyCheap(ranked []picker.Choice) bool {
 	for _, c := range ranked {
 		if c.Cost < costly && !c.Held {
 			return true
--- a/admission/many_test.go
+++ b/admission/many_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 
 	"petrelstep/admission"
-	"petrelstep/choose"
 	"petrelstep/fleet"
 	"petrelstep/logs"
+	"petrelstep/picker"
 	"petrelstep/prefill"
 	"petrelstep/reliability"
 	"petrelstep/upstreamload"
@@ -23,13 +23,13 @@
 
 // counted counts the upstreams that are weighed.
 type counted struct {
-	*choose.Chooser
+	*picker.Picker
 	weighed int
 }
 
 // Ranked implements admission's ranking.
-func (c *counted) Ranked(now time.Time, w choose.Want) []choose.Choice {
-	list := c.Chooser.Ranked(now, w)
+func (c *counted) Ranked(now time.Time, w picker.Want) []picker.Choice {
+	list := c.Picker.Ranked(now, w)
 	c.weighed += len(list)
 	return list
 }
@@ -48,8 +48,8 @@
 		f.Put(time.Now(), fleet.Upstream{ID: fmt.Sprint("e", i), Service: "llm", Hall: fmt.Sprint("hall", i%6), Slots: slots, State: fleet.Open})
 	}
 	t := upstreamload.New()
-	chooser := choose.New(choose.Parts{Fleet: f, Tally: t, Reliability: reliability.New(), Reading: prefill.New(), Hall: "hall0", Random: rand.New(rand.NewPCG(1, 1))})
-	ranking := &counted{Chooser: chooser}
+	chooser := picker.New(picker.Parts{Fleet: f, Tally: t, Reliability: reliability.New(), Reading: prefill.New(), Hall: "hall0", Random: rand.New(rand.NewPCG(1, 1))})
+	ranking := &counted{Picker: chooser}
 	a := admission.New(ranking, t, prefill.New(), nil, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
 	return &manyEngines{Admission: a, ranking: ranking, tally: t, fleet: f}
 }
--- a/admission/round.go
+++ b/admission/round.go
@@ -5,13 +5,13 @@
 	"strings"
 	"time"
 
-	"petrelstep/choose"
+	"petrelstep/picker"
 	"petrelstep/route"
 )
 
 // round is what is looked up once for all that wait; it holds until room is given.
 type round struct {
-	ranked  map[string][]choose.Choice // upstreams in their order, by whom they are for
+	ranked  map[string][]picker.Choice // upstreams in their order, by whom they are for
 	leaving map[string]int             // tokens that run at those that leave, by service
 
 	reserved map[string]bool // upstreams that are kept for who is overdue, in this round
@@ -23,7 +23,7 @@
 const allEvery = 10 * time.Microsecond
 
 func newRound(sampled bool) round {
-	return round{ranked: map[string][]choose.Choice{}, leaving: map[string]int{}, reserved: map[string]bool{}, sampled: sampled}
+	return round{ranked: map[string][]picker.Choice{}, leaving: map[string]int{}, reserved: map[string]bool{}, sampled: sampled}
 }
 
 // sampled returns a round that ranks samples where upstreams are many: what is idle is
@@ -58,12 +58,12 @@
 }
 
 // ranked returns the upstreams that a request may go to, the emptiest first.
-func (a *Admission) ranked(now time.Time, r round, ask Ask) []choose.Choice {
+func (a *Admission) ranked(now time.Time, r round, ask Ask) []picker.Choice {
 	need := a.need(ask)
 	key := strings.Join(append([]string{strconv.FormatBool(r.sampled), ask.Service.Name, ask.Hall, strings.Join(ask.Regions, ","), need.String()}, ask.Avoid...), "/")
 	list, ok := r.ranked[key]
 	if !ok {
-		list = a.ranking.Ranked(now, choose.Want{
+		list = a.ranking.Ranked(now, picker.Want{
 			Service: ask.Service, Tokens: ask.Prompt + ask.Answer, Hall: ask.Hall, Need: need, Avoid: ask.Avoid, Regions: ask.Regions, All: !r.sampled, Sample: r.sampled,
 		})
 		r.ranked[key] = list
--- a/balance/places/line_test.go
+++ b/balance/places/line_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 
 	"petrelstep/balance/places"
-	"petrelstep/choose"
 	"petrelstep/fleet"
+	"petrelstep/picker"
 	"petrelstep/refusal"
 	"petrelstep/upstreamload"
 	"petrelstep/wire"
@@ -45,7 +45,7 @@
 
 func (w *world) request(urgency int, wait time.Duration) places.Ask {
 	now := time.Now()
-	return places.Ask{Urgency: urgency, Arrived: now, Aim: aim, Deadline: now.Add(wait), Want: choose.Want{Service: w.service}}
+	return places.Ask{Urgency: urgency, Arrived: now, Aim: aim, Deadline: now.Add(wait), Want: picker.Want{Service: w.service}}
 }
 
 // TestCrowd takes places one after the other where the upstreams can do 300 a second.
@@ -120,7 +120,7 @@
 				is := is.New(t)
 				w, b := crowd(600)
 				b.places.Shares = tt.over
-				others := places.Ask{Organisation: "large", Urgency: 5, Arrived: time.Now().Add(-aim), Aim: aim, Deadline: time.Now().Add(time.Minute), Want: choose.Want{Service: w.service}}
+				others := places.Ask{Organisation: "large", Urgency: 5, Arrived: time.Now().Add(-aim), Aim: aim, Deadline: time.Now().Add(time.Minute), Want: picker.Want{Service: w.service}}
 				last := others
 				last.Organisation, last.Urgency, last.Deadline = "small", tt.urgency, last.Deadline.Add(time.Second)
 				if tt.inTime {
--- a/balance/places/pick.go
+++ b/balance/places/pick.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"petrelstep/choose"
 	"petrelstep/fleet"
+	"petrelstep/picker"
 	"petrelstep/refusal"
 )
 
@@ -49,7 +49,7 @@
 
 // pick draws two upstreams and returns the one with less of this box's requests for
 // its places.
-func (p *Places) pick(now time.Time, ask Ask) (choose.Choice, error) {
+func (p *Places) pick(now time.Time, ask Ask) (picker.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(now, ask.Want.Service)
@@ -58,11 +58,11 @@
 	at := p.draw(weights)
 	switch {
 	case at < 0 && usedUp:
-		return choose.Choice{}, refusal.New(refusal.UpstreamLimited, "upstreams of "+s.service.Name+" take no more for now").WithRetryAfter(leastBack)
+		return picker.Choice{}, refusal.New(refusal.UpstreamLimited, "upstreams of "+s.service.Name+" take no more for now").WithRetryAfter(leastBack)
 	case at < 0 && len(list) > 0:
-		return choose.Choice{}, refusal.New(refusal.UpstreamCold, "upstreams of "+s.service.Name+" are cold").WithRetryAfter(coldBack)
+		return picker.Choice{}, refusal.New(refusal.UpstreamCold, "upstreams of "+s.service.Name+" are cold").WithRetryAfter(coldBack)
 	case at < 0:
-		return choose.Choice{}, refusal.New(refusal.NoUpstream, "no upstream of "+s.service.Name).WithRetryAfter(coldBack)
+		return picker.Choice{}, refusal.New(refusal.NoUpstream, "no upstream of "+s.service.Name).WithRetryAfter(coldBack)
 	}
 	// Few of a box's requests are at a limited one, which says nothing of how empty it is.
 	if other := p.draw(weights); !p.limited(list[at]) && !p.limited(list[other]) && s.filledBy(list[other]) < s.filledBy(list[at]) {
@@ -73,14 +73,14 @@
 }
 
 // filledBy returns the share of an upstream's places that this box's requests take.
-func (s *service) filledBy(c choose.Choice) float64 {
+func (s *service) filledBy(c picker.Choice) float64 {
 	return float64(s.upstream(c.Upstream.ID).own) / float64(max(c.Upstream.Slots, 1))
 }
 
 // weights returns how often each upstream is drawn, and whether a limited one has nothing
 // to give for now. A limited one is asked for as often as if it was not, but no more than
 // some times what is given out of its limit (press); the others share the rest.
-func (p *Places) weights(now time.Time, s *service, list []choose.Choice) (weights []float64, usedUp bool) {
+func (p *Places) weights(now time.Time, s *service, list []picker.Choice) (weights []float64, usedUp bool) {
 	weights = make([]float64, len(list))
 	parts := make([]float64, len(list)) // limited ones' parts of all requests
 	sum, rest, taken := 0.0, 0.0, 0.0
@@ -118,13 +118,13 @@
 }
 
 // limited tells whether an upstream names how much it takes.
-func (p *Places) limited(c choose.Choice) bool {
+func (p *Places) limited(c picker.Choice) bool {
 	_, limited := limitOf(p.Limits, c.Upstream.ID)
 	return limited
 }
 
 // weight is how often an upstream is drawn while so much of the own hall is used.
-func (p *Places) weight(now time.Time, s *service, c choose.Choice, near float64) float64 {
+func (p *Places) weight(now time.Time, s *service, c picker.Choice, near float64) float64 {
 	if c.Held {
 		return 0
 	}
--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -15,9 +15,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/choose"
 	"petrelstep/fleet"
 	"petrelstep/peerstate"
+	"petrelstep/picker"
 	"petrelstep/refusal"
 	"petrelstep/route"
 	"petrelstep/wire"
@@ -48,7 +48,7 @@
 // Ranker knows the upstreams of a service.
 type Ranker interface {
 	// Ranked returns those that a request may go to, with what runs there.
-	Ranked(now time.Time, w choose.Want) []choose.Choice
+	Ranked(now time.Time, w picker.Want) []picker.Choice
 }
 
 // Limits knows which upstreams name how much they take.
@@ -106,7 +106,7 @@
 	Arrived      time.Time
 	Aim          time.Duration
 	Deadline     time.Time
-	Want         choose.Want
+	Want         picker.Want
 }
 
 func (a Ask) aimAt() time.Time { return a.Arrived.Add(a.Aim) }
@@ -117,15 +117,15 @@
 
 // Take returns an upstream for a request as soon as it may be sent. The error is a
 // refusal.Refusal: then the request has not been sent anywhere.
-func (p *Places) Take(ctx context.Context, ask Ask) (choose.Choice, error) {
+func (p *Places) Take(ctx context.Context, ask Ask) (picker.Choice, error) {
 	now := time.Now()
 	w, err := p.enter(now, ask)
 	if err != nil {
-		return choose.Choice{}, err
+		return picker.Choice{}, err
 	}
 	if w != nil {
 		if err := p.wait(ctx, w); err != nil {
-			return choose.Choice{}, err
+			return picker.Choice{}, err
 		}
 	}
 	return p.pick(time.Now(), ask)
@@ -175,7 +175,7 @@
 }
 
 // Again returns another upstream for a request that has been let through.
-func (p *Places) Again(ask Ask) (choose.Choice, error) { return p.pick(time.Now(), ask) }
+func (p *Places) Again(ask Ask) (picker.Choice, error) { return p.pick(time.Now(), ask) }
 
 // Went notes that a request goes to an upstream that it was not given here.
 func (p *Places) Went(ask Ask, at fleet.Upstream) {
@@ -342,7 +342,7 @@
 	others := p.others.Of(now, r.Name)
 	s.all, s.toldWork = s.demand(now)+others.asked, others.work()
 	if now.Sub(s.looked) >= lookEvery {
-		s.look(now, p.Ranker.Ranked(now, choose.Want{Service: r, All: true}), p.Hall, p.Failing, p.Limits)
+		s.look(now, p.Ranker.Ranked(now, picker.Want{Service: r, All: true}), p.Hall, p.Failing, p.Limits)
 		p.note(now, s)
 	}
 	s.rate = s.part(now)
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -14,9 +14,9 @@
 	"github.com/matryer/is"
 
 	"petrelstep/balance/places"
-	"petrelstep/choose"
 	"petrelstep/fleet"
 	"petrelstep/logs"
+	"petrelstep/picker"
 	"petrelstep/prefill"
 	"petrelstep/refusal"
 	"petrelstep/reliability"
@@ -94,7 +94,7 @@
 	fleet       *fleet.Fleet
 	tally       *upstreamload.Tracker
 	reliability *reliability.Reliability
-	chooser     *choose.Chooser
+	chooser     *picker.Picker
 	places      *places.Places
 }
 
@@ -138,7 +138,7 @@
 	b := &box{fleet: fleet.New(time.Second), tally: upstreamload.New(), reliability: reliability.New()}
 	b.fleet.Replace(time.Now(), list, 1, false)
 	hall := fmt.Sprint("h", seed%3)
-	b.chooser = choose.New(choose.Parts{
+	b.chooser = picker.New(picker.Parts{
 		Fleet: b.fleet, Tally: b.tally, Reliability: b.reliability, Reading: prefill.New(), Hall: hall, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
 	b.places = places.New(places.Parts{
@@ -283,7 +283,7 @@
 	arrived := time.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	want := choose.Want{Service: w.service}
+	want := picker.Want{Service: w.service}
 	for range 2 {
 		ask := places.Ask{Urgency: urgency, Arrived: arrived, Aim: w.aim, Deadline: deadline, Want: want}
 		c, err := b.places.Take(ctx, ask)
--- a/balance/places/service.go
+++ b/balance/places/service.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/choose"
+	"petrelstep/picker"
 	"petrelstep/route"
 )
 
@@ -105,7 +105,7 @@
 }
 
 // look takes how much the upstreams are used into the means.
-func (s *service) look(now time.Time, list []choose.Choice, hall string, failing func(time.Time, string) float64, limits Limits) {
+func (s *service) look(now time.Time, list []picker.Choice, hall string, failing func(time.Time, string) float64, limits Limits) {
 	part := 1.0
 	if s.known {
 		part = 1 - fade(now.Sub(s.looked), useOver)
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -16,7 +16,6 @@
 	"petrelstep/backoff"
 	"petrelstep/balance/places"
 	"petrelstep/balance/speeds"
-	"petrelstep/choose"
 	"petrelstep/config"
 	"petrelstep/evacuate"
 	"petrelstep/fleet"
@@ -28,6 +27,7 @@
 	"petrelstep/moveturns"
 	"petrelstep/outputlen"
 	"petrelstep/peer"
+	"petrelstep/picker"
 	"petrelstep/platform/blocklist"
 	"petrelstep/platform/callers"
 	"petrelstep/platform/manifest"
@@ -233,7 +233,7 @@
 	}
 	warm := warmup.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 5)))
 	e.fleet.OnRestart(e.restarted(warm))
-	chooser := choose.New(choose.Parts{
+	chooser := picker.New(picker.Parts{
 		Fleet: e.fleet, Tally: e.tally, Reliability: e.reliability, Reading: reading, Hall: e.config.Hall, Speeds: e.speeds,
 		Warmup: warm, Part: e.part, Limits: e.limiter, Rest: e.rest, Regions: s.Regions,
 		Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 1)),
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -150,7 +150,7 @@
 	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) / float64(max(l.Count(), 1)), Part: true}
 }
 
-// May implements choose.Limits: on engines this box gives room to all, or sends its part.
+// May implements picker.Limits: on engines this box gives room to all, or sends its part.
 func (l *limiter) May(now time.Time, service route.Service, upstream string) bool {
 	perSecond, _, limited := l.limits.Of(now, upstream)
 	if !limited {
@@ -162,7 +162,7 @@
 	return l.parts.Free(now, upstream, l.partRate(perSecond))
 }
 
-// Sent implements choose.Limits. What this box sends to an engine beside the keeper, as a
+// Sent implements picker.Limits. What this box sends to an engine beside the keeper, as a
 // run that was moved goes on there, is told to the keeper.
 func (l *limiter) Sent(now time.Time, service route.Service, upstream string) {
 	perSecond, _, limited := l.limits.Of(now, upstream)
--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -13,9 +13,9 @@
 	"github.com/sirupsen/logrus"
 
 	"petrelstep/balance/speeds"
-	"petrelstep/choose"
 	"petrelstep/exchange"
 	"petrelstep/fleet"
+	"petrelstep/picker"
 	"petrelstep/route"
 	"petrelstep/runs"
 	"petrelstep/upstreamload"
@@ -86,7 +86,7 @@
 // Parts are what an evacuator works with.
 type Parts struct {
 	Runs     *runs.Runs
-	Chooser  *choose.Chooser
+	Chooser  *picker.Picker
 	Mover    Mover
 	Turns    Turns
 	Services Services
@@ -154,8 +154,8 @@
 	avoid := []string{u.ID}
 	err := ErrNoRoom
 	for tries := 0; tries < targetsMost && errors.Is(err, ErrNoRoom); tries++ {
-		ranked := e.Chooser.Ranked(time.Now(), choose.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.Gap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
-		ranked = slices.DeleteFunc(ranked, func(c choose.Choice) bool { return c.Held })
+		ranked := e.Chooser.Ranked(time.Now(), picker.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.Gap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
+		ranked = slices.DeleteFunc(ranked, func(c picker.Choice) bool { return c.Held })
 		if len(ranked) == 0 {
 			break
 		}
@@ -187,7 +187,7 @@
 }
 
 // take waits for the turn to move a run to one of some targets.
-func (e *Evacuator) take(ctx context.Context, run *runs.Run, u fleet.Upstream, ranked []choose.Choice) (target choose.Choice, giveBack func()) {
+func (e *Evacuator) take(ctx context.Context, run *runs.Run, u fleet.Upstream, ranked []picker.Choice) (target picker.Choice, giveBack func()) {
 	ask := Ask{Source: u, Tokens: run.Tokens()}
 	for _, c := range ranked {
 		ask.Targets = append(ask.Targets, c.Upstream.ID)
--- a/choose/bench_test.go
+++ b/picker/bench_test.go
@@ -1,11 +1,11 @@
-package choose_test
+package picker_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"petrelstep/choose"
+	"petrelstep/picker"
 	"petrelstep/upstreamload"
 )
 
@@ -21,7 +21,7 @@
 			b.Run(fmt.Sprint(name, "/", engines), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					c.Choose(time.Now(), choose.Want{Service: service, Tokens: 4000, All: all})
+					c.Choose(time.Now(), picker.Want{Service: service, Tokens: 4000, All: all})
 				}
 			})
 		}
--- a/choose/choose.go
+++ b/picker/picker.go
@@ -1,5 +1,5 @@
-// Package choose picks the upstream that a request goes to, or a run moves to.
-package choose
+// Package picker picks the upstream that a request goes to, or a run moves to.
+package picker
 
 import (
 	"cmp"
@@ -60,8 +60,8 @@
 	targetFar    = 2
 )
 
-// Chooser is safe for use by several goroutines.
-type Chooser struct {
+// Picker is safe for use by several goroutines.
+type Picker struct {
 	Parts
 
 	mu sync.Mutex // guards Random
@@ -84,7 +84,7 @@
 }
 
 // New returns a chooser of a box in a hall.
-func New(parts Parts) *Chooser { return &Chooser{Parts: parts} }
+func New(parts Parts) *Picker { return &Picker{Parts: parts} }
 
 // Limits knows which upstreams name how much they take.
 type Limits interface {
@@ -126,7 +126,7 @@
 
 // Choose returns the upstream with the most room, and its load as a share of
 // its capacity. It reports false if there is none.
-func (c *Chooser) Choose(now time.Time, w Want) (best fleet.Upstream, load float64, found bool) {
+func (c *Picker) Choose(now time.Time, w Want) (best fleet.Upstream, load float64, found bool) {
 	for _, r := range c.Ranked(now, w) {
 		if !r.Held {
 			return r.Upstream, r.Load, true
@@ -136,12 +136,12 @@
 }
 
 // Gave notes that the keeper of a queue sends a request to an upstream.
-func (c *Chooser) Gave(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
+func (c *Picker) Gave(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
 	c.Speeds.Gave(now, u, n, running)
 }
 
 // Sent notes that a request goes to an upstream.
-func (c *Chooser) Sent(now time.Time, s route.Service, u fleet.Upstream) {
+func (c *Picker) Sent(now time.Time, s route.Service, u fleet.Upstream) {
 	if c.Warmup != nil && now.Before(u.Cold) {
 		c.Warmup.Sent(now, u.ID, c.limit(s))
 	}
@@ -152,7 +152,7 @@
 
 // usedUp tells whether an engine that names a limit may get no more for now. A run that
 // moves goes to one that names none.
-func (c *Chooser) usedUp(now time.Time, w Want, u fleet.Upstream) bool {
+func (c *Picker) usedUp(now time.Time, w Want, u fleet.Upstream) bool {
 	if c.Limits == nil || w.Service.Engine == nil {
 		return false
 	}
@@ -166,17 +166,17 @@
 // held tells whether an upstream is cold and may get no more for now. A run that
 // moves there is not held: turns give an upstream one copy at a time, and the run
 // would be lost.
-func (c *Chooser) held(now time.Time, w Want, u fleet.Upstream) bool {
+func (c *Picker) held(now time.Time, w Want, u fleet.Upstream) bool {
 	return c.Warmup != nil && now.Before(u.Cold) && !w.Moves && !c.Warmup.May(now, u.ID, c.limit(w.Service))
 }
 
-func (c *Chooser) limit(s route.Service) warmup.Limit {
+func (c *Picker) limit(s route.Service) warmup.Limit {
 	return warmup.Limit{PerSecond: s.ColdPerSecond, Part: c.Part(s)}
 }
 
 // Ranked returns the upstreams that were weighed, the one with the most room
 // first.
-func (c *Chooser) Ranked(now time.Time, w Want) []Choice {
+func (c *Picker) Ranked(now time.Time, w Want) []Choice {
 	if w.Hall == "" {
 		w.Hall = c.Hall
 	}
@@ -201,7 +201,7 @@
 }
 
 // Leaving returns what runs at the upstreams of a service that leave.
-func (c *Chooser) Leaving(now time.Time, service string) upstreamload.Load {
+func (c *Picker) Leaving(now time.Time, service string) upstreamload.Load {
 	var sum upstreamload.Load
 	for _, u := range c.Fleet.Leavers(now, service, leavingFor) {
 		sum = sum.Plus(c.Tally.Load(now, u.ID))
@@ -217,7 +217,7 @@
 }
 
 // candidates returns the upstreams to weigh.
-func (c *Chooser) candidates(now time.Time, w Want) []fleet.Upstream {
+func (c *Picker) candidates(now time.Time, w Want) []fleet.Upstream {
 	list := c.Fleet.Serving(w.Service.Name)
 	if w.Own {
 		list = c.Rest.Without(now, list)
@@ -245,7 +245,7 @@
 }
 
 // sample returns a small random sample of a list.
-func (c *Chooser) sample(list []fleet.Upstream) []fleet.Upstream {
+func (c *Picker) sample(list []fleet.Upstream) []fleet.Upstream {
 	picked := make([]fleet.Upstream, 0, spreadSize)
 	taken := make([]int, 0, spreadSize)
 	for len(picked) < spreadSize {
@@ -267,7 +267,7 @@
 }
 
 // load is the share of an upstream's capacity that is in use.
-func (c *Chooser) load(w Want, u fleet.Upstream, l upstreamload.Load) float64 {
+func (c *Picker) load(w Want, u fleet.Upstream, l upstreamload.Load) float64 {
 	places := float64(l.Requests) / float64(max(u.Slots, 1))
 	e := w.Service.Engine
 	if e == nil || e.Memory == 0 {
@@ -279,7 +279,7 @@
 // judge weighs how fast upstreams are for a request, and returns what that is in
 // scores: by what is known of them, or, where nothing is or that is off, by the paces of
 // what streams there.
-func (c *Chooser) judge(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Judged, scores []float64) {
+func (c *Picker) judge(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Judged, scores []float64) {
 	scores = make([]float64, len(list))
 	judged = c.Speeds.Judge(now, w.Service.Name, list, loads, w.Need)
 	if judged == nil {
@@ -322,7 +322,7 @@
 	return slowing * (float64(pace)/float64(usual) - 1)
 }
 
-func (c *Chooser) penalty(now time.Time, w Want, u fleet.Upstream) float64 {
+func (c *Picker) penalty(now time.Time, w Want, u fleet.Upstream) float64 {
 	p := failing*c.Reliability.Failing(now, u.ID) + noise*c.draw()
 	if u.Hall != w.Hall {
 		p += far
@@ -336,7 +336,7 @@
 	return p
 }
 
-func (c *Chooser) draw() float64 {
+func (c *Picker) draw() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Random.Float64()
--- a/choose/choose_test.go
+++ b/picker/picker_test.go
@@ -1,4 +1,4 @@
-package choose_test
+package picker_test
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/choose"
 	"petrelstep/fleet"
+	"petrelstep/picker"
 	"petrelstep/prefill"
 	"petrelstep/reliability"
 	"petrelstep/route"
@@ -25,7 +25,7 @@
 
 // chooser returns a chooser of a box in Leith, before upstreams in halls; loads
 // are the tokens that already run at some of them.
-func chooser(halls []string, loads map[int]int) *choose.Chooser {
+func chooser(halls []string, loads map[int]int) *picker.Picker {
 	c, running := chooserOf(halls)
 	for i, tokens := range loads {
 		running.Begin(fmt.Sprint("e", i), upstreamload.Load{Requests: 1, Tokens: tokens})
@@ -34,7 +34,7 @@
 }
 
 // chooserOf returns such a chooser and the tally that it looks into.
-func chooserOf(halls []string) (*choose.Chooser, *upstreamload.Tracker) {
+func chooserOf(halls []string) (*picker.Picker, *upstreamload.Tracker) {
 	f := fleet.New(time.Second)
 	list := make([]fleet.Upstream, len(halls))
 	for i, hall := range halls {
@@ -42,7 +42,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	running := upstreamload.New()
-	return choose.New(choose.Parts{Fleet: f, Tally: running, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), running
+	return picker.New(picker.Parts{Fleet: f, Tally: running, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), running
 }
 
 // spread returns n upstreams, every fourth of them in Leith.
@@ -81,7 +81,7 @@
 			is := is.New(t)
 			c := chooser(tt.halls, tt.loads)
 			for range 50 {
-				u, _, ok := c.Choose(time.Now(), choose.Want{Service: service, Tokens: 4000, Hall: "leith", Moves: true})
+				u, _, ok := c.Choose(time.Now(), picker.Want{Service: service, Tokens: 4000, Hall: "leith", Moves: true})
 				is.True(ok)
 				is.Equal(u.Hall == "leith", tt.near)
 			}
@@ -96,7 +96,7 @@
 	c := chooser(spread(40), nil)
 	seen := map[string]bool{}
 	for range 50 {
-		u, _, ok := c.Choose(time.Now(), choose.Want{Service: service, Tokens: 4000})
+		u, _, ok := c.Choose(time.Now(), picker.Want{Service: service, Tokens: 4000})
 		is.True(ok)
 		seen[u.ID] = true
 	}
@@ -135,7 +135,7 @@
 				}})
 			}
 			for range 50 {
-				u, _, ok := c.Choose(time.Now(), choose.Want{Service: service, Tokens: 4000})
+				u, _, ok := c.Choose(time.Now(), picker.Want{Service: service, Tokens: 4000})
 				is.True(ok)
 				if unwanted, not := strings.CutPrefix(tt.want, "not "); not {
 					is.True(u.ID != unwanted)
@@ -177,10 +177,10 @@
 				u.Version, u.Cold = 2, now.Add(time.Second)
 				c.Fleet.Put(now, u)
 			}
-			u, _, ok := c.Choose(now, choose.Want{Service: service, Tokens: 100, Moves: tt.moves})
+			u, _, ok := c.Choose(now, picker.Want{Service: service, Tokens: 100, Moves: tt.moves})
 			is.Equal(ok, tt.want != "")
 			is.Equal(u.ID, tt.want)
-			warm, _, ok := c.Choose(now.Add(time.Second), choose.Want{Service: service, Tokens: 100})
+			warm, _, ok := c.Choose(now.Add(time.Second), picker.Want{Service: service, Tokens: 100})
 			is.True(ok)
 			is.Equal(warm.ID, "e0")
 		})
@@ -195,7 +195,7 @@
 	c.Fleet.Put(now, u)
 	sent := 0
 	for ; sent < 100; sent++ {
-		if _, _, ok := c.Choose(now, choose.Want{Service: service}); !ok {
+		if _, _, ok := c.Choose(now, picker.Want{Service: service}); !ok {
 			break
 		}
 		c.Sent(now, service, u)
@@ -223,7 +223,7 @@
 			c, _ := chooserOf(tt.halls)
 			c.Regions = map[string]string{"leith": "edinburgh", "gorgie": "edinburgh", "parnu": "north"}
 			for _, moves := range []bool{false, true} {
-				u, _, ok := c.Choose(time.Now(), choose.Want{Service: service, Regions: tt.regions, Moves: moves})
+				u, _, ok := c.Choose(time.Now(), picker.Want{Service: service, Regions: tt.regions, Moves: moves})
 				is.Equal(ok, tt.want != "")
 				is.Equal(u.ID, tt.want)
 			}
--- a/choose/sample.go
+++ b/picker/sample.go
@@ -1,4 +1,4 @@
-package choose
+package picker
 
 import (
 	"slices"
@@ -21,7 +21,7 @@
 
 // SampledFrom returns the number of upstreams of a service of which a sample is ranked; 0
 // where all are.
-func (c *Chooser) SampledFrom(s route.Service) int {
+func (c *Picker) SampledFrom(s route.Service) int {
 	if n := len(c.Fleet.Serving(s.Name)); n > sampleAbove {
 		return n
 	}
@@ -30,7 +30,7 @@
 
 // sampleByHall returns a random sample of a long list, most of it of one hall. Its cost
 // does not grow with the list.
-func (c *Chooser) sampleByHall(list []fleet.Upstream, hall string) []fleet.Upstream {
+func (c *Picker) sampleByHall(list []fleet.Upstream, hall string) []fleet.Upstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var near, elsewhere []int
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -7,8 +7,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/choose"
 	"petrelstep/fleet"
+	"petrelstep/picker"
 	"petrelstep/ratelimit"
 	"petrelstep/refusal"
 	"petrelstep/route"
@@ -132,7 +132,7 @@
 }
 
 // soonest returns the limited upstream that has something first, and in how long.
-func (r *Relay) soonest(j *job) (soonest choose.Choice, in time.Duration, found bool) {
+func (r *Relay) soonest(j *job) (soonest picker.Choice, in time.Duration, found bool) {
 	now := time.Now()
 	want := j.want()
 	want.All = true
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -18,13 +18,13 @@
 	"petrelstep/backoff"
 	"petrelstep/balance/places"
 	"petrelstep/balance/speeds"
-	"petrelstep/choose"
 	"petrelstep/exchange"
 	"petrelstep/fingerprint"
 	"petrelstep/fleet"
 	"petrelstep/limits"
 	"petrelstep/metrics"
 	"petrelstep/outputlen"
+	"petrelstep/picker"
 	"petrelstep/prefill"
 	"petrelstep/protect/buffers"
 	"petrelstep/quarantine"
@@ -62,7 +62,7 @@
 type Parts struct {
 	Belief      *routecache.Cache
 	Fleet       *fleet.Fleet
-	Chooser     *choose.Chooser
+	Chooser     *picker.Picker
 	Admitter    Admitter       // nil: straight to the emptiest engine
 	Places      *places.Places // nil: straight to the emptiest plain upstream
 	Tally       *upstreamload.Tracker
@@ -347,7 +347,7 @@
 }
 
 // choose picks the upstream with the most room.
-func (r *Relay) choose(service route.Service, want choose.Want) (u fleet.Upstream, load float64, err error) {
+func (r *Relay) choose(service route.Service, want picker.Want) (u fleet.Upstream, load float64, err error) {
 	u, load, ok := r.Chooser.Choose(time.Now(), want)
 	switch {
 	case ok:
@@ -380,8 +380,8 @@
 }
 
 // want is what an upstream is chosen for.
-func (j *job) want() choose.Want {
-	return choose.Want{Service: j.service, Tokens: j.req.Prompt, Avoid: j.avoid(), Regions: j.req.Regions, Own: true}
+func (j *job) want() picker.Want {
+	return picker.Want{Service: j.service, Tokens: j.req.Prompt, Avoid: j.avoid(), Regions: j.req.Regions, Own: true}
 }
 
 // avoid lists the upstreams that the request is not sent to again.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -18,12 +18,12 @@
 
 	"petrelstep/admission"
 	"petrelstep/balance/places"
-	"petrelstep/choose"
 	"petrelstep/exchange"
 	"petrelstep/fleet"
 	"petrelstep/logs"
 	"petrelstep/metrics"
 	"petrelstep/outputlen"
+	"petrelstep/picker"
 	"petrelstep/prefill"
 	"petrelstep/protect/buffers"
 	"petrelstep/refusal"
@@ -242,7 +242,7 @@
 	w.failed = reliability.New()
 	w.relay = relay.New(relay.Parts{
 		Belief: w.belief, Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Sender: w.sender, Lengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
-		Chooser: choose.New(choose.Parts{Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
+		Chooser: picker.New(picker.Parts{Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
 		Full: func() bool { return w.full },
 		Stopping: func() (relay.Stop, bool) {
 			return relay.Stop{Since: grace - w.leaves, Left: w.leaves, Most: w.most}, w.leaves > 0
