--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -20,7 +20,6 @@
 
 	"petrelstep/config"
 	"petrelstep/fingerprint"
-	"petrelstep/follow"
 	"petrelstep/gossip"
 	"petrelstep/logs"
 	"petrelstep/members"
@@ -29,6 +28,7 @@
 	"petrelstep/peer"
 	"petrelstep/platform/manifest"
 	"petrelstep/platform/store"
+	"petrelstep/tablesync"
 	"petrelstep/upstreamload"
 	"petrelstep/wire"
 )
@@ -426,8 +426,8 @@
 	c.mu.Unlock()
 	time.AfterFunc(listTime, func() { e.restarts(records) })
 	workers := manifest.NewWorkers(reader{c.table, e.Name()}, e.fleet, e.names, e.metrics, e.log)
-	go follow.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log).Run(ctx)
-	go follow.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log).Run(ctx)
+	go tablesync.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log).Run(ctx)
+	go tablesync.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log).Run(ctx)
 	go e.timer.Every(ctx, "tick", tickEvery, func(now time.Time) {
 		e.fleet.Tick(now)
 		e.quarantine.Tick(now)
--- a/edge/run.go
+++ b/edge/run.go
@@ -11,12 +11,12 @@
 	"github.com/gorilla/mux"
 	"github.com/sirupsen/logrus"
 
-	"petrelstep/follow"
 	"petrelstep/gossip"
 	"petrelstep/peer/edgerpc"
 	"petrelstep/platform/manifest"
 	"petrelstep/probe"
 	"petrelstep/readpolicy"
+	"petrelstep/tablesync"
 )
 
 const (
@@ -146,9 +146,9 @@
 // start starts the tasks that are not bound to a caller.
 func (e *Edge) start(ctx context.Context, all *sync.WaitGroup) {
 	workers := manifest.NewWorkers(e.store, e.fleet, e.names, e.metrics, e.log)
-	configuration := follow.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log)
+	configuration := tablesync.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log)
 	all.Go(func() { configuration.Run(ctx) })
-	upstreams := follow.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log)
+	upstreams := tablesync.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log)
 	all.Go(func() { upstreams.Run(ctx) })
 	all.Go(func() { e.timer.Every(ctx, "tick", tickEvery, e.tick) })
 	look := probe.New(e.fleet, e.storeSilent, e.runs, e.upstreams, e.limits, e.rest, e.log)
@@ -168,10 +168,10 @@
 	confirm, answered func(at time.Time)
 }
 
-// Confirm implements follow.Heard.
+// Confirm implements tablesync.Heard.
 func (h heard) Confirm(sent time.Time) { h.confirm(sent) }
 
-// Answered implements follow.Heard.
+// Answered implements tablesync.Heard.
 func (h heard) Answered(at time.Time) { h.answered(at) }
 
 // storeAnswered notes that the store answered this box or a hub at a time.
@@ -231,7 +231,7 @@
 }
 
 // reading decides when this box reads a table whose knowledge has an age.
-func (e *Edge) reading(table string, age func(now time.Time) (time.Duration, bool)) follow.Need {
+func (e *Edge) reading(table string, age func(now time.Time) (time.Duration, bool)) tablesync.Need {
 	return &reads{Policy: readpolicy.New(e, age, e.config.Edge.ColdStart, e.random), table: table, edge: e, age: age}
 }
 
@@ -244,7 +244,7 @@
 	last  readpolicy.Reason
 }
 
-// Needed implements follow.Need.
+// Needed implements tablesync.Need.
 func (r *reads) Needed(now time.Time) bool {
 	reason := r.Reason(now)
 	if reason != r.last && reason != readpolicy.None {
--- a/edge/start_test.go
+++ b/edge/start_test.go
@@ -17,11 +17,11 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/follow"
 	"petrelstep/gossip"
 	"petrelstep/members"
 	"petrelstep/platform/manifest"
 	"petrelstep/platform/store"
+	"petrelstep/tablesync"
 	"petrelstep/wire"
 )
 
@@ -68,8 +68,8 @@
 	e.boxes = manifest.NewBoxes(rows, e.metrics, e.log)
 	e.configuration = manifest.NewConfiguration(rows, e.belief, e.halls, e.log)
 	workers := manifest.NewWorkers(rows, e.fleet, e.names, e.metrics, e.log)
-	go follow.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log).Run(ctx)
-	go follow.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log).Run(ctx)
+	go tablesync.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log).Run(ctx)
+	go tablesync.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log).Run(ctx)
 	go e.timer.Every(ctx, "tick", tickEvery, e.tick)
 	go e.timer.Every(ctx, "register", registerEvery, func(time.Time) { e.registrar.write(ctx) })
 	go e.join(ctx)
--- a/readpolicy/readpolicy.go
+++ b/readpolicy/readpolicy.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"petrelstep/follow"
+	"petrelstep/tablesync"
 )
 
 const (
@@ -130,7 +130,7 @@
 	Old      Reason = "old"      // the hubs tell what is old
 )
 
-// Needed implements follow.Need: it tells whether this box is to read now.
+// Needed implements tablesync.Need: it tells whether this box is to read now.
 func (r *Policy) Needed(now time.Time) bool { return r.Reason(now) != None }
 
 // Reason returns why this box is to read now.
@@ -220,7 +220,7 @@
 	return r.joined
 }
 
-// Wait implements follow.Need.
+// Wait implements tablesync.Need.
 func (r *Policy) Wait() time.Duration {
 	if r.boxes.AllRead() {
 		return feedWait
@@ -228,11 +228,11 @@
 	return feedLeast + rand.N(feedWait-feedLeast)
 }
 
-// Pace implements follow.Need.
-func (r *Policy) Pace() follow.Pace {
+// Pace implements tablesync.Need.
+func (r *Policy) Pace() tablesync.Pace {
 	if r.boxes.Reads() {
-		return follow.Pace{First: hubFirst, Most: hubMost}
+		return tablesync.Pace{First: hubFirst, Most: hubMost}
 	}
 	wait := min(max(time.Duration(r.boxes.Count())*shared, hubMost), sharedMost)
-	return follow.Pace{First: wait, Most: wait}
+	return tablesync.Pace{First: wait, Most: wait}
 }
--- a/readpolicy/readpolicy_test.go
+++ b/readpolicy/readpolicy_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/follow"
 	"petrelstep/readpolicy"
+	"petrelstep/tablesync"
 )
 
 // boxes is what a test says of the boxes.
@@ -181,12 +181,12 @@
 func TestPace(t *testing.T) {
 	tests := map[string]struct {
 		boxes boxes
-		want  follow.Pace
+		want  tablesync.Pace
 	}{
-		"a hub":      {boxes{reads: true, count: 350}, follow.Pace{First: 100 * time.Millisecond, Most: 1200 * time.Millisecond}},
-		"few boxes":  {boxes{count: 10}, follow.Pace{First: 1200 * time.Millisecond, Most: 1200 * time.Millisecond}},
-		"many boxes": {boxes{count: 58}, follow.Pace{First: 2900 * time.Millisecond, Most: 2900 * time.Millisecond}},
-		"350 boxes":  {boxes{count: 350}, follow.Pace{First: 5 * time.Second, Most: 5 * time.Second}},
+		"a hub":      {boxes{reads: true, count: 350}, tablesync.Pace{First: 100 * time.Millisecond, Most: 1200 * time.Millisecond}},
+		"few boxes":  {boxes{count: 10}, tablesync.Pace{First: 1200 * time.Millisecond, Most: 1200 * time.Millisecond}},
+		"many boxes": {boxes{count: 58}, tablesync.Pace{First: 2900 * time.Millisecond, Most: 2900 * time.Millisecond}},
+		"350 boxes":  {boxes{count: 350}, tablesync.Pace{First: 5 * time.Second, Most: 5 * time.Second}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/follow/follow.go
+++ b/tablesync/tablesync.go
@@ -1,6 +1,6 @@
-// Package follow keeps up with one table of the platform's store: a listing,
+// Package tablesync keeps up with one table of the platform's store: a listing,
 // then its changes as they come, a listing again when history was forgotten.
-package follow
+package tablesync
 
 import (
 	"context"
--- a/follow/follow_test.go
+++ b/tablesync/tablesync_test.go
@@ -1,4 +1,4 @@
-package follow_test
+package tablesync_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/follow"
 	"petrelstep/logs"
+	"petrelstep/tablesync"
 )
 
 const wait = 1200 * time.Millisecond
@@ -72,8 +72,8 @@
 
 func (need) Wait() time.Duration { return wait }
 
-func (need) Pace() follow.Pace {
-	return follow.Pace{First: 100 * time.Millisecond, Most: 1200 * time.Millisecond}
+func (need) Pace() tablesync.Pace {
+	return tablesync.Pace{First: 100 * time.Millisecond, Most: 1200 * time.Millisecond}
 }
 
 func gives(mark int64, err error) func(context.Context) (int64, error) {
@@ -106,7 +106,7 @@
 			[]func(context.Context) (int64, error){gives(5, nil), gives(8, nil)},
 			[]call{{list: true}, {mark: 5}, {mark: 8}}},
 		"lists anew when history is forgotten": {
-			[]func(context.Context) (int64, error){gives(5, nil), gives(0, follow.ErrForgotten), gives(40, nil)},
+			[]func(context.Context) (int64, error){gives(5, nil), gives(0, tablesync.ErrForgotten), gives(40, nil)},
 			[]call{{list: true}, {mark: 5}, {list: true}, {mark: 40}}},
 		"goes on from its mark after an outage, and is unsure": {
 			[]func(context.Context) (int64, error){gives(5, nil), gives(0, errDown), gives(6, nil)},
@@ -128,7 +128,7 @@
 				s := &source{began: time.Now(), script: tt.script}
 				ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 				defer cancel()
-				f := follow.New("t", s, &heard{}, need{}, logs.New(io.Discard, "info", "b"))
+				f := tablesync.New("t", s, &heard{}, need{}, logs.New(io.Discard, "info", "b"))
 				f.Run(ctx)
 				is.True(len(s.calls) >= len(tt.calls))
 				for i, want := range tt.calls {
@@ -157,7 +157,7 @@
 		h := &heard{began: began}
 		ctx, cancel := context.WithTimeout(t.Context(), 350*time.Millisecond)
 		defer cancel()
-		f := follow.New("t", s, h, need{}, logs.New(io.Discard, "info", "b"))
+		f := tablesync.New("t", s, h, need{}, logs.New(io.Discard, "info", "b"))
 		f.Run(ctx)
 		is.Equal(h.confirmed, []time.Duration{0})
 		is.Equal(h.answered, []time.Duration{300 * time.Millisecond})
@@ -172,7 +172,7 @@
 		until := time.Now().Add(5 * time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		follow.New("t", s, &heard{}, need{until}, logs.New(io.Discard, "info", "b")).Run(ctx)
+		tablesync.New("t", s, &heard{}, need{until}, logs.New(io.Discard, "info", "b")).Run(ctx)
 		is.True(s.calls[0].at >= 5*time.Second)
 		is.True(s.calls[0].at < 5200*time.Millisecond)
 	})
@@ -196,7 +196,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		often := needOften{times: func(now time.Time) bool { return now.Sub(began) < 2*time.Second || now.Sub(began) > 8*time.Second }}
-		follow.New("t", s, &heard{}, often, logs.New(io.Discard, "info", "b")).Run(ctx)
+		tablesync.New("t", s, &heard{}, often, logs.New(io.Discard, "info", "b")).Run(ctx)
 		lists := 0
 		for _, c := range s.calls {
 			if c.list {
