--- a/edge/edge.go
+++ b/edge/edge.go
@@ -20,7 +20,6 @@
 	"petrelstep/evacuate"
 	"petrelstep/fleet"
 	"petrelstep/halls"
-	"petrelstep/limits"
 	"petrelstep/liveness"
 	"petrelstep/members"
 	"petrelstep/metrics"
@@ -44,6 +43,7 @@
 	"petrelstep/runs"
 	"petrelstep/snapshot"
 	"petrelstep/timer"
+	"petrelstep/upstreamlimits"
 	"petrelstep/upstreamload"
 	"petrelstep/warmup"
 	"petrelstep/wire"
@@ -131,7 +131,7 @@
 	trials      *moveturns.Scheduler // of this box's own requests
 	quarantine  *quarantine.Quarantine
 	kept        *kept
-	limits      *limits.Limits
+	limits      *upstreamlimits.Tracker
 	rest        *backoff.Tracker
 	limiter     *limiter
 	admission   *admission.Admission
@@ -205,7 +205,7 @@
 	e.boxes = manifest.NewBoxes(e.store, counts, log)
 	e.kept = &kept{list: blocklist.New(e.store), log: log}
 	e.quarantine = quarantine.New(counts, e.kept, log)
-	e.limits = limits.New(counts, log)
+	e.limits = upstreamlimits.New(counts, log)
 	e.limiter = newLimiter(e)
 	e.rest = backoff.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 8)), counts, log)
 	e.registrar = newRegistrar(e)
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -16,10 +16,10 @@
 
 	"petrelstep/backoff"
 	"petrelstep/balance/speeds"
-	"petrelstep/limits"
 	"petrelstep/liveness"
 	"petrelstep/quarantine"
 	"petrelstep/refusal"
+	"petrelstep/upstreamlimits"
 )
 
 // Retry reasons, each with its own counter series.
@@ -174,7 +174,7 @@
 	for _, change := range backoff.Changes() {
 		m.rests.Add(ctx, 0, metric.WithAttributes(attribute.String("change", change)))
 	}
-	for _, change := range limits.Changes() {
+	for _, change := range upstreamlimits.Changes() {
 		m.limits.Add(ctx, 0, metric.WithAttributes(attribute.String("change", change)))
 	}
 	for _, f := range liveness.Findings() {
--- a/relay/limited_test.go
+++ b/relay/limited_test.go
@@ -11,11 +11,11 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/limits"
 	"petrelstep/logs"
 	"petrelstep/ratelimit"
 	"petrelstep/refusal"
 	"petrelstep/relay"
+	"petrelstep/upstreamlimits"
 )
 
 // limiter is one whose upstreams have something in a while, by upstream; others name no
@@ -136,7 +136,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, tt.reply)
-				w.relay.Limits = limits.New(w.relay.Metrics, logs.New(io.Discard, "error", "b"))
+				w.relay.Limits = upstreamlimits.New(w.relay.Metrics, logs.New(io.Discard, "error", "b"))
 				w.serve(t.Context(), tt.path)
 				is.New(t).Equal(len(w.relay.Limits.All()), tt.limited)
 			})
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -21,7 +21,6 @@
 	"petrelstep/exchange"
 	"petrelstep/fingerprint"
 	"petrelstep/fleet"
-	"petrelstep/limits"
 	"petrelstep/metrics"
 	"petrelstep/outputlen"
 	"petrelstep/picker"
@@ -34,6 +33,7 @@
 	"petrelstep/route"
 	"petrelstep/routecache"
 	"petrelstep/runs"
+	"petrelstep/upstreamlimits"
 	"petrelstep/upstreamload"
 )
 
@@ -69,12 +69,12 @@
 	Reliability *reliability.Reliability
 	Speeds      *speeds.Speeds // nil where that is off
 	Sender      exchange.Sender
-	Liveness    Looker                 // nil: nobody looks
-	Quarantine  *quarantine.Quarantine // nil: nothing is held against requests
-	Trials      Trials                 // of suspects; nil: as they come
-	Limits      *limits.Limits         // that upstreams name
-	Limiter     Limiter                // nil: nothing is held back for them
-	Rest        *backoff.Tracker       // that upstreams ask for; nil: none is kept
+	Liveness    Looker                  // nil: nobody looks
+	Quarantine  *quarantine.Quarantine  // nil: nothing is held against requests
+	Trials      Trials                  // of suspects; nil: as they come
+	Limits      *upstreamlimits.Tracker // that upstreams name
+	Limiter     Limiter                 // nil: nothing is held back for them
+	Rest        *backoff.Tracker        // that upstreams ask for; nil: none is kept
 	Budget      *retry.Budget
 	Runs        *runs.Runs
 	Lengths     *outputlen.Lengths // of answers, in tokens
--- a/limits/told.go
+++ b/upstreamlimits/told.go
@@ -1,4 +1,4 @@
-package limits
+package upstreamlimits
 
 import (
 	"cmp"
@@ -20,7 +20,7 @@
 
 // Since returns what a hub, or another box, is to be told that changed after a change, and
 // the last change that it holds.
-func (l *Limits) Since(now time.Time, change int, hub bool) (list []wire.UpstreamLimit, last int) {
+func (l *Tracker) Since(now time.Time, change int, hub bool) (list []wire.UpstreamLimit, last int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if change == l.changes {
@@ -49,7 +49,7 @@
 }
 
 // Word returns what is known of one upstream.
-func (l *Limits) Word(now time.Time, upstream string) wire.UpstreamLimit {
+func (l *Tracker) Word(now time.Time, upstream string) wire.UpstreamLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	have, ok := l.list[upstream]
@@ -68,7 +68,7 @@
 }
 
 // Told takes what a hub, or another box, knows, with ages as of now at the latest.
-func (l *Limits) Told(now time.Time, list []wire.UpstreamLimit, hub bool) {
+func (l *Tracker) Told(now time.Time, list []wire.UpstreamLimit, hub bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	source := fromPeer
@@ -84,7 +84,7 @@
 
 // told takes one word. A later period counts more than an earlier one, the end of a
 // period more than any word of it, and of its words the newer.
-func (l *Limits) told(now time.Time, w wire.UpstreamLimit, source string) {
+func (l *Tracker) told(now time.Time, w wire.UpstreamLimit, source string) {
 	at := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
 	have, known := l.list[w.Upstream]
 	switch {
--- a/limits/limits.go
+++ b/upstreamlimits/upstreamlimits.go
@@ -1,6 +1,6 @@
-// Package limits knows how many requests a second upstreams say that they take from
+// Package upstreamlimits knows how many requests a second upstreams say that they take from
 // all boxes together, by the answers that this box got and by what the others told.
-package limits
+package upstreamlimits
 
 import (
 	"math"
@@ -85,8 +85,8 @@
 	return math.Abs(value-t.value) > from*t.value && now.Sub(t.at) >= every
 }
 
-// Limits is one box's. It is safe for use by several goroutines.
-type Limits struct {
+// Tracker is one box's. It is safe for use by several goroutines.
+type Tracker struct {
 	counter Counter
 	log     *logrus.Entry
 
@@ -96,13 +96,13 @@
 }
 
 // New returns the limits of a box that has heard of none.
-func New(counter Counter, log *logrus.Entry) *Limits {
-	return &Limits{counter: counter, log: log, list: map[string]*limit{}}
+func New(counter Counter, log *logrus.Entry) *Tracker {
+	return &Tracker{counter: counter, log: log, list: map[string]*limit{}}
 }
 
 // Of returns how many requests a second an upstream takes, and when that was last said;
 // false if it takes all.
-func (l *Limits) Of(now time.Time, upstream string) (perSecond float64, at time.Time, limited bool) {
+func (l *Tracker) Of(now time.Time, upstream string) (perSecond float64, at time.Time, limited bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	have, ok := l.list[upstream]
@@ -120,7 +120,7 @@
 }
 
 // All returns the upstreams that name a limit, by name.
-func (l *Limits) All() []string {
+func (l *Tracker) All() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []string
@@ -136,7 +136,7 @@
 // Heard takes what an upstream says in an answer to a request that was sent at a time.
 // One that has not run the request, or whose answer may be another's (whole is false),
 // may leave out what still holds; so may one that was asked before it named its limit.
-func (l *Limits) Heard(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool) {
+func (l *Tracker) Heard(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool) {
 	if l == nil {
 		return
 	}
@@ -159,7 +159,7 @@
 }
 
 // of returns the entry of an upstream's life.
-func (l *Limits) of(upstream string, born int64) *limit {
+func (l *Tracker) of(upstream string, born int64) *limit {
 	have, ok := l.list[upstream]
 	if !ok {
 		have = &limit{born: born}
@@ -171,7 +171,7 @@
 
 // named takes the value of a limit. What a hub told is not told to hubs again: each hears
 // it from that one.
-func (l *Limits) named(now time.Time, upstream string, have *limit, perSecond float64, at time.Time, source string) {
+func (l *Tracker) named(now time.Time, upstream string, have *limit, perSecond float64, at time.Time, source string) {
 	first, was := !have.holds, have.fine.value
 	have.holds, have.perSecond, have.at, have.unreadable = true, perSecond, at, false
 	switch {
@@ -193,7 +193,7 @@
 	}
 }
 
-func (l *Limits) ended(now time.Time, upstream string, have *limit, at time.Time, source string) {
+func (l *Tracker) ended(now time.Time, upstream string, have *limit, at time.Time, source string) {
 	l.note(Ended, upstream, logrus.Fields{"was": have.perSecond, "named_ms": now.Sub(have.at).Milliseconds(), "source": source, "age_ms": now.Sub(at).Milliseconds()})
 	have.holds, have.at = false, at
 	l.tell(&have.fine, now, 0)
@@ -201,13 +201,13 @@
 }
 
 // tell lets the others be told of a change.
-func (l *Limits) tell(t *telling, now time.Time, value float64) {
+func (l *Tracker) tell(t *telling, now time.Time, value float64) {
 	l.changes++
 	t.value, t.at, t.changed = value, now, l.changes
 }
 
 // unreadable notes a word that is no limit; what was named before holds on.
-func (l *Limits) unreadable(now time.Time, u fleet.Upstream) {
+func (l *Tracker) unreadable(now time.Time, u fleet.Upstream) {
 	have := l.of(u.ID, u.Born)
 	if !have.unreadable {
 		l.note(Unreadable, u.ID, logrus.Fields{"holds": have.holds, "per_second": have.perSecond})
@@ -218,20 +218,20 @@
 	}
 }
 
-func (l *Limits) note(change, upstream string, fields logrus.Fields) {
+func (l *Tracker) note(change, upstream string, fields logrus.Fields) {
 	l.counter.Limited(change)
 	l.log.WithFields(fields).WithFields(logrus.Fields{"upstream": upstream, "change": change}).Info("upstream_limit")
 }
 
 // Forget drops what is known of an upstream, as it has started again.
-func (l *Limits) Forget(upstream string) {
+func (l *Tracker) Forget(upstream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.list, upstream)
 }
 
 // Tick drops what is known of upstreams that are gone, and of limits that ended long ago.
-func (l *Limits) Tick(now time.Time, known func(upstream string) bool) {
+func (l *Tracker) Tick(now time.Time, known func(upstream string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, have := range l.list {
@@ -242,7 +242,7 @@
 }
 
 // Older makes what was heard older: this box's machine was suspended.
-func (l *Limits) Older(by time.Duration) {
+func (l *Tracker) Older(by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, have := range l.list {
--- a/limits/limits_test.go
+++ b/upstreamlimits/upstreamlimits_test.go
@@ -1,4 +1,4 @@
-package limits
+package upstreamlimits
 
 import (
 	"fmt"
@@ -20,7 +20,7 @@
 // Limited implements Counter.
 func (c counts) Limited(change string) { c[change]++ }
 
-func box() (*Limits, counts) {
+func box() (*Tracker, counts) {
 	c := counts{}
 	return New(c, logs.New(io.Discard, "error", "b")), c
 }
