--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -27,7 +27,6 @@
 	"petrelstep/heartbeat"
 	"petrelstep/home"
 	"petrelstep/inflight"
-	"petrelstep/keys"
 	"petrelstep/ledger"
 	"petrelstep/members"
 	"petrelstep/metrics"
@@ -43,6 +42,7 @@
 	"petrelstep/retry"
 	"petrelstep/ticket"
 	"petrelstep/timer"
+	"petrelstep/tlscerts"
 	"petrelstep/upstream/engine"
 	"petrelstep/upstream/service"
 	"petrelstep/verify"
@@ -59,7 +59,7 @@
 	log         *logrus.Entry
 	timer       *timer.Service
 	metrics     *metrics.Metrics
-	keys        *keys.Keys
+	keys        *tlscerts.Reloader
 
 	resources *resource.Resources
 	catchUp   *catchup.CatchUp
@@ -112,7 +112,7 @@
 // New puts a box together; nothing runs and no port is open before Run. ctx
 // bounds what outlives single requests.
 func New(ctx context.Context, c config.Config, log *logrus.Entry, counts *metrics.Metrics) (*Daemon, error) {
-	k, err := keys.New(keys.Files{Certificate: c.TLS.Certificate, Key: c.TLS.Key, Authority: c.TLS.PeerAuthority})
+	k, err := tlscerts.New(tlscerts.Files{Certificate: c.TLS.Certificate, Key: c.TLS.Key, Authority: c.TLS.PeerAuthority})
 	if err != nil {
 		return nil, err
 	}
--- a/keys/keys.go
+++ b/tlscerts/tlscerts.go
@@ -1,6 +1,6 @@
-// Package keys holds the TLS certificate of a box and reads its files again
+// Package tlscerts holds the TLS certificate of a box and reads its files again
 // when told to, so that certificates are renewed without a stop.
-package keys
+package tlscerts
 
 import (
 	"crypto/tls"
@@ -35,20 +35,20 @@
 	authority   *x509.CertPool
 }
 
-// Keys is safe for use by several goroutines.
-type Keys struct {
+// Reloader is safe for use by several goroutines.
+type Reloader struct {
 	files Files
 	now   atomic.Pointer[state]
 }
 
 // New reads the files.
-func New(files Files) (*Keys, error) {
-	k := &Keys{files: files}
+func New(files Files) (*Reloader, error) {
+	k := &Reloader{files: files}
 	return k, k.Reload()
 }
 
 // Reload reads the files again; on an error the old keys stay in use.
-func (k *Keys) Reload() error {
+func (k *Reloader) Reload() error {
 	if k.files.Certificate == "" {
 		return nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // Callers returns the configuration towards callers; nil for none.
-func (k *Keys) Callers() *tls.Config {
+func (k *Reloader) Callers() *tls.Config {
 	if k.now.Load() == nil {
 		return nil
 	}
@@ -81,7 +81,7 @@
 
 // PeerServer returns the configuration for connections from boxes: both sides
 // show a certificate of the authority. Nil for none.
-func (k *Keys) PeerServer() *tls.Config {
+func (k *Reloader) PeerServer() *tls.Config {
 	s := k.now.Load()
 	if s == nil || s.authority == nil {
 		return nil
@@ -100,7 +100,7 @@
 // PeerClient returns the configuration for connections to boxes; nil for none.
 // Boxes are known by address, and addresses come and go: a box proves that it
 // is one by a certificate of the authority, not by its name.
-func (k *Keys) PeerClient() *tls.Config {
+func (k *Reloader) PeerClient() *tls.Config {
 	s := k.now.Load()
 	if s == nil || s.authority == nil {
 		return nil
@@ -115,7 +115,7 @@
 	}
 }
 
-func (k *Keys) verifyBox(c tls.ConnectionState) error {
+func (k *Reloader) verifyBox(c tls.ConnectionState) error {
 	if len(c.PeerCertificates) == 0 {
 		return &NoCertificatesError{}
 	}
@@ -127,6 +127,6 @@
 	return err
 }
 
-func (k *Keys) certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+func (k *Reloader) certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return &k.now.Load().certificate, nil
 }
--- a/keys/keys_test.go
+++ b/tlscerts/tlscerts_test.go
@@ -1,4 +1,4 @@
-package keys_test
+package tlscerts_test
 
 import (
 	"crypto/ecdsa"
@@ -17,7 +17,7 @@
 
 	"github.com/matryer/is"
 
-	"petrelstep/keys"
+	"petrelstep/tlscerts"
 )
 
 // authority signs certificates of boxes.
@@ -58,7 +58,7 @@
 }
 
 // issue writes the files of a box and returns them.
-func (a *authority) issue(t *testing.T, name string) keys.Files {
+func (a *authority) issue(t *testing.T, name string) tlscerts.Files {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	private, _ := x509.MarshalECPrivateKey(key)
-	return keys.Files{
+	return tlscerts.Files{
 		Certificate: a.write(t, name+".pem", "CERTIFICATE", raw), Key: a.write(t, name+".key", "EC PRIVATE KEY", private),
 		Authority: filepath.Join(a.dir, "authority.pem"),
 	}
@@ -107,9 +107,9 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-func newKeys(t *testing.T, f keys.Files) *keys.Keys {
+func newKeys(t *testing.T, f tlscerts.Files) *tlscerts.Reloader {
 	t.Helper()
-	k, err := keys.New(f)
+	k, err := tlscerts.New(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 
 func TestNone(t *testing.T) {
 	is := is.New(t)
-	k := newKeys(t, keys.Files{})
+	k := newKeys(t, tlscerts.Files{})
 	is.True(k.Callers() == nil)
 	is.True(k.PeerServer() == nil)
 	is.True(k.PeerClient() == nil)
