--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"petrelstep/outputlen"
 	"petrelstep/peer"
 	"petrelstep/peer/endpoint"
-	"petrelstep/standin/relay"
+	"petrelstep/standin/faultproxy"
 	"petrelstep/wire"
 )
 
@@ -236,7 +236,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, address := serve(t)
-			link, err := relay.New(address)
+			link, err := faultproxy.New(address)
 			is.NoErr(err)
 			defer link.Close()
 			p := peer.New(nil)
--- a/soak/faults/faults.go
+++ b/soak/faults/faults.go
@@ -14,8 +14,8 @@
 
 	"petrelstep/soak/checker"
 	"petrelstep/soak/site"
+	"petrelstep/standin/faultproxy"
 	"petrelstep/standin/platform"
-	"petrelstep/standin/relay"
 	"petrelstep/standin/worker"
 	"petrelstep/wire"
 )
@@ -183,7 +183,7 @@
 	box     *site.Box
 	service string
 	number  int
-	way     relay.Way
+	way     faultproxy.Way
 	last    time.Duration
 	short   time.Duration // the same, for what is not to last long
 	faults  []worker.Fault
@@ -204,7 +204,7 @@
 func (s *Injector) draw() plan {
 	d := drawn{
 		box: s.site.Boxes[s.random.IntN(len(s.site.Boxes))], service: []string{"llm", "llm", "plain"}[s.random.IntN(3)],
-		number: s.random.IntN(1000), way: relay.Way(s.random.IntN(3)),
+		number: s.random.IntN(1000), way: faultproxy.Way(s.random.IntN(3)),
 		last: 300*time.Millisecond + time.Duration(s.random.Int64N(int64(lastMost))), faults: s.faults(),
 	}
 	d.short = min(d.last, 2*time.Second)
--- a/soak/site/box.go
+++ b/soak/site/box.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"petrelstep/soak/checker"
+	"petrelstep/standin/faultproxy"
 	"petrelstep/standin/readylog"
-	"petrelstep/standin/relay"
 )
 
 const (
@@ -28,8 +28,8 @@
 // Box is one process of the daemon, with its links to the store and to callers.
 type Box struct {
 	Name  string
-	Store *relay.Relay // link to the store
-	Link  *relay.Relay // link to callers
+	Store *faultproxy.Proxy // link to the store
+	Link  *faultproxy.Proxy // link to callers
 
 	// Lock is held by what strikes the process, so that one thing does at a time.
 	Lock sync.Mutex
@@ -47,13 +47,13 @@
 func newBox(o Options, name, hall, storeAddress string) (*Box, error) {
 	b := &Box{Name: name, options: o, hall: hall}
 	var err error
-	if b.Store, err = relay.New(storeAddress); err != nil {
+	if b.Store, err = faultproxy.New(storeAddress); err != nil {
 		return nil, err
 	}
 	if b.ports, err = freePorts(); err != nil {
 		return nil, err
 	}
-	b.Link, err = relay.New(b.ports[0])
+	b.Link, err = faultproxy.New(b.ports[0])
 	return b, err
 }
 
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"petrelstep/soak/checker"
+	"petrelstep/standin/faultproxy"
 	"petrelstep/standin/platform"
-	"petrelstep/standin/relay"
 	"petrelstep/standin/worker"
 )
 
@@ -51,7 +51,7 @@
 	ID      string
 	Service string
 	Hall    string
-	Link    *relay.Relay
+	Link    *faultproxy.Proxy
 	server  *http.Server
 	ended   sync.Once // by a strike, or by what it runs
 
@@ -276,7 +276,7 @@
 		return err
 	}
 	w.server = server
-	w.Link, err = relay.New(address)
+	w.Link, err = faultproxy.New(address)
 	return err
 }
 
--- a/standin/cluster/cluster.go
+++ b/standin/cluster/cluster.go
@@ -22,9 +22,9 @@
 	"petrelstep/logs"
 	"petrelstep/metrics"
 	"petrelstep/standin/engine"
+	"petrelstep/standin/faultproxy"
 	"petrelstep/standin/platform"
 	"petrelstep/standin/readylog"
-	"petrelstep/standin/relay"
 	"petrelstep/standin/service"
 	"petrelstep/wire"
 )
@@ -60,7 +60,7 @@
 	Platform *platform.Platform
 	Engines  []*engine.Engine
 	Service  *service.Service
-	Relays   []*relay.Relay // of engines
+	Relays   []*faultproxy.Proxy // of engines
 	Boxes    []*Box
 	options  Options
 	servers  []*httptest.Server
@@ -118,7 +118,7 @@
 	if !s.options.Relays {
 		return address, nil
 	}
-	r, err := relay.New(address)
+	r, err := faultproxy.New(address)
 	if err != nil {
 		return "", err
 	}
--- a/standin/relay/relay.go
+++ b/standin/faultproxy/faultproxy.go
@@ -1,7 +1,7 @@
-// Package relay is a small TCP relay for tests and the soak: it can cut all
+// Package faultproxy is a small TCP relay for tests and the soak: it can cut all
 // connections at once and refuse new ones for a while, hold bytes back one way
 // or both, or delay them, as a broken link does.
-package relay
+package faultproxy
 
 import (
 	"net"
@@ -28,8 +28,8 @@
 	ends  time.Time     // of the delay
 }
 
-// Relay passes bytes between its own address and a target.
-type Relay struct {
+// Proxy passes bytes between its own address and a target.
+type Proxy struct {
 	target   string
 	listener net.Listener
 	mu       sync.Mutex
@@ -41,28 +41,28 @@
 }
 
 // New returns a relay to a target, IP:port, on a loopback address of its own.
-func New(target string) (*Relay, error) {
+func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{target: target, listener: listener, open: map[net.Conn]bool{}, closed: make(chan struct{})}
+	r := &Proxy{target: target, listener: listener, open: map[net.Conn]bool{}, closed: make(chan struct{})}
 	r.all.Go(r.serve)
 	return r, nil
 }
 
 // Address returns the relay's own address.
-func (r *Relay) Address() string { return r.listener.Addr().String() }
+func (r *Proxy) Address() string { return r.listener.Addr().String() }
 
 // Retarget sends connections that come from now on to another target.
-func (r *Relay) Retarget(target string) {
+func (r *Proxy) Retarget(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = target
 }
 
 // Cut breaks all connections and refuses new ones for a while.
-func (r *Relay) Cut(last time.Duration) {
+func (r *Proxy) Cut(last time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.until = time.Now().Add(last)
@@ -72,13 +72,13 @@
 }
 
 // Silence holds bytes back for a while; connections stay open.
-func (r *Relay) Silence(way Way, last time.Duration) {
+func (r *Proxy) Silence(way Way, last time.Duration) {
 	r.hold(way, func(h *hold) { h.until = time.Now().Add(last) })
 }
 
 // Mute lets all connections of today fall silent for good, without an end: what
 // comes on them is lost. New ones work.
-func (r *Relay) Mute() {
+func (r *Proxy) Mute() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.open {
@@ -87,11 +87,11 @@
 }
 
 // Delay makes bytes late for a while.
-func (r *Relay) Delay(way Way, by, last time.Duration) {
+func (r *Proxy) Delay(way Way, by, last time.Duration) {
 	r.hold(way, func(h *hold) { h.delay, h.ends = by, time.Now().Add(last) })
 }
 
-func (r *Relay) hold(way Way, set func(*hold)) {
+func (r *Proxy) hold(way Way, set func(*hold)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.holds {
@@ -102,14 +102,14 @@
 }
 
 // Close ends the relay.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	_ = r.listener.Close()
 	close(r.closed)
 	r.Cut(time.Hour)
 	r.all.Wait()
 }
 
-func (r *Relay) serve() {
+func (r *Proxy) serve() {
 	for {
 		in, err := r.listener.Accept()
 		if err != nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-func (r *Relay) keep(conns ...net.Conn) bool {
+func (r *Proxy) keep(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Now().Before(r.until) {
@@ -144,7 +144,7 @@
 }
 
 // pass copies one way; when it ends, both ends are closed.
-func (r *Relay) pass(from, to net.Conn, way Way) {
+func (r *Proxy) pass(from, to net.Conn, way Way) {
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
@@ -166,14 +166,14 @@
 	delete(r.open, to)
 }
 
-func (r *Relay) muted(c net.Conn) bool {
+func (r *Proxy) muted(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.open[c]
 }
 
 // wait holds bytes of one way back; it reports false once the relay is closed.
-func (r *Relay) wait(way Way) bool {
+func (r *Proxy) wait(way Way) bool {
 	for {
 		r.mu.Lock()
 		h := r.holds[way]
