--- a/soak/load/load.go
+++ b/soak/loadgen/loadgen.go
@@ -1,7 +1,7 @@
-// Package load is the callers of the soak. Each keeps its connections for as
+// Package loadgen is the callers of the soak. Each keeps its connections for as
 // long as their box's process lives, and asks again only as the callers'
 // protocol lets it.
-package load
+package loadgen
 
 import (
 	"context"
@@ -50,8 +50,8 @@
 
 var kinds = []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Once, checker.Look, checker.Look}
 
-// Load is safe for use by several goroutines.
-type Load struct {
+// Generator is safe for use by several goroutines.
+type Generator struct {
 	site   *site.Site
 	seed   uint64
 	crowds bool
@@ -64,19 +64,19 @@
 // New returns callers of a site that Run starts. In crowds they press plain services at
 // times, and where workers are to end one comes with a request under which they do;
 // without, a seed plays what it always did.
-func New(s *site.Site, seed uint64, crowds, ends bool) *Load {
-	return &Load{site: s, seed: seed, crowds: crowds, ends: ends}
+func New(s *site.Site, seed uint64, crowds, ends bool) *Generator {
+	return &Generator{site: s, seed: seed, crowds: crowds, ends: ends}
 }
 
 // Attempts returns all requests that have ended.
-func (l *Load) Attempts() []checker.Attempt {
+func (l *Generator) Attempts() []checker.Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]checker.Attempt(nil), l.attempts...)
 }
 
 // Run keeps so many callers at work until ctx ends, and waits for their answers.
-func (l *Load) Run(ctx context.Context, callers int) {
+func (l *Generator) Run(ctx context.Context, callers int) {
 	var all sync.WaitGroup
 	for i := range callers {
 		all.Go(func() { l.caller(ctx, i) })
@@ -89,7 +89,7 @@
 
 // endWorkers is the caller of the request under which workers end: it comes again and
 // again, at any box.
-func (l *Load) endWorkers(ctx context.Context) {
+func (l *Generator) endWorkers(ctx context.Context) {
 	random := rand.New(rand.NewPCG(l.seed, 1<<32))
 	client := caller.New()
 	defer client.Close()
@@ -104,7 +104,7 @@
 }
 
 // caller is one task: a connection to each of its boxes, kept open.
-func (l *Load) caller(ctx context.Context, number int) {
+func (l *Generator) caller(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(l.seed, uint64(number)))
 	client := caller.New()
 	defer client.Close()
@@ -129,7 +129,7 @@
 }
 
 // ask sends one request, and returns whether it may be asked again, and when.
-func (l *Load) ask(client *caller.Caller, random *rand.Rand, number int, box *site.Box, kind checker.Kind, id string) (wait time.Duration, again bool) {
+func (l *Generator) ask(client *caller.Caller, random *rand.Rand, number int, box *site.Box, kind checker.Kind, id string) (wait time.Duration, again bool) {
 	organisation := []string{"council", "firm"}[random.IntN(2)]
 	key := l.site.Key(organisation)
 	if old := l.site.OldKey(organisation); old != "" && random.IntN(oldKeyShare) == 0 {
@@ -161,7 +161,7 @@
 }
 
 // send sends an attempt and keeps what came of it; it returns when to come back.
-func (l *Load) send(ctx context.Context, client *caller.Caller, box *site.Box, a checker.Attempt, key string, pause time.Duration) (ended checker.Attempt, back time.Duration) {
+func (l *Generator) send(ctx context.Context, client *caller.Caller, box *site.Box, a checker.Attempt, key string, pause time.Duration) (ended checker.Attempt, back time.Duration) {
 	a.Box, a.Sent = box.Name, time.Now()
 	answer := client.Ask(ctx, box.Link.Address(), caller.Request{
 		ID: a.ID, Host: site.Host(), Target: a.Target, Body: a.Body, Key: key, Wait: patience, Tokens: "900,240", Pause: pause,
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -11,7 +11,7 @@
 
 	"petrelstep/soak/checker"
 	"petrelstep/soak/faults"
-	"petrelstep/soak/load"
+	"petrelstep/soak/loadgen"
 	"petrelstep/soak/site"
 )
 
@@ -94,7 +94,7 @@
 	if err := ready(at); err != nil {
 		return Tally{}, err
 	}
-	callers, strikes := load.New(at, s.Seed, s.Crowds, s.Ends), faults.New(at, s.Seed, s.Out)
+	callers, strikes := loadgen.New(at, s.Seed, s.Crowds, s.Ends), faults.New(at, s.Seed, s.Out)
 	working, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -153,7 +153,7 @@
 }
 
 // recovered waits until all boxes are ready and each kind is served again.
-func (s *Soak) recovered(at *site.Site, callers *load.Load) error {
+func (s *Soak) recovered(at *site.Site, callers *loadgen.Generator) error {
 	if err := ready(at); err != nil {
 		return err
 	}
