--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -399,7 +399,7 @@
 // Without returns what all boxes but one are asked for, for that one.
 func (p *Places) Without(now time.Time, box string) []wire.ServicePlaces {
 	sum := p.own(now)
-	p.others.Without(now, box, sum)
+	p.others.AddExcept(now, box, sum)
 	return listOf(sum)
 }
 
@@ -407,16 +407,16 @@
 // that do not hear them.
 func (p *Places) Part(now time.Time) []wire.ServicePlaces {
 	sum := p.own(now)
-	p.others.Part(now, sum)
+	p.others.AddExclusive(now, sum)
 	return listOf(sum)
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone.
-func (p *Places) Covers(box string, only bool) { p.others.Covers(box, only, peerstate.Cover{}) }
+func (p *Places) Covers(box string, only bool) { p.others.SetCoverage(box, only, peerstate.Coverage{}) }
 
 // Told takes another box's word of what it is asked for.
 func (p *Places) Told(now time.Time, box string, list []wire.ServicePlaces) {
-	p.others.Told(now, box, demandsOf(list))
+	p.others.Update(now, box, demandsOf(list))
 }
 
 // Older makes what other boxes told older: this box's machine was suspended.
@@ -424,5 +424,5 @@
 
 // ToldSum takes a hub's word of what all other boxes are asked for.
 func (p *Places) ToldSum(now time.Time, list []wire.ServicePlaces) {
-	p.others.ToldSum(now, demandsOf(list))
+	p.others.UpdateSum(now, demandsOf(list))
 }
--- a/balance/shares/shares.go
+++ b/balance/shares/shares.go
@@ -297,7 +297,7 @@
 // that one.
 func (s *Shares) Without(now time.Time, box string) []wire.OrganisationUse {
 	uses := s.shortUses(now)
-	s.others.Without(now, box, uses)
+	s.others.AddExcept(now, box, uses)
 	return listOf(uses)
 }
 
@@ -305,7 +305,7 @@
 // and refused, for the boxes that do not hear them.
 func (s *Shares) Part(now time.Time) []wire.OrganisationUse {
 	uses := s.shortUses(now)
-	s.others.Part(now, uses)
+	s.others.AddExclusive(now, uses)
 	return listOf(uses)
 }
 
@@ -320,7 +320,7 @@
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone.
-func (s *Shares) Covers(box string, only bool) { s.others.Covers(box, only, peerstate.Cover{}) }
+func (s *Shares) Covers(box string, only bool) { s.others.SetCoverage(box, only, peerstate.Coverage{}) }
 
 // listOf returns the parties with the most work.
 func listOf(uses map[string]use) []wire.OrganisationUse {
@@ -337,7 +337,7 @@
 
 // Told takes another box's word of its callers.
 func (s *Shares) Told(now time.Time, box string, list []wire.OrganisationUse) {
-	s.others.Told(now, box, usesOf(list))
+	s.others.Update(now, box, usesOf(list))
 }
 
 // Older makes what other boxes told older: this box's machine was suspended.
@@ -345,7 +345,7 @@
 
 // ToldSum takes a hub's word of all other boxes' callers.
 func (s *Shares) ToldSum(now time.Time, list []wire.OrganisationUse) {
-	s.others.ToldSum(now, usesOf(list))
+	s.others.UpdateSum(now, usesOf(list))
 }
 
 func usesOf(list []wire.OrganisationUse) map[string]use {
--- a/balance/speeds/speeds.go
+++ b/balance/speeds/speeds.go
@@ -187,7 +187,7 @@
 	s.mu.Lock()
 	list := s.recent(now)
 	s.mu.Unlock()
-	s.others.Without(now, box, list)
+	s.others.AddExcept(now, box, list)
 	return rowsOf(list)
 }
 
@@ -200,21 +200,21 @@
 	s.mu.Lock()
 	list := s.recent(now)
 	s.mu.Unlock()
-	s.others.Part(now, list)
+	s.others.AddExclusive(now, list)
 	return rowsOf(list)
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone.
 func (s *Speeds) Covers(box string, only bool) {
 	if s != nil {
-		s.others.Covers(box, only, peerstate.Cover{})
+		s.others.SetCoverage(box, only, peerstate.Coverage{})
 	}
 }
 
 // Told takes another box's word of what it saw.
 func (s *Speeds) Told(now time.Time, box string, list []wire.UpstreamSpeed) {
 	if s != nil {
-		s.others.Told(now, box, recordsOf(list))
+		s.others.Update(now, box, recordsOf(list))
 	}
 }
 
@@ -228,7 +228,7 @@
 // ToldSum takes a hub's word of what all other boxes saw.
 func (s *Speeds) ToldSum(now time.Time, list []wire.UpstreamSpeed) {
 	if s != nil {
-		s.others.ToldSum(now, recordsOf(list))
+		s.others.UpdateSum(now, recordsOf(list))
 	}
 }
 
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -41,13 +41,13 @@
 	e.hearDeparting(now, from.Departing)
 	e.quarantine.Told(now, from.Ends)
 	e.limits.Told(now, from.Limits, e.members.Hub(now, from.Sender.Box))
-	e.hearWords(now, from.Sender.Box, wordsOf(from), from.Counts, peerstate.Cover{Boxes: from.Covers, Near: from.CoversNear})
+	e.hearWords(now, from.Sender.Box, wordsOf(from), from.Counts, peerstate.Coverage{Boxes: from.Covers, Recent: from.CoversNear})
 	a := wire.GossipAnswer{Sender: e.record, Leaving: e.draining.Load(), Tells: e.tells(now, from.Wants), StoreSilentMs: e.storeAge(now)}
 	switch a.Tells {
 	case wire.GossipScopeOwn:
 		w, covers := e.partWords(now, from.WantsSpeeds)
 		w.answer(&a)
-		a.Covers, a.CoversNear, a.Hubs = covers.Boxes, covers.Near, e.hubRecords(now)
+		a.Covers, a.CoversNear, a.Hubs = covers.Boxes, covers.Recent, e.hubRecords(now)
 	case wire.GossipScopeAll:
 		e.wordsWithout(now, from.Sender.Box, from.WantsSpeeds).answer(&a)
 		a.Hubs = e.hubRecords(now)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -79,7 +79,7 @@
 	case e.IsHub():
 		w, covers := e.partWords(now, e.speedsDue(now, hub.Name))
 		w.say(g)
-		g.Covers, g.CoversNear = covers.Boxes, covers.Near
+		g.Covers, g.CoversNear = covers.Boxes, covers.Recent
 		return
 	case e.members.Crowd(now) == nil:
 	case e.members.Nearest(now).Name != hub.Name:
@@ -176,7 +176,7 @@
 	e.hearFleet(now, a, sent) // which incarnations there are, before what is told of them
 	switch a.Tells {
 	case wire.GossipScopeOwn:
-		e.hearWords(now, a.Sender.Box, wordsOfAnswer(a), false, peerstate.Cover{Boxes: a.Covers, Near: a.CoversNear})
+		e.hearWords(now, a.Sender.Box, wordsOfAnswer(a), false, peerstate.Coverage{Boxes: a.Covers, Recent: a.CoversNear})
 	case wire.GossipScopeAll:
 		e.hearSums(now, wordsOfAnswer(a))
 	}
--- a/edge/words.go
+++ b/edge/words.go
@@ -34,7 +34,7 @@
 
 // partWords returns those of this box and of the boxes that tell it alone, for those
 // that do not hear them, and how many such boxes there are.
-func (e *Edge) partWords(now time.Time, paced bool) (w words, covers peerstate.Cover) {
+func (e *Edge) partWords(now time.Time, paced bool) (w words, covers peerstate.Coverage) {
 	tallies, boxes := e.tally.Part(now)
 	w = words{
 		tallies:  e.bornLoads(tallies),
@@ -46,7 +46,7 @@
 	if paced {
 		w.speeds = e.speeds.Part(now)
 	}
-	return w, peerstate.Cover{Boxes: boxes, Near: e.tally.HeardAlone(now, reachLeg)}
+	return w, peerstate.Coverage{Boxes: boxes, Recent: e.tally.HeardAlone(now, reachLeg)}
 }
 
 // wordsWithout returns those of all boxes but one, for that one.
@@ -66,7 +66,7 @@
 
 // hearWords takes another box's words. only tells that the box tells this one alone,
 // covers whom besides it the words are of.
-func (e *Edge) hearWords(now time.Time, box string, w words, only bool, covers peerstate.Cover) {
+func (e *Edge) hearWords(now time.Time, box string, w words, only bool, covers peerstate.Coverage) {
 	e.tally.Covers(box, only, covers)
 	e.reliability.Covers(box, only)
 	e.sharing.covers(box, only)
--- a/peerstate/peerstate.go
+++ b/peerstate/peerstate.go
@@ -33,10 +33,10 @@
 	boxes int // that told of it
 }
 
-// Cover is how many boxes a word holds besides the one that tells it.
-type Cover struct {
-	Boxes int
-	Near  int // of these, that had just told it
+// Coverage is how many boxes a word holds besides the one that tells it.
+type Coverage struct {
+	Boxes  int
+	Recent int // of these, that had just told it
 }
 
 // Totals is safe for use by several goroutines. It keeps the sum of all words as they come
@@ -48,16 +48,16 @@
 	oldest time.Time           // no word of others is older
 	sum    word[T]             // of all other boxes, as a hub tells it
 	only   map[string]bool     // boxes that tell this one alone, by name
-	covers map[string]Cover    // whom else the words of others hold, by name
+	covers map[string]Coverage // whom else the words of others hold, by name
 }
 
 // New returns an empty book.
 func New[T Sum[T]]() *Totals[T] {
-	return &Totals[T]{others: map[string]word[T]{}, totals: map[string]total[T]{}, only: map[string]bool{}, covers: map[string]Cover{}}
+	return &Totals[T]{others: map[string]word[T]{}, totals: map[string]total[T]{}, only: map[string]bool{}, covers: map[string]Coverage{}}
 }
 
-// Told takes another box's word.
-func (b *Totals[T]) Told(now time.Time, box string, list map[string]T) {
+// Update takes another box's word.
+func (b *Totals[T]) Update(now time.Time, box string, list map[string]T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drop(box)
@@ -71,9 +71,9 @@
 	}
 }
 
-// Covers notes, before a box's word is taken, whether the box tells this one alone,
+// SetCoverage notes, before a box's word is taken, whether the box tells this one alone,
 // and whom besides it the word holds.
-func (b *Totals[T]) Covers(box string, only bool, c Cover) {
+func (b *Totals[T]) SetCoverage(box string, only bool, c Coverage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.only[box], b.covers[box] = only, c
@@ -85,9 +85,9 @@
 	}
 }
 
-// Part adds what the boxes told that tell this one alone to a list, for those that
+// AddExclusive adds what the boxes told that tell this one alone to a list, for those that
 // do not hear them, and returns how many such boxes there are.
-func (b *Totals[T]) Part(now time.Time, list map[string]T) int {
+func (b *Totals[T]) AddExclusive(now time.Time, list map[string]T) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lapse(now)
@@ -137,8 +137,8 @@
 	}
 }
 
-// ToldSum takes a hub's word of what all other boxes have.
-func (b *Totals[T]) ToldSum(now time.Time, list map[string]T) {
+// UpdateSum takes a hub's word of what all other boxes have.
+func (b *Totals[T]) UpdateSum(now time.Time, list map[string]T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sum = word[T]{now, list}
@@ -165,8 +165,8 @@
 	return boxes
 }
 
-// Heard returns how many other boxes have told this one within a time.
-func (b *Totals[T]) Heard(now time.Time, within time.Duration) int {
+// RecentBoxes returns how many other boxes have told this one within a time.
+func (b *Totals[T]) RecentBoxes(now time.Time, within time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	boxes := 0
@@ -178,8 +178,8 @@
 	return boxes
 }
 
-// HeardAlone returns how many of them tell this one alone.
-func (b *Totals[T]) HeardAlone(now time.Time, within time.Duration) int {
+// RecentExclusive returns how many of them tell this one alone.
+func (b *Totals[T]) RecentExclusive(now time.Time, within time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	boxes := 0
@@ -191,15 +191,15 @@
 	return boxes
 }
 
-// HeardBehind returns how many boxes had just told others that told this one within a
+// RecentIndirect returns how many boxes had just told others that told this one within a
 // time.
-func (b *Totals[T]) HeardBehind(now time.Time, within time.Duration) int {
+func (b *Totals[T]) RecentIndirect(now time.Time, within time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	boxes := 0
 	for box, c := range b.covers {
 		if o, ok := b.others[box]; ok && now.Sub(o.at) <= within {
-			boxes += c.Near
+			boxes += c.Recent
 		}
 	}
 	return boxes
@@ -240,8 +240,8 @@
 	return b.totals[upstream].sum
 }
 
-// Without adds what all boxes but one told to a list, for that one.
-func (b *Totals[T]) Without(now time.Time, box string, list map[string]T) {
+// AddExcept adds what all boxes but one told to a list, for that one.
+func (b *Totals[T]) AddExcept(now time.Time, box string, list map[string]T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lapse(now)
--- a/peerstate/peerstate_test.go
+++ b/peerstate/peerstate_test.go
@@ -30,24 +30,24 @@
 	}{
 		"nothing": {tell: func(*peerstate.Totals[count]) {}},
 		"two boxes": {tell: func(b *peerstate.Totals[count]) {
-			b.Told(now, "a", words(1))
-			b.Told(now, "b", words(2))
+			b.Update(now, "a", words(1))
+			b.Update(now, "b", words(2))
 		}, want: 3},
 		"a box again": {tell: func(b *peerstate.Totals[count]) {
-			b.Told(now, "a", words(1))
-			b.Told(now, "a", words(5))
+			b.Update(now, "a", words(1))
+			b.Update(now, "a", words(5))
 		}, want: 5},
 		"a hub's sum": {tell: func(b *peerstate.Totals[count]) {
-			b.Told(now, "a", words(1))
-			b.ToldSum(now, words(7))
+			b.Update(now, "a", words(1))
+			b.UpdateSum(now, words(7))
 		}, want: 7},
 		"a hub that is gone, a box that is not": {tell: func(b *peerstate.Totals[count]) {
-			b.ToldSum(now, words(7))
-			b.Told(now.Add(2*time.Second), "a", words(1))
+			b.UpdateSum(now, words(7))
+			b.Update(now.Add(2*time.Second), "a", words(1))
 		}, after: 4 * time.Second, want: 1},
 		"all are gone": {tell: func(b *peerstate.Totals[count]) {
-			b.ToldSum(now, words(7))
-			b.Told(now, "a", words(1))
+			b.UpdateSum(now, words(7))
+			b.Update(now, "a", words(1))
 		}, after: 4 * time.Second},
 	}
 	for name, tt := range tests {
@@ -65,11 +65,11 @@
 	is := is.New(t)
 	now := time.Now()
 	b := peerstate.New[count]()
-	b.Told(now, "a", words(1))
-	b.Told(now, "b", words(2))
-	b.Told(now.Add(-time.Minute), "gone", words(100))
+	b.Update(now, "a", words(1))
+	b.Update(now, "b", words(2))
+	b.Update(now.Add(-time.Minute), "gone", words(100))
 	list := words(10)
-	b.Without(now, "b", list)
+	b.AddExcept(now, "b", list)
 	is.Equal(list, words(11))
 }
 
@@ -92,12 +92,12 @@
 		for range random.IntN(4) {
 			list[fmt.Sprint("u", random.IntN(6))] = count(random.IntN(9))
 		}
-		b.Told(now, box, list)
+		b.Update(now, box, list)
 		said[box] = word{now, list}
 		now = now.Add(time.Duration(random.Int64N(int64(100 * time.Millisecond))))
 		asker := fmt.Sprint("b", random.IntN(40))
 		got, want, all := map[string]count{}, map[string]count{}, map[string]count{}
-		b.Without(now, asker, got)
+		b.AddExcept(now, asker, got)
 		for name, w := range said {
 			for u, v := range w.list {
 				if now.Sub(w.at) > 3*time.Second {
@@ -119,7 +119,7 @@
 // BenchmarkWithout is a hub's answer to one box, by boxes that each tell of 13
 // of 65 upstreams; BenchmarkOf the sum at one upstream.
 func BenchmarkWithout(b *testing.B) {
-	bench(b, func(book *peerstate.Totals[count], now time.Time) { book.Without(now, "b1", map[string]count{}) })
+	bench(b, func(book *peerstate.Totals[count], now time.Time) { book.AddExcept(now, "b1", map[string]count{}) })
 }
 
 func BenchmarkOf(b *testing.B) {
@@ -135,7 +135,7 @@
 				for j := range 13 {
 					list[fmt.Sprint("u", (i*7+j*5)%65)] = 1
 				}
-				book.Told(now, fmt.Sprint("b", i), list)
+				book.Update(now, fmt.Sprint("b", i), list)
 			}
 			for b.Loop() {
 				f(book, now)
@@ -155,29 +155,29 @@
 		all   int
 	}{
 		"each tells all hubs": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.Told(now, "b1", map[string]count{"u1": 1})
+			b.Update(now, "b1", map[string]count{"u1": 1})
 		}, want: map[string]count{}, all: 1},
 		"two tell it alone": {words: func(b *peerstate.Totals[count], now time.Time) {
 			for _, box := range []string{"b1", "b2"} {
-				b.Covers(box, true, peerstate.Cover{})
-				b.Told(now, box, map[string]count{"u1": 1})
+				b.SetCoverage(box, true, peerstate.Coverage{})
+				b.Update(now, box, map[string]count{"u1": 1})
 			}
 		}, want: map[string]count{"u1": 2}, part: 2, all: 2},
 		"one has another hub now": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.Covers("b1", true, peerstate.Cover{})
-			b.Told(now, "b1", map[string]count{"u1": 1})
-			b.Covers("b1", false, peerstate.Cover{})
-			b.Told(now, "b1", nil)
+			b.SetCoverage("b1", true, peerstate.Coverage{})
+			b.Update(now, "b1", map[string]count{"u1": 1})
+			b.SetCoverage("b1", false, peerstate.Coverage{})
+			b.Update(now, "b1", nil)
 		}, want: map[string]count{}, all: 1},
 		"a hub tells of its boxes": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.Covers("hub", false, peerstate.Cover{Boxes: 40})
-			b.Told(now, "hub", map[string]count{"u1": 30})
+			b.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40})
+			b.Update(now, "hub", map[string]count{"u1": 30})
 		}, want: map[string]count{}, all: 41},
 		"words that have lapsed": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.Covers("b1", true, peerstate.Cover{})
-			b.Told(now, "b1", map[string]count{"u1": 1})
-			b.Covers("hub", false, peerstate.Cover{Boxes: 40})
-			b.Told(now, "hub", map[string]count{"u1": 30})
+			b.SetCoverage("b1", true, peerstate.Coverage{})
+			b.Update(now, "b1", map[string]count{"u1": 1})
+			b.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40})
+			b.Update(now, "hub", map[string]count{"u1": 30})
 		}, after: 4 * time.Second, want: map[string]count{}},
 	}
 	for name, tt := range tests {
@@ -188,7 +188,7 @@
 			tt.words(b, now)
 			now = now.Add(tt.after)
 			list := map[string]count{}
-			is.Equal(b.Part(now, list), tt.part)
+			is.Equal(b.AddExclusive(now, list), tt.part)
 			is.Equal(list, tt.want)
 			is.Equal(b.Boxes(now), tt.all)
 		})
@@ -212,15 +212,15 @@
 			is := is.New(t)
 			now := time.Now()
 			b := peerstate.New[count]()
-			b.Covers("b1", true, peerstate.Cover{})
-			b.Told(now, "b1", words(1))
-			b.Told(now, "b2", words(1))
-			b.Covers("hub", false, peerstate.Cover{Boxes: 40, Near: 30})
-			b.Told(now.Add(300*time.Millisecond), "hub", words(1))
+			b.SetCoverage("b1", true, peerstate.Coverage{})
+			b.Update(now, "b1", words(1))
+			b.Update(now, "b2", words(1))
+			b.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40, Recent: 30})
+			b.Update(now.Add(300*time.Millisecond), "hub", words(1))
 			now = now.Add(300*time.Millisecond + tt.after)
-			is.Equal(b.Heard(now, 400*time.Millisecond), tt.itself)
-			is.Equal(b.HeardAlone(now, 400*time.Millisecond), tt.alone)
-			is.Equal(b.HeardBehind(now, 400*time.Millisecond), tt.behind)
+			is.Equal(b.RecentBoxes(now, 400*time.Millisecond), tt.itself)
+			is.Equal(b.RecentExclusive(now, 400*time.Millisecond), tt.alone)
+			is.Equal(b.RecentIndirect(now, 400*time.Millisecond), tt.behind)
 		})
 	}
 }
--- a/reliability/reliability.go
+++ b/reliability/reliability.go
@@ -132,7 +132,7 @@
 // Without returns what all boxes but one met, for that one.
 func (r *Reliability) Without(now time.Time, box string) []wire.UpstreamFailures {
 	sum := r.own(now)
-	r.others.Without(now, box, sum)
+	r.others.AddExcept(now, box, sum)
 	return listOf(sum)
 }
 
@@ -140,21 +140,23 @@
 // not hear them.
 func (r *Reliability) Part(now time.Time) []wire.UpstreamFailures {
 	sum := r.own(now)
-	r.others.Part(now, sum)
+	r.others.AddExclusive(now, sum)
 	return listOf(sum)
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone.
-func (r *Reliability) Covers(box string, only bool) { r.others.Covers(box, only, peerstate.Cover{}) }
+func (r *Reliability) Covers(box string, only bool) {
+	r.others.SetCoverage(box, only, peerstate.Coverage{})
+}
 
 // Told takes another box's word of what it met.
 func (r *Reliability) Told(now time.Time, box string, list []wire.UpstreamFailures) {
-	r.others.Told(now, box, countsOf(list))
+	r.others.Update(now, box, countsOf(list))
 }
 
 // ToldSum takes a hub's word of what all other boxes met.
 func (r *Reliability) ToldSum(now time.Time, list []wire.UpstreamFailures) {
-	r.others.ToldSum(now, countsOf(list))
+	r.others.UpdateSum(now, countsOf(list))
 }
 
 // Older makes what other boxes told older: this box's machine was suspended.
--- a/upstreamload/upstreamload.go
+++ b/upstreamload/upstreamload.go
@@ -204,7 +204,7 @@
 	t.mu.Lock()
 	sum := t.ownAll()
 	t.mu.Unlock()
-	t.others.Without(now, box, sum)
+	t.others.AddExcept(now, box, sum)
 	return listOf(sum)
 }
 
@@ -214,17 +214,19 @@
 	t.mu.Lock()
 	sum := t.ownAll()
 	t.mu.Unlock()
-	boxes = t.others.Part(now, sum)
+	boxes = t.others.AddExclusive(now, sum)
 	return listOf(sum), boxes
 }
 
 // Covers notes, before a box's word is taken, whether it tells this box alone, and whom
 // besides it the word holds.
-func (t *Tracker) Covers(box string, only bool, c peerstate.Cover) { t.others.Covers(box, only, c) }
+func (t *Tracker) Covers(box string, only bool, c peerstate.Coverage) {
+	t.others.SetCoverage(box, only, c)
+}
 
 // Told takes another box's word of what it has running.
 func (t *Tracker) Told(now time.Time, box string, list []wire.UpstreamTally) {
-	t.others.Told(now, box, loadsOf(list))
+	t.others.Update(now, box, loadsOf(list))
 	t.settle(func(p promise) bool { return p.box == box && now.Sub(p.at) > promiseSettles })
 }
 
@@ -255,7 +257,7 @@
 
 // ToldSum takes a hub's word of what all other boxes have running.
 func (t *Tracker) ToldSum(now time.Time, list []wire.UpstreamTally) {
-	t.others.ToldSum(now, loadsOf(list))
+	t.others.UpdateSum(now, loadsOf(list))
 }
 
 // Older makes what other boxes told older: this box's machine was suspended.
@@ -268,17 +270,19 @@
 func (t *Tracker) Boxes(now time.Time) int { return t.others.Boxes(now) }
 
 // Heard returns how many other boxes have told this one within a time what they run.
-func (t *Tracker) Heard(now time.Time, within time.Duration) int { return t.others.Heard(now, within) }
+func (t *Tracker) Heard(now time.Time, within time.Duration) int {
+	return t.others.RecentBoxes(now, within)
+}
 
 // HeardAlone returns how many of them tell this box alone.
 func (t *Tracker) HeardAlone(now time.Time, within time.Duration) int {
-	return t.others.HeardAlone(now, within)
+	return t.others.RecentExclusive(now, within)
 }
 
 // HeardBehind returns how many boxes had just told others that told this one within a
 // time.
 func (t *Tracker) HeardBehind(now time.Time, within time.Duration) int {
-	return t.others.HeardBehind(now, within)
+	return t.others.RecentIndirect(now, within)
 }
 
 // Pace returns the mean time between events of this box's streams; 0 while it has
