--- a/admission/admission.go
+++ b/admission/admission.go
@@ -90,7 +90,7 @@
 
 // loads takes what is promised.
 type loads interface {
-	Promise(now time.Time, box, upstream string, l upstreamload.Load)
+	Reserve(now time.Time, box, upstream string, l upstreamload.Load)
 }
 
 // reading tells how long engines take to read prompts.
@@ -291,7 +291,7 @@
 	a.wait.gave(now, a.rank(w.ask), w.ask.Prompt)
 	a.ranking.Sent(now, w.ask.Service, g.Upstream)
 	a.ranking.Gave(now, g.Upstream, a.need(w.ask), g.running)
-	a.loads.Promise(now, w.ask.Box, g.Upstream.ID, loadOf(w.ask))
+	a.loads.Reserve(now, w.ask.Box, g.Upstream.ID, loadOf(w.ask))
 	if a.shares != nil {
 		a.shares.Gave(now, w.ask.party(), a.Work(w.ask))
 	}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -594,7 +594,7 @@
 			is.NoErr(err)
 			is.True(ok)
 			at = append(at, time.Since(began))
-			w.tally.Kept("b", u.ID) // and it has ended
+			w.tally.Release("b", u.ID) // and it has ended
 		}
 		is.True(at[5]-at[1] >= time.Second) // two in a slot
 	})
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -23,7 +23,7 @@
 				if !ok || err != nil {
 					b.Fatal("no room")
 				}
-				w.tally.Kept("b", g.Upstream.ID)
+				w.tally.Release("b", g.Upstream.ID)
 			}
 		})
 	}
--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -280,7 +280,7 @@
 		cancel()
 		time.Sleep(time.Duration(ask.Mark % uint64(sendMost)))
 		if ok && box == 0 {
-			c.tallies[0].Kept(ask.Box, g.Upstream.ID)
+			c.tallies[0].Release(ask.Box, g.Upstream.ID)
 		}
 		if ok || err != nil {
 			return g.Upstream.ID, err
@@ -430,7 +430,7 @@
 		} else {
 			paused = paused || now.Sub(last) > pauseMost
 		}
-		entry.Made(now, eventTokens, max(ask.Answer-made, 1))
+		entry.Progress(now, eventTokens, max(ask.Answer-made, 1))
 		pace.Event(now, c.tallies[box].Load(now, engine).Prefill > 0)
 		last, first = now, false
 		if made >= length {
@@ -535,7 +535,7 @@
 		for i, from := range c.tallies {
 			for j, to := range c.tallies {
 				if i != j {
-					to.Told(time.Now(), fmt.Sprint("b", i), from.Own())
+					to.Update(time.Now(), fmt.Sprint("b", i), from.Own())
 					c.speeds[j].Told(time.Now(), fmt.Sprint("b", i), c.speeds[i].Own(time.Now()))
 				}
 			}
--- a/admission/many_test.go
+++ b/admission/many_test.go
@@ -72,7 +72,7 @@
 					g, ok, err := w.Take(t.Context(), ask)
 					is.NoErr(err)
 					is.True(ok)
-					w.tally.Kept("b", g.Upstream.ID)
+					w.tally.Release("b", g.Upstream.ID)
 					w.tally.Begin(g.Upstream.ID, upstreamload.Load{Requests: 1, Tokens: 3000, Coming: 900})
 					running[g.Upstream.ID]++
 					most = max(most, running[g.Upstream.ID])
@@ -108,7 +108,7 @@
 					cancel()
 					is.NoErr(err)
 					is.True(ok)
-					w.tally.Kept("b", g.Upstream.ID)
+					w.tally.Release("b", g.Upstream.ID)
 					w.tally.Begin(g.Upstream.ID, upstreamload.Load{Requests: slots, Tokens: memory, Coming: 100})
 				}
 				is.True(w.ranking.weighed <= free*(10*64+2*engines))
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -156,7 +156,7 @@
 		for j, other := range boxes {
 			if i != j && w.hear(i, j) {
 				name := fmt.Sprint(j)
-				b.tally.Told(now, name, other.tally.Own())
+				b.tally.Update(now, name, other.tally.Own())
 				b.places.Told(now, name, other.places.Own(now))
 				b.reliability.Told(now, name, other.reliability.Own(now))
 			}
--- a/edge/admit.go
+++ b/edge/admit.go
@@ -110,7 +110,7 @@
 	case !ok:
 		return admission.Grant{}, refusal.New(refusal.Deadline, "no engine had room in time")
 	}
-	e.tally.Kept(e.config.Box, g.Upstream.ID) // it is counted as this box's own from here on
+	e.tally.Release(e.config.Box, g.Upstream.ID) // it is counted as this box's own from here on
 	return g, nil
 }
 
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -134,7 +134,7 @@
 	defer l.mu.Unlock()
 	if now.Sub(l.reachAt) >= reachLasts {
 		known := max(l.members.Count(now)-l.members.Leaving(), 1)
-		heard := 1 + l.tally.Heard(now, reachWithin) + l.tally.HeardBehind(now, reachLeg)
+		heard := 1 + l.tally.RecentBoxes(now, reachWithin) + l.tally.RecentIndirect(now, reachLeg)
 		l.reached, l.reachAt = min(reachOver*float64(heard)/float64(known), 1), now
 	}
 	return l.reached
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -301,7 +301,7 @@
 				keeper.Heard(hub.Say(keeper.members.Self()))
 				time.Sleep(tt.parted)
 				now := time.Now()
-				is.New(t).Equal(keeper.tally.Heard(now, reachWithin)+keeper.tally.HeardBehind(now, reachLeg), tt.heard)
+				is.New(t).Equal(keeper.tally.RecentBoxes(now, reachWithin)+keeper.tally.RecentIndirect(now, reachLeg), tt.heard)
 			})
 		})
 	}
--- a/edge/run.go
+++ b/edge/run.go
@@ -201,7 +201,7 @@
 	e.mu.Lock()
 	hears := now.Sub(e.hubHeard) < hearsOthers
 	e.mu.Unlock()
-	if !hears && e.tally.Heard(now, hearsOthers) == 0 {
+	if !hears && e.tally.RecentBoxes(now, hearsOthers) == 0 {
 		return 0
 	}
 	return e.storeSilent(now)
--- a/edge/view.go
+++ b/edge/view.go
@@ -31,7 +31,7 @@
 	for _, b := range e.members.Asks(now) {
 		v.Asks = append(v.Asks, b.Name)
 	}
-	_, v.Tells = e.tally.Part(now)
+	_, v.Tells = e.tally.Exclusive(now)
 	for _, b := range e.members.Hubs(now) {
 		v.Hubs = append(v.Hubs, b.Name)
 	}
@@ -96,6 +96,6 @@
 		return
 	}
 	e.role = role
-	_, tells := e.tally.Part(now)
+	_, tells := e.tally.Exclusive(now)
 	e.log.WithFields(role).WithFields(logrus.Fields{"boxes": e.members.Count(now), "tells": tells, "loads_age_ms": min(e.tally.SumAge(now), neverAge).Milliseconds()}).Info("role")
 }
--- a/edge/words.go
+++ b/edge/words.go
@@ -35,7 +35,7 @@
 // partWords returns those of this box and of the boxes that tell it alone, for those
 // that do not hear them, and how many such boxes there are.
 func (e *Edge) partWords(now time.Time, paced bool) (w words, covers peerstate.Coverage) {
-	tallies, boxes := e.tally.Part(now)
+	tallies, boxes := e.tally.Exclusive(now)
 	w = words{
 		tallies:  e.bornLoads(tallies),
 		failures: e.bornFailures(e.reliability.Part(now)),
@@ -46,7 +46,7 @@
 	if paced {
 		w.speeds = e.speeds.Part(now)
 	}
-	return w, peerstate.Coverage{Boxes: boxes, Recent: e.tally.HeardAlone(now, reachLeg)}
+	return w, peerstate.Coverage{Boxes: boxes, Recent: e.tally.RecentExclusive(now, reachLeg)}
 }
 
 // wordsWithout returns those of all boxes but one, for that one.
@@ -67,11 +67,11 @@
 // hearWords takes another box's words. only tells that the box tells this one alone,
 // covers whom besides it the words are of.
 func (e *Edge) hearWords(now time.Time, box string, w words, only bool, covers peerstate.Coverage) {
-	e.tally.Covers(box, only, covers)
+	e.tally.SetCoverage(box, only, covers)
 	e.reliability.Covers(box, only)
 	e.sharing.covers(box, only)
 	e.coversPlaces(box, only)
-	e.tally.Told(now, box, e.currentLoads(w.tallies))
+	e.tally.Update(now, box, e.currentLoads(w.tallies))
 	e.reliability.Told(now, box, e.currentFailures(w.failures))
 	e.sharing.told(now, box, w.uses)
 	e.toldPlaces(now, box, w.places)
@@ -83,7 +83,7 @@
 
 // hearSums takes a hub's words of what all other boxes told.
 func (e *Edge) hearSums(now time.Time, w words) {
-	e.tally.ToldSum(now, e.currentLoads(w.tallies))
+	e.tally.UpdateSum(now, e.currentLoads(w.tallies))
 	e.reliability.ToldSum(now, e.currentFailures(w.failures))
 	e.sharing.toldSum(now, w.uses)
 	e.toldPlacesSum(now, w.places)
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -129,7 +129,7 @@
 			is := is.New(t)
 			c, running := chooserOf(tt.halls)
 			for i, l := range tt.loads {
-				running.Told(time.Now(), fmt.Sprint("b", i), []wire.UpstreamTally{{
+				running.Update(time.Now(), fmt.Sprint("b", i), []wire.UpstreamTally{{
 					Upstream: fmt.Sprint("e", i), Requests: l.Requests, Tokens: l.Tokens, Coming: l.Coming, Prefill: l.Prefill,
 					Paced: l.Paced, PaceUs: l.PaceUs,
 				}})
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -264,7 +264,7 @@
 	per, j := f.job.eventTokens(), f.job
 	made := f.count * per
 	j.lengths.Progress(j.kind(), made-per, made)
-	f.sent.entry.Made(f.passed, per, j.left(made))
+	f.sent.entry.Progress(f.passed, per, j.left(made))
 }
 
 // goOn goes on with a run that was moved. moved is false if it was not.
--- a/upstreamload/upstreamload.go
+++ b/upstreamload/upstreamload.go
@@ -114,8 +114,8 @@
 	e.take(Load{Prefill: e.left.Prefill})
 }
 
-// Made notes an event of so many tokens, and how many are expected yet.
-func (e *Entry) Made(now time.Time, tokens, coming int) {
+// Progress notes an event of so many tokens, and how many are expected yet.
+func (e *Entry) Progress(now time.Time, tokens, coming int) {
 	pace := e.left.PaceUs
 	since := int(now.Sub(e.paced).Microseconds())
 	switch {
@@ -208,9 +208,9 @@
 	return listOf(sum)
 }
 
-// Part returns what this box has running and those that tell it alone, for the boxes
+// Exclusive returns what this box has running and those that tell it alone, for the boxes
 // that do not hear them, and how many those are.
-func (t *Tracker) Part(now time.Time) (list []wire.UpstreamTally, boxes int) {
+func (t *Tracker) Exclusive(now time.Time) (list []wire.UpstreamTally, boxes int) {
 	t.mu.Lock()
 	sum := t.ownAll()
 	t.mu.Unlock()
@@ -218,29 +218,29 @@
 	return listOf(sum), boxes
 }
 
-// Covers notes, before a box's word is taken, whether it tells this box alone, and whom
+// SetCoverage notes, before a box's word is taken, whether it tells this box alone, and whom
 // besides it the word holds.
-func (t *Tracker) Covers(box string, only bool, c peerstate.Coverage) {
+func (t *Tracker) SetCoverage(box string, only bool, c peerstate.Coverage) {
 	t.others.SetCoverage(box, only, c)
 }
 
-// Told takes another box's word of what it has running.
-func (t *Tracker) Told(now time.Time, box string, list []wire.UpstreamTally) {
+// Update takes another box's word of what it has running.
+func (t *Tracker) Update(now time.Time, box string, list []wire.UpstreamTally) {
 	t.others.Update(now, box, loadsOf(list))
 	t.settle(func(p promise) bool { return p.box == box && now.Sub(p.at) > promiseSettles })
 }
 
 // Promise counts what a box was told to send to an upstream until the box's own
 // word has it.
-func (t *Tracker) Promise(now time.Time, box, upstream string, l Load) {
+func (t *Tracker) Reserve(now time.Time, box, upstream string, l Load) {
 	t.settle(func(p promise) bool { return now.Sub(p.at) > promiseLapses })
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.promises = append(t.promises, promise{now, box, upstream, l})
 }
 
-// Kept ends a box's promise at an upstream: it is counted otherwise now.
-func (t *Tracker) Kept(box, upstream string) {
+// Release ends a box's promise at an upstream: it is counted otherwise now.
+func (t *Tracker) Release(box, upstream string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := slices.IndexFunc(t.promises, func(p promise) bool { return p.box == box && p.upstream == upstream })
@@ -255,8 +255,8 @@
 	t.promises = slices.DeleteFunc(t.promises, settled)
 }
 
-// ToldSum takes a hub's word of what all other boxes have running.
-func (t *Tracker) ToldSum(now time.Time, list []wire.UpstreamTally) {
+// UpdateSum takes a hub's word of what all other boxes have running.
+func (t *Tracker) UpdateSum(now time.Time, list []wire.UpstreamTally) {
 	t.others.UpdateSum(now, loadsOf(list))
 }
 
@@ -269,19 +269,19 @@
 // Boxes returns how many other boxes have told this one of late what they run.
 func (t *Tracker) Boxes(now time.Time) int { return t.others.Boxes(now) }
 
-// Heard returns how many other boxes have told this one within a time what they run.
-func (t *Tracker) Heard(now time.Time, within time.Duration) int {
+// RecentBoxes returns how many other boxes have told this one within a time what they run.
+func (t *Tracker) RecentBoxes(now time.Time, within time.Duration) int {
 	return t.others.RecentBoxes(now, within)
 }
 
-// HeardAlone returns how many of them tell this box alone.
-func (t *Tracker) HeardAlone(now time.Time, within time.Duration) int {
+// RecentExclusive returns how many of them tell this box alone.
+func (t *Tracker) RecentExclusive(now time.Time, within time.Duration) int {
 	return t.others.RecentExclusive(now, within)
 }
 
-// HeardBehind returns how many boxes had just told others that told this one within a
+// RecentIndirect returns how many boxes had just told others that told this one within a
 // time.
-func (t *Tracker) HeardBehind(now time.Time, within time.Duration) int {
+func (t *Tracker) RecentIndirect(now time.Time, within time.Duration) int {
 	return t.others.RecentIndirect(now, within)
 }
 
--- a/upstreamload/upstreamload_test.go
+++ b/upstreamload/upstreamload_test.go
@@ -34,8 +34,8 @@
 	now := time.Now()
 	s := upstreamload.New()
 	s.Begin("u", upstreamload.Load{Requests: 1, Tokens: 10})
-	s.Told(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
-	s.Told(now, "b2", []wire.UpstreamTally{{Upstream: "u", Requests: 3, Tokens: 30, Prefill: 7}})
+	s.Update(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
+	s.Update(now, "b2", []wire.UpstreamTally{{Upstream: "u", Requests: 3, Tokens: 30, Prefill: 7}})
 	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 6, Tokens: 60, Prefill: 7})
 	// A hub tells a box what all others have, so that it adds its own.
 	is.Equal(s.Without(now, "b2"), []wire.UpstreamTally{{Upstream: "u", Requests: 3, Tokens: 30}})
@@ -43,8 +43,8 @@
 	later := now.Add(3500 * time.Millisecond)
 	is.Equal(s.Load(later, "u"), upstreamload.Load{Requests: 1, Tokens: 10})
 	// A hub's sum stands for all others, and is not added to what they told.
-	s.Told(later, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
-	s.ToldSum(later, []wire.UpstreamTally{{Upstream: "u", Requests: 4, Tokens: 40}})
+	s.Update(later, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
+	s.UpdateSum(later, []wire.UpstreamTally{{Upstream: "u", Requests: 4, Tokens: 40}})
 	is.Equal(s.Load(later, "u"), upstreamload.Load{Requests: 5, Tokens: 50})
 }
 
@@ -59,15 +59,15 @@
 		"at once":               {want: load},
 		"its box said nothing":  {at: 700 * time.Millisecond, want: load},
 		"it has lapsed":         {at: 900 * time.Millisecond},
-		"its box tells of it":   {at: 300 * time.Millisecond, then: func(s *upstreamload.Tracker, now time.Time) { s.Told(now, "b1", nil) }},
-		"told before it was":    {at: 50 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Told(now, "b1", nil) }},
-		"another box tells":     {at: 300 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Told(now, "b2", nil) }},
-		"it is counted already": {then: func(s *upstreamload.Tracker, _ time.Time) { s.Kept("b1", "u") }},
+		"its box tells of it":   {at: 300 * time.Millisecond, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b1", nil) }},
+		"told before it was":    {at: 50 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b1", nil) }},
+		"another box tells":     {at: 300 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b2", nil) }},
+		"it is counted already": {then: func(s *upstreamload.Tracker, _ time.Time) { s.Release("b1", "u") }},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s, now := upstreamload.New(), time.Now()
-			s.Promise(now, "b1", "u", load)
+			s.Reserve(now, "b1", "u", load)
 			if tt.then != nil {
 				tt.then(s, now.Add(tt.at))
 			}
@@ -83,11 +83,11 @@
 	e := s.Begin("u", upstreamload.Load{Requests: 1, Tokens: 900, Coming: 100, Prefill: 900})
 	e.Started()
 	now := time.Now()
-	e.Made(now, 4, 80)
+	e.Progress(now, 4, 80)
 	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 1, Tokens: 904, Coming: 80})
-	e.Made(now.Add(40*time.Millisecond), 4, 70) // the first time between events
+	e.Progress(now.Add(40*time.Millisecond), 4, 70) // the first time between events
 	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 1, Tokens: 908, Coming: 70, Paced: 1, PaceUs: 40000})
-	e.Made(now.Add(160*time.Millisecond), 4, 60)
+	e.Progress(now.Add(160*time.Millisecond), 4, 60)
 	is.Equal(s.Load(now, "u").Pace(), 50*time.Millisecond)
 	is.Equal(s.Pace(), 50*time.Millisecond)
 	e.End()
@@ -102,8 +102,8 @@
 	s := upstreamload.New()
 	load := upstreamload.Load{Requests: 1, Tokens: 900, Prefill: 700}
 	old := s.Begin("u", load)
-	s.Promise(now, "b1", "u", load)
-	s.Told(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}, {Upstream: "v", Requests: 1}})
+	s.Reserve(now, "b1", "u", load)
+	s.Update(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}, {Upstream: "v", Requests: 1}})
 	s.Forget("u")
 	is.Equal(s.Load(now, "u"), upstreamload.Load{})
 	is.Equal(s.Load(now, "v"), upstreamload.Load{Requests: 1})
@@ -113,11 +113,11 @@
 	is.Equal(s.Load(now, "u"), load)
 	fresh.End()
 	is.Equal(len(s.Own()), 0)
-	s.ToldSum(now, []wire.UpstreamTally{{Upstream: "u", Requests: 2}, {Upstream: "v", Requests: 1}})
+	s.UpdateSum(now, []wire.UpstreamTally{{Upstream: "u", Requests: 2}, {Upstream: "v", Requests: 1}})
 	s.Forget("u")
 	is.Equal(s.Load(now, "u"), upstreamload.Load{})
 	// What a box tells after that counts again.
-	s.Told(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 3}})
-	s.Told(now, "b1", nil)
+	s.Update(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 3}})
+	s.Update(now, "b1", nil)
 	is.Equal(len(s.Without(now, "b2")), 0)
 }
