--- a/admission/admission.go
+++ b/admission/admission.go
@@ -82,8 +82,8 @@
 	SampledFrom(s route.Service) int
 	// Sent notes that a request goes to an upstream.
 	Sent(now time.Time, s route.Service, u fleet.Upstream)
-	// Gave notes that this box has decided so.
-	Gave(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load)
+	// Assigned notes that this box has decided so.
+	Assigned(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load)
 	// Leaving returns what runs at the upstreams of a service that leave.
 	Leaving(now time.Time, service string) upstreamload.Load
 }
@@ -290,7 +290,7 @@
 	a.returns.came(w.ask.Mark)
 	a.wait.gave(now, a.rank(w.ask), w.ask.Prompt)
 	a.ranking.Sent(now, w.ask.Service, g.Upstream)
-	a.ranking.Gave(now, g.Upstream, a.need(w.ask), g.running)
+	a.ranking.Assigned(now, g.Upstream, a.need(w.ask), g.running)
 	a.loads.Reserve(now, w.ask.Box, g.Upstream.ID, loadOf(w.ask))
 	if a.shares != nil {
 		a.shares.Gave(now, w.ask.party(), a.Work(w.ask))
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -57,7 +57,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	w := &world{fleet: f, tally: upstreamload.New(), back: map[string]time.Duration{}}
-	chooser := picker.New(picker.Parts{Fleet: f, Tally: w.tally, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
+	chooser := picker.New(picker.Parts{Fleet: f, Loads: w.tally, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	w.chooser = chooser
 	w.Admission = admission.New(chooser, w.tally, prefill.New(), s, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
 	return w
@@ -581,7 +581,7 @@
 		is := is.New(t)
 		w := newWorld(1)
 		w.chooser.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
-		w.chooser.Part = func(route.Service) float64 { return 1 }
+		w.chooser.Allocation = func(route.Service) float64 { return 1 }
 		u := w.fleet.Serving("llm")[0]
 		u.Version, u.Cold = 2, time.Now().Add(10*time.Second)
 		w.fleet.Put(time.Now(), u)
--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -254,7 +254,7 @@
 		}
 		c.tallies = append(c.tallies, upstreamload.New())
 		c.choosers = append(c.choosers, picker.New(picker.Parts{
-			Fleet: f, Tally: c.tallies[i], Reliability: reliability.New(), Reading: reading, Speeds: c.speeds[i], Hall: "leith", Random: rand.New(rand.NewPCG(7, uint64(i))),
+			Fleet: f, Loads: c.tallies[i], Reliability: reliability.New(), Prefill: reading, Speeds: c.speeds[i], Hall: "leith", Random: rand.New(rand.NewPCG(7, uint64(i))),
 		}))
 	}
 	c.keeper = admission.New(c.choosers[0], c.tallies[0], reading, c.shares(), rand.New(rand.NewPCG(7, 99)), logs.New(io.Discard, "info", "b0"))
--- a/admission/many_test.go
+++ b/admission/many_test.go
@@ -48,7 +48,7 @@
 		f.Put(time.Now(), fleet.Upstream{ID: fmt.Sprint("e", i), Service: "llm", Hall: fmt.Sprint("hall", i%6), Slots: slots, State: fleet.Open})
 	}
 	t := upstreamload.New()
-	chooser := picker.New(picker.Parts{Fleet: f, Tally: t, Reliability: reliability.New(), Reading: prefill.New(), Hall: "hall0", Random: rand.New(rand.NewPCG(1, 1))})
+	chooser := picker.New(picker.Parts{Fleet: f, Loads: t, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "hall0", Random: rand.New(rand.NewPCG(1, 1))})
 	ranking := &counted{Picker: chooser}
 	a := admission.New(ranking, t, prefill.New(), nil, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
 	return &manyEngines{Admission: a, ranking: ranking, tally: t, fleet: f}
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -139,7 +139,7 @@
 	b.fleet.Replace(time.Now(), list, 1, false)
 	hall := fmt.Sprint("h", seed%3)
 	b.chooser = picker.New(picker.Parts{
-		Fleet: b.fleet, Tally: b.tally, Reliability: b.reliability, Reading: prefill.New(), Hall: hall, Random: rand.New(rand.NewPCG(seed, 1)),
+		Fleet: b.fleet, Loads: b.tally, Reliability: b.reliability, Prefill: prefill.New(), Hall: hall, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
 	b.places = places.New(places.Parts{
 		Ranker: b.chooser, Failing: b.reliability.Failing, Counter: uncounted{}, Hall: hall, Random: rand.New(rand.NewPCG(seed, 2)),
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -234,8 +234,8 @@
 	warm := warmup.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 5)))
 	e.fleet.OnRestart(e.restarted(warm))
 	chooser := picker.New(picker.Parts{
-		Fleet: e.fleet, Tally: e.tally, Reliability: e.reliability, Reading: reading, Hall: e.config.Hall, Speeds: e.speeds,
-		Warmup: warm, Part: e.part, Limits: e.limiter, Rest: e.rest, Regions: s.Regions,
+		Fleet: e.fleet, Loads: e.tally, Reliability: e.reliability, Prefill: reading, Hall: e.config.Hall, Speeds: e.speeds,
+		Warmup: warm, Allocation: e.part, Limits: e.limiter, Backoff: e.rest, Regions: s.Regions,
 		Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 1)),
 	})
 	if e.config.Balances(wire.EdgeBalanceElemPlaces) {
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -167,7 +167,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	b := &box{runs: runs.New(), tally: upstreamload.New()}
-	chooser := picker.New(picker.Parts{Fleet: f, Tally: b.tally, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
+	chooser := picker.New(picker.Parts{Fleet: f, Loads: b.tally, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	service := route.Service{Name: "llm", Engine: &route.Engine{Slots: 48, Memory: 34000, Moves: true, EventTokens: 4}}
 	b.Evacuator = evacuate.New(evacuate.Parts{
 		Runs: b.runs, Chooser: chooser, Mover: mover, Turns: t, Tally: b.tally,
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -70,17 +70,17 @@
 // Parts are what a chooser works with.
 type Parts struct {
 	Fleet       *fleet.Fleet
-	Tally       *upstreamload.Tracker
+	Loads       *upstreamload.Tracker
 	Reliability *reliability.Reliability
-	Reading     reading
+	Prefill     reading
 	Speeds      *speeds.Speeds // nil: engines' paces are compared where they stream
 	Hall        string         // of the box
 	Random      *rand.Rand
 	Regions     map[string]string             // of halls
 	Warmup      *warmup.Warmup                // nil: cold upstreams are not spared
-	Part        func(s route.Service) float64 // of what a cold upstream bears that this box may send
+	Allocation  func(s route.Service) float64 // of what a cold upstream bears that this box may send
 	Limits      Limits                        // nil: nobody names a limit
-	Rest        *backoff.Tracker              // that upstreams have asked this box for; nil: none
+	Backoff     *backoff.Tracker              // that upstreams have asked this box for; nil: none
 }
 
 // New returns a chooser of a box in a hall.
@@ -136,7 +136,7 @@
 }
 
 // Gave notes that the keeper of a queue sends a request to an upstream.
-func (c *Picker) Gave(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
+func (c *Picker) Assigned(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
 	c.Speeds.Gave(now, u, n, running)
 }
 
@@ -171,7 +171,7 @@
 }
 
 func (c *Picker) limit(s route.Service) warmup.Limit {
-	return warmup.Limit{PerSecond: s.ColdPerSecond, Part: c.Part(s)}
+	return warmup.Limit{PerSecond: s.ColdPerSecond, Part: c.Allocation(s)}
 }
 
 // Ranked returns the upstreams that were weighed, the one with the most room
@@ -183,7 +183,7 @@
 	list := c.candidates(now, w)
 	loads := make([]upstreamload.Load, len(list))
 	for i, u := range list {
-		loads[i] = c.Tally.Load(now, u.ID)
+		loads[i] = c.Loads.Load(now, u.ID)
 	}
 	judged, scores := c.judge(now, w, list, loads)
 	order := make([]scored, len(list))
@@ -204,7 +204,7 @@
 func (c *Picker) Leaving(now time.Time, service string) upstreamload.Load {
 	var sum upstreamload.Load
 	for _, u := range c.Fleet.Leavers(now, service, leavingFor) {
-		sum = sum.Plus(c.Tally.Load(now, u.ID))
+		sum = sum.Plus(c.Loads.Load(now, u.ID))
 	}
 	return sum
 }
@@ -220,7 +220,7 @@
 func (c *Picker) candidates(now time.Time, w Want) []fleet.Upstream {
 	list := c.Fleet.Serving(w.Service.Name)
 	if w.Own {
-		list = c.Rest.Without(now, list)
+		list = c.Backoff.Without(now, list)
 	}
 	if w.Sample && len(list) > sampleAbove {
 		list = c.sampleByHall(list, w.Hall)
@@ -273,7 +273,7 @@
 	if e == nil || e.Memory == 0 {
 		return places
 	}
-	return float64(l.Tokens+l.Coming+w.Tokens)/float64(e.Memory) + slots*places + waiting*c.Reading.Time(l.Prefill).Seconds()
+	return float64(l.Tokens+l.Coming+w.Tokens)/float64(e.Memory) + slots*places + waiting*c.Prefill.Time(l.Prefill).Seconds()
 }
 
 // judge weighs how fast upstreams are for a request, and returns what that is in
@@ -292,7 +292,7 @@
 		return judged, scores
 	}
 	for i, l := range loads {
-		judged[i] = judged[i].WithLine(w.Need, c.Reading.Time(l.Prefill))
+		judged[i] = judged[i].WithLine(w.Need, c.Prefill.Time(l.Prefill))
 		scores[i] = late * (judged[i].Cost + judged[i].Line)
 	}
 	return judged, scores
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -42,7 +42,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	running := upstreamload.New()
-	return picker.New(picker.Parts{Fleet: f, Tally: running, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), running
+	return picker.New(picker.Parts{Fleet: f, Loads: running, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), running
 }
 
 // spread returns n upstreams, every fourth of them in Leith.
@@ -171,7 +171,7 @@
 			c, running := chooserOf([]string{"leith", "leith"})
 			running.Begin("e1", upstreamload.Load{Requests: 1, Tokens: 9000})
 			c.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
-			c.Part = func(route.Service) float64 { return tt.part }
+			c.Allocation = func(route.Service) float64 { return tt.part }
 			for i := range tt.cold {
 				u, _ := c.Fleet.Get(fmt.Sprint("e", i))
 				u.Version, u.Cold = 2, now.Add(time.Second)
@@ -189,7 +189,7 @@
 	is := is.New(t)
 	now := time.Now()
 	c, _ := chooserOf([]string{"leith"})
-	c.Warmup, c.Part = warmup.New(rand.New(rand.NewPCG(1, 1))), func(route.Service) float64 { return 1 }
+	c.Warmup, c.Allocation = warmup.New(rand.New(rand.NewPCG(1, 1))), func(route.Service) float64 { return 1 }
 	u := c.Fleet.Serving("llm")[0]
 	u.Version, u.Cold = 2, now.Add(time.Second)
 	c.Fleet.Put(now, u)
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -19,7 +19,7 @@
 // rested lets a world's box keep rests.
 func (w *world) rested() *backoff.Tracker {
 	w.relay.Rest = backoff.New(rand.New(rand.NewPCG(1, 1)), w.relay.Metrics, logs.New(io.Discard, "info", "b"))
-	w.relay.Chooser.Rest = w.relay.Rest
+	w.relay.Chooser.Backoff = w.relay.Rest
 	return w.relay.Rest
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -242,7 +242,7 @@
 	w.failed = reliability.New()
 	w.relay = relay.New(relay.Parts{
 		Belief: w.belief, Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Sender: w.sender, Lengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
-		Chooser: picker.New(picker.Parts{Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
+		Chooser: picker.New(picker.Parts{Fleet: w.fleet, Loads: w.tally, Reliability: w.failed, Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
 		Full: func() bool { return w.full },
 		Stopping: func() (relay.Stop, bool) {
 			return relay.Stop{Since: grace - w.leaves, Left: w.leaves, Most: w.most}, w.leaves > 0
@@ -830,7 +830,7 @@
 		is := is.New(t)
 		w := newWorld(t, reply{body: "b"})
 		w.relay.Chooser.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
-		w.relay.Chooser.Part = func(route.Service) float64 { return 0 }
+		w.relay.Chooser.Allocation = func(route.Service) float64 { return 0 }
 		for _, u := range w.fleet.Serving("plain") {
 			u.Version, u.Cold = 2, time.Now().Add(2*time.Second)
 			w.fleet.Put(time.Now(), u)
