--- a/admission/admission.go
+++ b/admission/admission.go
@@ -45,9 +45,9 @@
 	noAim = time.Hour
 )
 
-// Ask is a request that wants room. Values are immutable.
-type Ask struct {
-	Request      string
+// Request is a request that wants room. Values are immutable.
+type Request struct {
+	ID           string
 	Box          string
 	Hall         string // of the box
 	Service      route.Service
@@ -60,7 +60,7 @@
 	Deadline     time.Duration // since the request arrived; 0 for none
 	Patience     time.Duration // the caller leaves so long after the request arrived; 0 if it does not
 	Organisation string        // whose it is; empty where the route is open to all
-	Mark         uint64        // what the tries of one request have in common
+	Key          uint64        // what the tries of one request have in common
 	Avoid        []string
 	Regions      []string // the only ones that it may go to; none for any
 }
@@ -100,7 +100,7 @@
 
 // Shares tells how organisations fare that compete for room.
 type Shares interface {
-	Gave(now time.Time, p shares.Party, work float64)
+	Assigned(now time.Time, p shares.Party, work float64)
 	Refused(now time.Time, p shares.Party, work float64)
 	// Waited notes that a request found no room at once.
 	Waited(now time.Time)
@@ -110,7 +110,7 @@
 }
 
 type waiter struct {
-	ask      Ask
+	ask      Request
 	returns  bool            // it was refused before, and came back
 	held     bool            // there is room, but where it would be late or make others so
 	standing shares.Standing // of its organisation
@@ -150,7 +150,7 @@
 
 // short tells whether a request holds memory for not much longer than its
 // prompt takes to be read.
-func (a *Admission) short(ask Ask) bool {
+func (a *Admission) short(ask Request) bool {
 	return time.Duration(ask.Answer)*stepGuess <= a.reading.Time(ask.Prompt)
 }
 
@@ -163,7 +163,7 @@
 
 // Take waits until ctx ends for room. It reports false if there was none yet:
 // who waits on asks again. The error is a refusal.Refusal.
-func (a *Admission) Take(ctx context.Context, ask Ask) (g Grant, ok bool, err error) {
+func (a *Admission) Take(ctx context.Context, ask Request) (g Grant, ok bool, err error) {
 	w := &waiter{ask: ask, settled: make(chan outcome, 1)}
 	a.mu.Lock()
 	a.enter(time.Now(), w)
@@ -200,7 +200,7 @@
 		w.settled <- outcome{err: noUpstream(w.ask)}
 		return
 	}
-	w.returns = a.returns.has(w.ask.Mark)
+	w.returns = a.returns.has(w.ask.Key)
 	if a.undecided(now, w) {
 		a.demand.came(now, w.ask)
 	}
@@ -226,11 +226,11 @@
 }
 
 // rank is that of a request among those that wait.
-func (a *Admission) rank(ask Ask) rank { return rank{ask.Urgency, a.short(ask)} }
+func (a *Admission) rank(ask Request) rank { return rank{ask.Urgency, a.short(ask)} }
 
 // noUpstream refuses a request that no upstream can serve: all left, or their
 // halls were evacuated.
-func noUpstream(ask Ask) error {
+func noUpstream(ask Request) error {
 	return refusal.New(refusal.NoUpstream, "no upstream of "+ask.Service.Name).WithRetryAfter(comeLeast)
 }
 
@@ -287,19 +287,19 @@
 }
 
 func (a *Admission) give(now time.Time, w *waiter, g Grant) {
-	a.returns.came(w.ask.Mark)
+	a.returns.came(w.ask.Key)
 	a.wait.gave(now, a.rank(w.ask), w.ask.Prompt)
 	a.ranking.Sent(now, w.ask.Service, g.Upstream)
 	a.ranking.Assigned(now, g.Upstream, a.need(w.ask), g.running)
 	a.loads.Reserve(now, w.ask.Box, g.Upstream.ID, loadOf(w.ask))
 	if a.shares != nil {
-		a.shares.Gave(now, w.ask.party(), a.Work(w.ask))
+		a.shares.Assigned(now, w.ask.party(), a.Work(w.ask))
 	}
 	a.line(now, w).WithFields(logrus.Fields{"upstream": g.Upstream.ID, "load": g.Load, "cost": g.Cost}).Info("admitted")
 	w.settled <- outcome{grant: g}
 }
 
-func loadOf(ask Ask) upstreamload.Load {
+func loadOf(ask Request) upstreamload.Load {
 	return upstreamload.Load{Requests: 1, Tokens: ask.Prompt, Coming: ask.Answer, Prefill: ask.Prompt}
 }
 
@@ -339,7 +339,7 @@
 		})
 	}
 	return line.WithFields(logrus.Fields{
-		"request": w.ask.Request, "for": w.ask.Box, "urgency": w.ask.Urgency, "prompt": w.ask.Prompt, "answer": w.ask.Answer,
+		"request": w.ask.ID, "for": w.ask.Box, "urgency": w.ask.Urgency, "prompt": w.ask.Prompt, "answer": w.ask.Answer,
 		"waited_ms": now.Sub(w.ask.Arrived).Milliseconds(), "left_ms": a.left(now, w.ask).Milliseconds(), "returns": w.returns,
 		"waiting": len(a.waiting), "read_ms": a.reading.Time(w.ask.Prompt).Milliseconds(),
 	})
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -73,24 +73,24 @@
 	return entries
 }
 
-func draft(id string) admission.Ask {
-	return admission.Ask{
-		Request: id, Box: "b", Service: service, Prompt: 3000, Answer: 900, Arrived: time.Now(), Aim: aim, Deadline: 39 * time.Second,
-		Patience: 4 * aim, Mark: mark(id),
+func draft(id string) admission.Request {
+	return admission.Request{
+		ID: id, Box: "b", Service: service, Prompt: 3000, Answer: 900, Arrived: time.Now(), Aim: aim, Deadline: 39 * time.Second,
+		Patience: 4 * aim, Key: mark(id),
 	}
 }
 
 // mark is that of a request's tries: "a" and "a again" are of one request.
 func mark(id string) uint64 { return uint64(id[0]) }
 
-func check(id string) admission.Ask {
+func check(id string) admission.Request {
 	a := draft(id)
 	a.Prompt, a.Answer, a.Aim = 2000, 10, 1500*time.Millisecond
 	return a
 }
 
 // ask waits for room as a box does, and notes what came of it.
-func (w *world) ask(ctx context.Context, a admission.Ask) error {
+func (w *world) ask(ctx context.Context, a admission.Request) error {
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 		_, ok, err := w.Take(call, a)
@@ -102,10 +102,10 @@
 		defer w.mu.Unlock()
 		var refused refusal.Refusal
 		if errors.As(err, &refused) {
-			w.back[a.Request] = refused.RetryAfter()
+			w.back[a.ID] = refused.RetryAfter()
 			return err
 		}
-		w.order = append(w.order, a.Request)
+		w.order = append(w.order, a.ID)
 		return nil
 	}
 	return ctx.Err()
@@ -115,7 +115,7 @@
 func TestRoom(t *testing.T) {
 	tests := map[string]struct {
 		load upstreamload.Load
-		ask  admission.Ask
+		ask  admission.Request
 		room bool
 
 		waited time.Duration
@@ -140,7 +140,7 @@
 				if tt.load != (upstreamload.Load{}) {
 					w.tally.Begin("e0", tt.load)
 				}
-				tt.ask.Arrived, tt.ask.Patience, tt.ask.Mark = time.Now().Add(-tt.waited), 0, 0
+				tt.ask.Arrived, tt.ask.Patience, tt.ask.Key = time.Now().Add(-tt.waited), 0, 0
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 				defer cancel()
 				_, ok, _ := w.Take(ctx, tt.ask)
@@ -173,7 +173,7 @@
 func TestWhere(t *testing.T) {
 	tests := map[string]struct {
 		loads []upstreamload.Load
-		ask   admission.Ask
+		ask   admission.Request
 		want  string
 		calm  bool // no draft has waited of late
 	}{
@@ -209,7 +209,7 @@
 func TestSpare(t *testing.T) {
 	tests := map[string]struct {
 		leaving int // runs at the engine that leaves
-		ask     admission.Ask
+		ask     admission.Request
 		stay    bool // runs end where they are
 		room    bool
 	}{
@@ -276,23 +276,27 @@
 // TestOrder lets requests wait for an engine that is full, and then ends what
 // runs there.
 func TestOrder(t *testing.T) {
-	urgent := func(a admission.Ask) admission.Ask {
+	urgent := func(a admission.Request) admission.Request {
 		a.Urgency = -1
 		return a
 	}
-	older := func(a admission.Ask, by time.Duration) admission.Ask {
+	older := func(a admission.Request, by time.Duration) admission.Request {
 		a.Arrived = a.Arrived.Add(-by)
 		return a
 	}
 	tests := map[string]struct {
-		asks func() []admission.Ask
+		asks func() []admission.Request
 		want []string
 	}{
-		"the urgent first":                    {func() []admission.Ask { return []admission.Ask{draft("a"), urgent(draft("b"))} }, []string{"b", "a"}},
-		"the short first":                     {func() []admission.Ask { return []admission.Ask{draft("a"), check("b")} }, []string{"b", "a"}},
-		"then what has the least time left":   {func() []admission.Ask { return []admission.Ask{draft("a"), older(draft("b"), 500*time.Millisecond)} }, []string{"b", "a"}},
-		"what fits passes by what does not":   {func() []admission.Ask { return []admission.Ask{check("a"), urgent(draft("b"))} }, []string{"a", "b"}},
-		"what waits longest of its own class": {func() []admission.Ask { return []admission.Ask{check("a"), older(check("b"), 400*time.Millisecond)} }, []string{"b", "a"}},
+		"the urgent first": {func() []admission.Request { return []admission.Request{draft("a"), urgent(draft("b"))} }, []string{"b", "a"}},
+		"the short first":  {func() []admission.Request { return []admission.Request{draft("a"), check("b")} }, []string{"b", "a"}},
+		"then what has the least time left": {func() []admission.Request {
+			return []admission.Request{draft("a"), older(draft("b"), 500*time.Millisecond)}
+		}, []string{"b", "a"}},
+		"what fits passes by what does not": {func() []admission.Request { return []admission.Request{check("a"), urgent(draft("b"))} }, []string{"a", "b"}},
+		"what waits longest of its own class": {func() []admission.Request {
+			return []admission.Request{check("a"), older(check("b"), 400*time.Millisecond)}
+		}, []string{"b", "a"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -318,7 +322,7 @@
 // fares gives organisations fixed standings.
 type fares map[string]shares.Standing
 
-func (fares) Gave(time.Time, shares.Party, float64)     {}
+func (fares) Assigned(time.Time, shares.Party, float64) {}
 func (fares) Refused(time.Time, shares.Party, float64)  {}
 func (fares) Waited(time.Time)                          {}
 func (fares) Weigh(time.Time, map[shares.Party]float64) {}
@@ -351,7 +355,7 @@
 				a.Organisation, a.Urgency, a.Arrived = "first", tt.urgency, a.Arrived.Add(-tt.waited)
 				b.Organisation, b.Urgency = "second", 1
 				var all sync.WaitGroup
-				for _, ask := range []admission.Ask{a, b} {
+				for _, ask := range []admission.Request{a, b} {
 					all.Go(func() { _ = w.ask(t.Context(), ask) }) // what came of it is in the order
 					synctest.Wait()
 					time.Sleep(60 * time.Millisecond) // shares are weighed
@@ -450,24 +454,24 @@
 // TestWaitsOn shows what becomes of requests that wait at a full engine: a late answer
 // is worth waiting for, but only while its caller will still be there.
 func TestWaitsOn(t *testing.T) {
-	patient := func(a admission.Ask, p time.Duration) admission.Ask {
+	patient := func(a admission.Request, p time.Duration) admission.Request {
 		a.Patience = p
 		return a
 	}
 	tests := map[string]struct {
-		ask    func() admission.Ask
+		ask    func() admission.Request
 		comes  time.Duration // in so long, and for good; 0 for never
 		served bool
 		most   time.Duration // it is told within so long
 	}{
-		"room comes while it can be late": {ask: func() admission.Ask { return draft("a") }, comes: 3 * time.Second, served: true, most: 3100 * time.Millisecond},
-		"no room, the caller leaves soon": {ask: func() admission.Ask { return patient(draft("a"), aim) }, most: 0},
-		"larger than any engine": {ask: func() admission.Ask {
+		"room comes while it can be late": {ask: func() admission.Request { return draft("a") }, comes: 3 * time.Second, served: true, most: 3100 * time.Millisecond},
+		"no room, the caller leaves soon": {ask: func() admission.Request { return patient(draft("a"), aim) }, most: 0},
+		"larger than any engine": {ask: func() admission.Request {
 			a := patient(draft("a"), time.Minute)
 			a.Prompt, a.Aim = memory+1, 15*time.Second
 			return a
 		}, comes: time.Second, most: 0},
-		"as large as an engine": {ask: func() admission.Ask {
+		"as large as an engine": {ask: func() admission.Request {
 			a := patient(draft("a"), time.Minute)
 			a.Prompt, a.Aim = memory, 15*time.Second
 			return a
--- a/admission/chance.go
+++ b/admission/chance.go
@@ -9,12 +9,12 @@
 )
 
 // left is how long a request may still wait to be in time.
-func (a *Admission) left(now time.Time, ask Ask) time.Duration {
+func (a *Admission) left(now time.Time, ask Request) time.Duration {
 	return ask.Arrived.Add(cmp.Or(ask.Aim, noAim)).Sub(now) - a.reading.Time(ask.Prompt)
 }
 
 // last is how long a request may still wait to be answered at all.
-func last(now time.Time, ask Ask) time.Duration {
+func last(now time.Time, ask Request) time.Duration {
 	if ask.Patience == 0 {
 		return noAim
 	}
@@ -29,7 +29,7 @@
 
 // due is how long a request should wait at most: to be in time, or, once it is
 // late, until shortly before its caller leaves.
-func (a *Admission) due(now time.Time, ask Ask) time.Duration {
+func (a *Admission) due(now time.Time, ask Request) time.Duration {
 	if left := a.left(now, ask); left >= 0 {
 		return left
 	}
@@ -39,20 +39,20 @@
 // outlasts tells whether a request is late and may wait on. It loses nothing by that,
 // so that it goes after all that can be in time. Once it may not, it goes among them:
 // it was let wait for an answer.
-func (a *Admission) outlasts(now time.Time, ask Ask) bool {
+func (a *Admission) outlasts(now time.Time, ask Request) bool {
 	return a.left(now, ask) < 0 && a.due(now, ask) > time.Duration(latePart*float64(ask.Aim))
 }
 
 // overdue tells whether a late request should have had room by now: its caller is
 // about to leave.
-func (a *Admission) overdue(now time.Time, ask Ask) bool {
+func (a *Admission) overdue(now time.Time, ask Request) bool {
 	return a.left(now, ask) < 0 && a.due(now, ask) < 0
 }
 
 // reserve keeps the emptiest engine for a request that is overdue, until the next
 // round: of large prompts some found no room until their callers left, as smaller
 // ones behind them took each piece.
-func (a *Admission) reserve(now time.Time, r round, ask Ask) {
+func (a *Admission) reserve(now time.Time, r round, ask Request) {
 	for _, c := range a.ranked(now, r, ask) {
 		if !c.Held && !r.reserved[c.Upstream.ID] {
 			r.reserved[c.Upstream.ID] = true
@@ -68,7 +68,7 @@
 }
 
 // early tells whether a request that is refused was hardly held.
-func early(now time.Time, ask Ask) bool {
+func early(now time.Time, ask Request) bool {
 	return float64(now.Sub(ask.Arrived)) <= decidePart*float64(ask.Aim)
 }
 
--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -269,7 +269,7 @@
 }
 
 // place finds an engine for a request of a box, as its policy does.
-func (c *crowd) place(ctx context.Context, box int, ask admission.Ask) (string, error) {
+func (c *crowd) place(ctx context.Context, box int, ask admission.Request) (string, error) {
 	if !c.scene.queue {
 		u, _, _ := c.choosers[box].Choose(time.Now(), picker.Want{Service: crowdService, Tokens: ask.Prompt + ask.Answer})
 		return u.ID, nil
@@ -278,7 +278,7 @@
 		call, cancel := context.WithTimeout(ctx, askAgain)
 		g, ok, err := c.keeper.Take(call, ask)
 		cancel()
-		time.Sleep(time.Duration(ask.Mark % uint64(sendMost)))
+		time.Sleep(time.Duration(ask.Key % uint64(sendMost)))
 		if ok && box == 0 {
 			c.tallies[0].Release(ask.Box, g.Upstream.ID)
 		}
@@ -290,7 +290,7 @@
 }
 
 // request is one request with its further tries, where it is told to come back.
-func (c *crowd) request(ctx context.Context, id string, box int, ask admission.Ask, length int) {
+func (c *crowd) request(ctx context.Context, id string, box int, ask admission.Request, length int) {
 	worth := worthInTime
 	f, tries := c.fate(ask), 2
 	repeats := c.scene.crowds > 0 && ask.Organisation == large
@@ -298,7 +298,7 @@
 		tries = 4
 	}
 	for try := range tries {
-		ask.Request, ask.Arrived = fmt.Sprint(id, "/", try), time.Now()
+		ask.ID, ask.Arrived = fmt.Sprint(id, "/", try), time.Now()
 		patient, cancel := context.WithTimeout(ctx, ask.Patience)
 		engine, err := c.place(patient, box, ask)
 		cancel()
@@ -320,7 +320,7 @@
 
 // refused notes how long a request was held before it was told that it has no room,
 // and returns what it is worth if it is served later.
-func (c *crowd) refused(ask admission.Ask, try int, f *fate) float64 {
+func (c *crowd) refused(ask admission.Request, try int, f *fate) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	waited := time.Since(ask.Arrived)
@@ -338,7 +338,7 @@
 }
 
 // fate returns where it is noted what becomes of a request.
-func (c *crowd) fate(ask admission.Ask) *fate {
+func (c *crowd) fate(ask admission.Request) *fate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ask.Answer < 100 || !c.scene.crowded(ask.Arrived.Sub(c.began)) {
@@ -354,7 +354,7 @@
 }
 
 // admitted notes that a request has room.
-func (c *crowd) admitted(ask admission.Ask, f *fate) {
+func (c *crowd) admitted(ask admission.Request, f *fate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f.served++
@@ -400,14 +400,14 @@
 }
 
 // serve lets an engine answer, and notes what the answer is worth.
-func (c *crowd) serve(ctx context.Context, engine string, box int, ask admission.Ask, length int, worth float64) {
+func (c *crowd) serve(ctx context.Context, engine string, box int, ask admission.Request, length int, worth float64) {
 	e := c.engine(engine)
 	upstream := fleet.Upstream{ID: engine, Service: "llm"}
 	alone := c.tallies[box].Load(time.Now(), engine).Prefill == 0
 	entry := c.tallies[box].Begin(engine, upstreamload.Load{Requests: 1, Tokens: ask.Prompt, Coming: ask.Answer, Prefill: ask.Prompt})
 	defer entry.End()
-	defer e.cancel(ask.Request)
-	events := e.submit(time.Now(), batch.Job{Attempt: ask.Request, Prompt: ask.Prompt, Length: length, Priority: -ask.Urgency})
+	defer e.cancel(ask.ID)
+	events := e.submit(time.Now(), batch.Job{Attempt: ask.ID, Prompt: ask.Prompt, Length: length, Priority: -ask.Urgency})
 	sent, pace := time.Now(), c.speeds[box].Stream(upstream)
 	defer func() { pace.End(time.Now()) }()
 	last, first, late, paused := ask.Arrived, true, false, false
@@ -474,10 +474,10 @@
 }
 
 // draw draws a request that comes so long after the beginning, and its answer's length.
-func (s scene) draw(at time.Duration, random *rand.Rand) (ask admission.Ask, length int) {
-	ask = admission.Ask{
+func (s scene) draw(at time.Duration, random *rand.Rand) (ask admission.Request, length int) {
+	ask = admission.Request{
 		Hall: "leith", Service: crowdService, Urgency: 1, Gap: pauseMost, Prompt: 2000 + random.IntN(2000), Answer: 900, Aim: aim, Arrived: time.Now(),
-		Deadline: 39 * time.Second, Patience: 4 * aim, Mark: random.Uint64(),
+		Deadline: 39 * time.Second, Patience: 4 * aim, Key: random.Uint64(),
 	}
 	length = 1 + int(min(random.ExpFloat64()*900, 2200))
 	check := random.Float64() < checksRate/(draftsRate+checksRate)
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -15,12 +15,12 @@
 }
 
 // came notes a request that has come just now.
-func (d *demand) came(now time.Time, ask Ask) {
+func (d *demand) came(now time.Time, ask Request) {
 	d.prune(now)
-	if _, counted := d.known[ask.Request]; counted {
+	if _, counted := d.known[ask.ID]; counted {
 		return
 	}
-	d.known[ask.Request] = now
+	d.known[ask.ID] = now
 	d.passed(now, ask.Prompt)
 }
 
--- a/admission/hold.go
+++ b/admission/hold.go
@@ -17,7 +17,7 @@
 
 // waits tells whether a request is held though it has room: it would be late there by
 // a pause, or make others so, and an engine that has no room now would keep its pause.
-func (a *Admission) waits(now time.Time, r round, ask Ask, g Grant) bool {
+func (a *Admission) waits(now time.Time, r round, ask Request, g Grant) bool {
 	if g.Cost < costly || ask.Aim == 0 || a.short(ask) {
 		return false
 	}
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -73,7 +73,7 @@
 		"expected_ms": expected.Milliseconds(), "given": int(a.wait.rate(now, a.rank(w.ask))), "leaves": int(leaves), "demand": int(a.demand.rate(now)), "returning": len(a.returns),
 		"back_ms": after.Milliseconds(),
 	}).Info("sent_off")
-	a.returns[w.ask.Mark] = sentOff{back: now.Add(after), tokens: w.ask.Prompt + w.ask.Answer, bound: w.standing.Bound}
+	a.returns[w.ask.Key] = sentOff{back: now.Add(after), tokens: w.ask.Prompt + w.ask.Answer, bound: w.standing.Bound}
 	w.settled <- outcome{err: refusal.New(reasonOf(w), "no engine has room in time").WithRetryAfter(after)}
 }
 
--- a/admission/room.go
+++ b/admission/room.go
@@ -29,7 +29,7 @@
 )
 
 // step returns how long an engine takes for a token.
-func step(ask Ask, l upstreamload.Load) time.Duration {
+func step(ask Request, l upstreamload.Load) time.Duration {
 	return cmp.Or(l.Pace()/time.Duration(max(ask.Service.Engine.EventTokens, 1)), stepGuess)
 }
 
@@ -40,7 +40,7 @@
 // room left over. Prompts of such requests then use what is too small for any draft,
 // and engines that have just come are filled by drafts. While nobody waits they would
 // only slow what runs at full engines.
-func (a *Admission) room(now time.Time, r round, ask Ask) (Grant, bool) {
+func (a *Admission) room(now time.Time, r round, ask Request) (Grant, bool) {
 	ranked, short := a.ranked(now, r, ask), a.short(ask)
 	if !short && !a.overdue(now, ask) && !a.spare(ranked, ask, a.leaving(now, r, ask.Service.Name), a.among(r, ask, ranked)) {
 		return Grant{}, false
@@ -69,7 +69,7 @@
 // them, or each other, preempted, which costs a second of silence and a prompt read
 // anew. They wait for the engines that come; one whose caller is about to leave does not.
 // What was weighed stands for so many times as many upstreams.
-func (a *Admission) spare(ranked []picker.Choice, ask Ask, leaving int, times float64) bool {
+func (a *Admission) spare(ranked []picker.Choice, ask Request, leaving int, times float64) bool {
 	if leaving == 0 || !ask.Service.Engine.Moves {
 		return true
 	}
@@ -81,7 +81,7 @@
 }
 
 // among returns how many times as many upstreams there are as were weighed.
-func (a *Admission) among(r round, ask Ask, ranked []picker.Choice) float64 {
+func (a *Admission) among(r round, ask Request, ranked []picker.Choice) float64 {
 	if !r.sampled || len(ranked) == 0 {
 		return 1
 	}
@@ -89,17 +89,17 @@
 }
 
 // need is what a request needs of an engine.
-func (a *Admission) need(ask Ask) speeds.Need {
+func (a *Admission) need(ask Request) speeds.Need {
 	return speeds.Need{Gap: ask.Gap, First: ask.Aim, Long: !a.short(ask)}
 }
 
-func grantOf(ask Ask, c picker.Choice) Grant {
+func grantOf(ask Request, c picker.Choice) Grant {
 	return Grant{Upstream: c.Upstream, Cost: c.Cost, running: c.Running, Load: float64(c.Running.Tokens) / float64(max(ask.Service.Engine.Memory, 1))}
 }
 
 // leftOver is the memory that a request leaves at an upstream, in tokens, with what
 // another hall and a line of prompts cost.
-func (a *Admission) leftOver(ask Ask, c picker.Choice) int {
+func (a *Admission) leftOver(ask Request, c picker.Choice) int {
 	over := ask.Service.Engine.Memory - c.Running.Tokens - ask.Prompt - a.growth(ask, c.Running)
 	over += lineWeight * c.Running.Prefill
 	if c.Upstream.Hall != ask.Hall {
@@ -111,7 +111,7 @@
 // fits tells whether an upstream has room for a request: a place, time to read
 // its prompt, and memory for it and for what all that run there make until the
 // next of them ends.
-func (a *Admission) fits(now time.Time, ask Ask, c picker.Choice) bool {
+func (a *Admission) fits(now time.Time, ask Request, c picker.Choice) bool {
 	l := c.Running
 	if l.Requests == 0 {
 		return true // there is no more room anywhere
@@ -127,7 +127,7 @@
 // what takes but a moment may have more before it, as engines read it first. One
 // that can still be in time goes only where it is: it would hold memory for an
 // answer that is late.
-func (a *Admission) readable(now time.Time, ask Ask, c picker.Choice) bool {
+func (a *Admission) readable(now time.Time, ask Request, c picker.Choice) bool {
 	left, l := a.left(now, ask), c.Running
 	if left < 0 {
 		return l.Prefill <= ask.Prompt
@@ -140,7 +140,7 @@
 // ends, or until this one does where that is sooner, with its deviation. Of n
 // that end at random, the next ends after an nth of what each has left, so that
 // all together take what one has left; its deviation is as large.
-func (a *Admission) growth(ask Ask, l upstreamload.Load) int {
+func (a *Admission) growth(ask Request, l upstreamload.Load) int {
 	n := float64(l.Requests + 1)
 	next := float64(l.Coming+ask.Answer) / n
 	life := float64(ask.Answer) + float64(a.reading.Time(ask.Prompt+l.Prefill))/float64(step(ask, l))
@@ -148,7 +148,7 @@
 }
 
 // leaves returns the tokens of memory that the upstreams free in a second.
-func (a *Admission) leaves(ask Ask, ranked []picker.Choice) float64 {
+func (a *Admission) leaves(ask Request, ranked []picker.Choice) float64 {
 	sum := 0.0
 	for _, c := range ranked {
 		if l := c.Running; l.Coming > 0 {
--- a/admission/round.go
+++ b/admission/round.go
@@ -58,7 +58,7 @@
 }
 
 // ranked returns the upstreams that a request may go to, the emptiest first.
-func (a *Admission) ranked(now time.Time, r round, ask Ask) []picker.Choice {
+func (a *Admission) ranked(now time.Time, r round, ask Request) []picker.Choice {
 	need := a.need(ask)
 	key := strings.Join(append([]string{strconv.FormatBool(r.sampled), ask.Service.Name, ask.Hall, strings.Join(ask.Regions, ","), need.String()}, ask.Avoid...), "/")
 	list, ok := r.ranked[key]
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -11,11 +11,13 @@
 const weighEvery = 50 * time.Millisecond
 
 // party is whose shares a request counts for.
-func (a Ask) party() shares.Party { return shares.Party{Organisation: a.Organisation, Rank: a.Urgency} }
+func (a Request) party() shares.Party {
+	return shares.Party{Organisation: a.Organisation, Rank: a.Urgency}
+}
 
 // Work is the memory that a request is expected to hold times how long it does, in
 // token-seconds.
-func (a *Admission) Work(ask Ask) float64 {
+func (a *Admission) Work(ask Request) float64 {
 	holds := a.reading.Time(ask.Prompt) + time.Duration(ask.Answer)*stepGuess
 	return float64(ask.Prompt+ask.Answer) * holds.Seconds()
 }
--- a/balance/shares/shares.go
+++ b/balance/shares/shares.go
@@ -117,7 +117,7 @@
 }
 
 // Gave notes that this box gave an organisation room for work.
-func (s *Shares) Gave(now time.Time, p Party, work float64) {
+func (s *Shares) Assigned(now time.Time, p Party, work float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decided.add(now, p, use{given: work})
--- a/balance/shares/shares_test.go
+++ b/balance/shares/shares_test.go
@@ -25,7 +25,7 @@
 	waits := map[shares.Party]float64{}
 	for name, d := range deeds {
 		p := shares.Party{Organisation: name, Rank: d.rank}
-		s.Gave(now, p, d.given)
+		s.Assigned(now, p, d.given)
 		if d.refused > 0 {
 			s.Refused(now, p, d.refused)
 		}
@@ -87,7 +87,7 @@
 	now := time.Now()
 	s := weigh(now, nil, map[string]deed{"a": {given: 10000}, "b": {given: 10}})
 	later := now.Add(40 * time.Second)
-	s.Gave(later, party("b"), 100)
+	s.Assigned(later, party("b"), 100)
 	s.Weigh(later, map[shares.Party]float64{party("a"): 200, party("b"): 200})
 	a, b := s.Standing(party("a")), s.Standing(party("b"))
 	is.True(!a.Over) // what it had before the crowd
@@ -106,7 +106,7 @@
 	is.Equal(len(box.Own(now)), 2)
 
 	keeper := shares.New(nil)
-	keeper.Gave(now, party("a"), 500) // of those that the box tells of
+	keeper.Assigned(now, party("a"), 500) // of those that the box tells of
 	keeper.Told(now, "box", box.Own(now))
 	keeper.Weigh(now, map[shares.Party]float64{party("b"): 200})
 	a := keeper.Standing(party("a"))
@@ -137,7 +137,7 @@
 			waits := map[shares.Party]float64{}
 			for i := range organisations {
 				name := party(fmt.Sprint("o", i))
-				s.Gave(now, name, float64(1000+i))
+				s.Assigned(now, name, float64(1000+i))
 				waits[name] = 500
 			}
 			b.ReportAllocs()
--- a/edge/admit.go
+++ b/edge/admit.go
@@ -31,7 +31,7 @@
 
 // Admit implements relay.Admitter: one box keeps the queue of a service, so that
 // no two boxes take the same room. One that is not heard is done without.
-func (e *Edge) Admit(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
+func (e *Edge) Admit(ctx context.Context, ask admission.Request) (admission.Grant, error) {
 	ask.Box, ask.Hall = e.config.Box, e.config.Hall
 	g, err := e.admitTo(ctx, ask)
 	e.sharing.ended(time.Now(), ask, e.admission.Work(ask), err)
@@ -39,7 +39,7 @@
 }
 
 // admitTo returns an upstream that this box knows.
-func (e *Edge) admitTo(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
+func (e *Edge) admitTo(ctx context.Context, ask admission.Request) (admission.Grant, error) {
 	for range admitTries {
 		g, err := e.admit(ctx, ask)
 		if err != nil {
@@ -60,7 +60,7 @@
 	return keeper.Name
 }
 
-func (e *Edge) admit(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
+func (e *Edge) admit(ctx context.Context, ask admission.Request) (admission.Grant, error) {
 	for ctx.Err() == nil {
 		keeper, ok := e.members.Keeper(time.Now(), "admission/"+ask.Service.Name)
 		if !ok || keeper.Name == e.config.Box || !e.hears(keeper.Name) {
@@ -75,7 +75,7 @@
 }
 
 // avoidResting returns an ask that passes by whom this box is to leave alone for now.
-func (e *Edge) avoidResting(ask admission.Ask) (with admission.Ask, some bool) {
+func (e *Edge) avoidResting(ask admission.Request) (with admission.Request, some bool) {
 	resting := e.rest.Names(time.Now(), ask.Service.Name)
 	ask.Avoid = append(slices.Clone(ask.Avoid), resting...)
 	return ask, len(resting) > 0
@@ -83,7 +83,7 @@
 
 // takeAlone waits in this box's own queue; while upstreams rest it asks anew as the
 // keeper is asked, so that those are not passed by that rest no longer.
-func (e *Edge) takeAlone(ctx context.Context, ask admission.Ask) (g admission.Grant, ok bool, err error) {
+func (e *Edge) takeAlone(ctx context.Context, ask admission.Request) (g admission.Grant, ok bool, err error) {
 	for ctx.Err() == nil {
 		with, some := e.avoidResting(ask)
 		if !some {
@@ -100,7 +100,7 @@
 }
 
 // admitAlone waits in this box's own queue.
-func (e *Edge) admitAlone(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
+func (e *Edge) admitAlone(ctx context.Context, ask admission.Request) (admission.Grant, error) {
 	g, ok, err := e.takeAlone(ctx, ask)
 	switch {
 	case err != nil:
@@ -116,20 +116,20 @@
 
 // admitAt asks the keeper once; ok is false if there is no room yet. A keeper that
 // does not answer is done without until it is heard again.
-func (e *Edge) admitAt(ctx context.Context, keeper members.Box, ask admission.Ask) (g admission.Grant, ok bool, err error) {
+func (e *Edge) admitAt(ctx context.Context, keeper members.Box, ask admission.Request) (g admission.Grant, ok bool, err error) {
 	call, cancel := context.WithTimeout(ctx, admitWait+admitSlack)
 	defer cancel()
 	with, _ := e.avoidResting(ask)
 	var answer wire.AdmitAnswer
 	err = e.peers.Repeat(call, keeper.Address, peer.Admit, wire.AdmitAsk{
-		Request: ask.Request, Box: ask.Box, Hall: ask.Hall, Service: ask.Service.Name, Urgency: ask.Urgency,
+		Request: ask.ID, Box: ask.Box, Hall: ask.Hall, Service: ask.Service.Name, Urgency: ask.Urgency,
 		Prompt: ask.Prompt, Answer: ask.Answer, AimMs: int(ask.Aim.Milliseconds()), GapMs: int(ask.Gap.Milliseconds()), WaitedMs: int(time.Since(ask.Arrived).Milliseconds()),
-		DeadlineMs: int(ask.Deadline.Milliseconds()), PatienceMs: int(ask.Patience.Milliseconds()), Mark: strconv.FormatUint(ask.Mark, 36), Organisation: ask.Organisation, Avoid: with.Avoid, Regions: ask.Regions, WaitMs: int(admitWait.Milliseconds()),
+		DeadlineMs: int(ask.Deadline.Milliseconds()), PatienceMs: int(ask.Patience.Milliseconds()), Mark: strconv.FormatUint(ask.Key, 36), Organisation: ask.Organisation, Avoid: with.Avoid, Regions: ask.Regions, WaitMs: int(admitWait.Milliseconds()),
 	}, &answer)
 	switch {
 	case err != nil && ctx.Err() == nil:
 		e.unheard(keeper.Name)
-		e.log.WithError(err).WithFields(logrus.Fields{"keeper": keeper.Name, "request": ask.Request}).Warn("admission_not_asked")
+		e.log.WithError(err).WithFields(logrus.Fields{"keeper": keeper.Name, "request": ask.ID}).Warn("admission_not_asked")
 		return g, false, nil
 	case err != nil:
 		return g, false, nil
@@ -152,10 +152,10 @@
 		return wire.AdmitAnswer{Reason: string(refusal.NoUpstream)}
 	}
 	mark, _ := strconv.ParseUint(ask.Mark, 36, 64) // one that cannot be read is known by nobody
-	g, ok, err := e.admission.Take(ctx, admission.Ask{
-		Request: ask.Request, Box: ask.Box, Hall: ask.Hall, Service: service, Urgency: ask.Urgency, Prompt: ask.Prompt,
+	g, ok, err := e.admission.Take(ctx, admission.Request{
+		ID: ask.Request, Box: ask.Box, Hall: ask.Hall, Service: service, Urgency: ask.Urgency, Prompt: ask.Prompt,
 		Answer: ask.Answer, Arrived: time.Now().Add(-time.Duration(ask.WaitedMs) * time.Millisecond),
-		Aim: time.Duration(ask.AimMs) * time.Millisecond, Gap: time.Duration(ask.GapMs) * time.Millisecond, Deadline: time.Duration(ask.DeadlineMs) * time.Millisecond, Patience: time.Duration(ask.PatienceMs) * time.Millisecond, Mark: mark, Organisation: ask.Organisation, Avoid: ask.Avoid,
+		Aim: time.Duration(ask.AimMs) * time.Millisecond, Gap: time.Duration(ask.GapMs) * time.Millisecond, Deadline: time.Duration(ask.DeadlineMs) * time.Millisecond, Patience: time.Duration(ask.PatienceMs) * time.Millisecond, Key: mark, Organisation: ask.Organisation, Avoid: ask.Avoid,
 		Regions: ask.Regions,
 	})
 	var refused refusal.Refusal
--- a/edge/sharing.go
+++ b/edge/sharing.go
@@ -42,7 +42,7 @@
 }
 
 // ended notes whether a request was given room, or refused for the first time.
-func (s *sharing) ended(now time.Time, ask admission.Ask, work float64, err error) {
+func (s *sharing) ended(now time.Time, ask admission.Request, work float64, err error) {
 	if s.shares == nil {
 		return
 	}
@@ -51,7 +51,7 @@
 	switch {
 	case err == nil:
 		s.shares.Took(now, party, work, true)
-	case errors.As(err, &refused) && refused.RetryAfter() > 0 && s.first(now, ask.Mark):
+	case errors.As(err, &refused) && refused.RetryAfter() > 0 && s.first(now, ask.Key):
 		s.shares.Took(now, party, work, false)
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -93,7 +93,7 @@
 	// Admit waits until ctx ends for an engine with room for a request, and
 	// returns how much of the engine's memory is in use then. The error is a
 	// refusal.Refusal.
-	Admit(ctx context.Context, ask admission.Ask) (admission.Grant, error)
+	Admit(ctx context.Context, ask admission.Request) (admission.Grant, error)
 }
 
 // Relay is safe for use by several goroutines.
@@ -330,10 +330,10 @@
 // for room.
 func (r *Relay) place(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
 	if j.service.Engine != nil && r.Admitter != nil {
-		g, err := r.Admitter.Admit(ctx, admission.Ask{
-			Request: j.req.ID, Service: j.service, Urgency: j.urgency, Prompt: j.req.Prompt, Answer: j.left(0), Arrived: j.req.Arrived,
+		g, err := r.Admitter.Admit(ctx, admission.Request{
+			ID: j.req.ID, Service: j.service, Urgency: j.urgency, Prompt: j.req.Prompt, Answer: j.left(0), Arrived: j.req.Arrived,
 			Aim: j.route.Aim, Gap: j.route.Gap, Deadline: j.deadline.Sub(j.req.Arrived), Patience: min(j.route.Patience, j.deadline.Sub(j.req.Arrived)),
-			Mark: j.mark(), Organisation: j.organisation, Avoid: j.avoid(), Regions: j.req.Regions,
+			Key: j.mark(), Organisation: j.organisation, Avoid: j.avoid(), Regions: j.req.Regions,
 		})
 		return g.Upstream, g.Load, err
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -523,7 +523,7 @@
 	running []int
 }
 
-func (r *room) Admit(_ context.Context, ask admission.Ask) (admission.Grant, error) {
+func (r *room) Admit(_ context.Context, ask admission.Request) (admission.Grant, error) {
 	r.running = append(r.running, len(r.w.tally.Own()))
 	for _, u := range r.w.fleet.Serving(ask.Service.Name) {
 		if !slices.Contains(ask.Avoid, u.ID) {
@@ -966,7 +966,7 @@
 	asked int
 }
 
-func (p *placed) Admit(context.Context, admission.Ask) (admission.Grant, error) {
+func (p *placed) Admit(context.Context, admission.Request) (admission.Grant, error) {
 	id := fmt.Sprint("llm", p.asked)
 	p.asked++
 	u, _ := p.fleet.Get(id)
