--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -306,13 +306,13 @@
 	case peer.Turn:
 		ask := args.(wire.TurnAsk)
 		waits, end := context.WithTimeout(ctx, time.Duration(ask.WaitMs)*time.Millisecond)
-		taken := moveturns.Ask{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Most: time.Duration(ask.MostMs) * time.Millisecond}
+		taken := moveturns.Request{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, MaxHold: time.Duration(ask.MostMs) * time.Millisecond}
 		answer := reply.(*wire.TurnAnswer)
 		answer.Target, answer.Granted = e.turns.Take(waits, taken)
 		end()
 	case peer.TurnBack:
 		ask := args.(wire.TurnAsk)
-		e.turns.GiveBack(ask.Upstream, ask.Box)
+		e.turns.Release(ask.Upstream, ask.Box)
 	}
 	err := cmp.Or(w.cpuOf(e).work(ctx, time.Duration(rows)*rowCost), own.work(ctx, callCost+time.Duration(rows)*rowCost))
 	if err != nil {
--- a/edge/trials.go
+++ b/edge/trials.go
@@ -31,11 +31,11 @@
 // not heard is done without.
 func (t trials) Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (giveBack func(ended bool), ok bool) {
 	key := trialKey + fp.String()
-	_, ok = t.trials.Take(ctx, moveturns.Ask{Box: request, Source: key, Targets: []string{key}, Most: trialMost})
+	_, ok = t.trials.Take(ctx, moveturns.Request{Box: request, Source: key, Targets: []string{key}, MaxHold: trialMost})
 	if !ok {
 		return nil, false
 	}
-	own := func() { t.trials.GiveBack(key, request) }
+	own := func() { t.trials.Release(key, request) }
 	others, ok := t.takeOfAll(ctx, key)
 	if !ok {
 		own()
@@ -58,8 +58,8 @@
 func (t trials) takeOfAll(ctx context.Context, key string) (giveBack func(), ok bool) {
 	keeper, known := t.members.Keeper(time.Now(), key)
 	if !known || keeper.Name == t.config.Box {
-		_, ok := t.turns.Take(ctx, moveturns.Ask{Box: t.config.Box, Source: key, Targets: []string{key}, Most: trialMost})
-		return func() { t.turns.GiveBack(key, t.config.Box) }, ok
+		_, ok := t.turns.Take(ctx, moveturns.Request{Box: t.config.Box, Source: key, Targets: []string{key}, MaxHold: trialMost})
+		return func() { t.turns.Release(key, t.config.Box) }, ok
 	}
 	call := wire.TurnAsk{
 		Upstream: key, Box: t.config.Box, Targets: []string{key}, WaitMs: int(turnWait.Milliseconds()), MostMs: int(trialMost.Milliseconds()),
--- a/edge/turns.go
+++ b/edge/turns.go
@@ -34,12 +34,12 @@
 	}
 	keeper, ok := e.members.Keeper(time.Now(), "turns/"+ask.Source.Service)
 	if !ok || keeper.Name == e.config.Box {
-		own := moveturns.Ask{Box: e.config.Box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens}
+		own := moveturns.Request{Box: e.config.Box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens}
 		target, ok := e.turns.Take(ctx, own)
 		if !ok {
 			return ask.Targets[0], alone
 		}
-		return target, func() { e.turns.GiveBack(ask.Source.ID, e.config.Box) }
+		return target, func() { e.turns.Release(ask.Source.ID, e.config.Box) }
 	}
 	if !e.hears(keeper.Name) {
 		e.log.WithField("keeper", keeper.Name).Info("turn_without_keeper")
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -136,11 +136,11 @@
 }
 
 func (b byTurns) Take(ctx context.Context, ask evacuate.Ask) (string, func()) {
-	target, ok := b.turns.Take(ctx, moveturns.Ask{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
+	target, ok := b.turns.Take(ctx, moveturns.Request{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
 	if !ok {
 		return ask.Targets[0], func() {}
 	}
-	return target, func() { b.turns.GiveBack(ask.Source.ID, b.box) }
+	return target, func() { b.turns.Release(ask.Source.ID, b.box) }
 }
 
 var leaving = fleet.Upstream{ID: "old", Service: "llm", Address: "10.0.0.1:1", Hall: "leith"}
--- a/moveturns/moveturns.go
+++ b/moveturns/moveturns.go
@@ -18,13 +18,13 @@
 // whole notice of 1.5 s.
 const turnMost = 800 * time.Millisecond
 
-// Ask is what a box asks for. Values are immutable.
-type Ask struct {
+// Request is what a box asks for. Values are immutable.
+type Request struct {
 	Box     string
 	Source  string        // upstream that leaves
 	Targets []string      // upstreams that the run may go to, the best first
 	Tokens  int           // of memory that moves: the smallest goes first
-	Most    time.Duration // how long the turn may be kept; 0 for as long as a move takes
+	MaxHold time.Duration // how long the turn may be kept; 0 for as long as a move takes
 }
 
 type turn struct {
@@ -34,7 +34,7 @@
 }
 
 type waiter struct {
-	ask     Ask
+	ask     Request
 	granted chan string // the target
 }
 
@@ -51,7 +51,7 @@
 // Take waits until ctx ends for a turn, and returns the target that it holds.
 // It reports false if there was none in time. A box that asks again for a source
 // has given its turn back.
-func (t *Scheduler) Take(ctx context.Context, ask Ask) (target string, ok bool) {
+func (t *Scheduler) Take(ctx context.Context, ask Request) (target string, ok bool) {
 	w := &waiter{ask: ask, granted: make(chan string, 1)}
 	t.mu.Lock()
 	t.drop(ask.Source, ask.Box)
@@ -75,8 +75,8 @@
 	}
 }
 
-// GiveBack ends a box's turn.
-func (t *Scheduler) GiveBack(source, box string) {
+// Release ends a box's turn.
+func (t *Scheduler) Release(source, box string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.drop(source, box)
@@ -123,9 +123,9 @@
 	})
 }
 
-func (t *Scheduler) hold(ask Ask, target string) {
+func (t *Scheduler) hold(ask Request, target string) {
 	held := &turn{box: ask.Box, target: target}
-	held.lapse = time.AfterFunc(cmp.Or(ask.Most, turnMost), func() {
+	held.lapse = time.AfterFunc(cmp.Or(ask.MaxHold, turnMost), func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		if t.held[ask.Source] == held {
--- a/peer/edgerpc/edgerpc.go
+++ b/peer/edgerpc/edgerpc.go
@@ -66,13 +66,13 @@
 func (e *Endpoint) Turn(ask wire.TurnAsk, answer *wire.TurnAnswer) error {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Duration(ask.WaitMs)*time.Millisecond)
 	defer cancel()
-	answer.Target, answer.Granted = e.turns.Take(ctx, moveturns.Ask{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Tokens: ask.Tokens, Most: time.Duration(ask.MostMs) * time.Millisecond})
+	answer.Target, answer.Granted = e.turns.Take(ctx, moveturns.Request{Box: ask.Box, Source: ask.Upstream, Targets: ask.Targets, Tokens: ask.Tokens, MaxHold: time.Duration(ask.MostMs) * time.Millisecond})
 	return nil
 }
 
 // TurnBack takes a turn back.
 func (e *Endpoint) TurnBack(ask wire.TurnAsk, answer *wire.Nothing) error {
-	e.turns.GiveBack(ask.Upstream, ask.Box)
+	e.turns.Release(ask.Upstream, ask.Box)
 	answer.Ok = true
 	return nil
 }
