--- a/edge/limits.go
+++ b/edge/limits.go
@@ -78,7 +78,7 @@
 // tick lets what is known of limits age.
 func (l *limiter) tick(now time.Time) {
 	l.limits.Tick(now, l.knowsUpstream)
-	l.whole.Keep(func(upstream string) bool { return l.keeps(now, upstream) })
+	l.whole.Retain(func(upstream string) bool { return l.keeps(now, upstream) })
 }
 
 // Limit implements places.Limits.
@@ -142,12 +142,12 @@
 
 // wholeRate is what this box gives out as the keeper.
 func (l *limiter) wholeRate(now time.Time, perSecond float64) ratelimit.Rate {
-	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) * l.reach(now), Saved: min(savedMost, savedPart*perSecond)}
+	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) * l.reach(now), Burst: min(savedMost, savedPart*perSecond)}
 }
 
 // partRate is what this box may send by itself while it does not hear the keeper.
 func (l *limiter) partRate(perSecond float64) ratelimit.Rate {
-	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) / float64(max(l.Count(), 1)), Part: true}
+	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) / float64(max(l.Count(), 1)), Uncoordinated: true}
 }
 
 // May implements picker.Limits: on engines this box gives room to all, or sends its part.
@@ -170,36 +170,36 @@
 		return
 	}
 	if _, own := l.keeper(now, service, upstream); own {
-		l.whole.Press(now, upstream, l.wholeRate(now, perSecond))
+		l.whole.Force(now, upstream, l.wholeRate(now, perSecond))
 		return
 	}
-	l.parts.Press(now, upstream, l.partRate(perSecond))
+	l.parts.Force(now, upstream, l.partRate(perSecond))
 	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, upstream), Goes: true}
 	go func() { _, _ = l.askKeeper(context.Background(), now, service, ask) }()
 }
 
 // Take implements relay.Limiter: it asks the upstream's keeper. One that is not heard is
 // done without.
-func (l *limiter) Take(ctx context.Context, a relay.LimitAsk) ratelimit.Turn {
+func (l *limiter) Take(ctx context.Context, a relay.LimitAsk) ratelimit.Decision {
 	now := time.Now()
 	perSecond, at, limited := l.limits.Of(now, a.Upstream)
 	if !limited || l.loose(now, a.Service, perSecond) {
-		return ratelimit.Turn{Granted: true}
+		return ratelimit.Decision{Granted: true}
 	}
 	turn, by := l.ask(ctx, now, a)
 	outcome := metrics.LimitGranted
 	if by == "" {
-		part := ratelimit.Ask{Rate: l.partRate(perSecond), Urgency: a.Urgency, Wait: a.Wait}
+		part := ratelimit.Request{Rate: l.partRate(perSecond), Urgency: a.Urgency, Wait: a.Wait}
 		turn, outcome = l.parts.Take(now, a.Upstream, part), metrics.LimitUnheard
 	}
 	if !turn.Granted {
 		outcome = metrics.LimitUsedUp
-		l.noteUsedUp(now, a.Upstream, turn.In)
+		l.noteUsedUp(now, a.Upstream, turn.Delay)
 	}
 	l.metrics.LimitAsked(outcome)
 	l.log.WithFields(logrus.Fields{
 		"request": a.Request, "upstream": a.Upstream, "per_second": perSecond, "said_ms": now.Sub(at).Milliseconds(), "keeper": by, "granted": turn.Granted,
-		"in_ms": turn.In.Milliseconds(), "took_ms": time.Since(now).Milliseconds(),
+		"in_ms": turn.Delay.Milliseconds(), "took_ms": time.Since(now).Milliseconds(),
 	}).Info("limit_asked")
 	return turn
 }
@@ -211,10 +211,10 @@
 }
 
 // ask asks the keeper, which is returned; empty if it is not heard.
-func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitAsk) (turn ratelimit.Turn, by string) {
+func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitAsk) (turn ratelimit.Decision, by string) {
 	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, a.Upstream), Urgency: a.Urgency, WaitMs: int(a.Wait.Milliseconds())}
 	answer, by := l.askKeeper(ctx, now, a.Service, ask)
-	return ratelimit.Turn{Granted: answer.Granted, In: time.Duration(answer.InMs) * time.Millisecond}, by
+	return ratelimit.Decision{Granted: answer.Granted, Delay: time.Duration(answer.InMs) * time.Millisecond}, by
 }
 
 func (l *limiter) askKeeper(ctx context.Context, now time.Time, service route.Service, ask wire.AllowAsk) (answer wire.AllowAnswer, by string) {
@@ -254,14 +254,14 @@
 	}
 	rate := l.wholeRate(now, perSecond)
 	if ask.Goes {
-		l.whole.Press(now, id, rate)
+		l.whole.Force(now, id, rate)
 		return wire.AllowAnswer{Granted: true}
 	}
 	if !l.keeps(now, id) {
 		return wire.AllowAnswer{Elsewhere: true}
 	}
-	turn := l.whole.Take(now, id, ratelimit.Ask{Rate: rate, Urgency: ask.Urgency, Wait: time.Duration(ask.WaitMs) * time.Millisecond})
-	return wire.AllowAnswer{Granted: turn.Granted, InMs: int((turn.In + time.Millisecond - 1) / time.Millisecond)}
+	turn := l.whole.Take(now, id, ratelimit.Request{Rate: rate, Urgency: ask.Urgency, Wait: time.Duration(ask.WaitMs) * time.Millisecond})
+	return wire.AllowAnswer{Granted: turn.Granted, InMs: int((turn.Delay + time.Millisecond - 1) / time.Millisecond)}
 }
 
 // AllowFor implements edgerpc.Box.
@@ -282,7 +282,7 @@
 			Upstream: id, PerSecond: perSecond, SaidMs: int(now.Sub(at).Milliseconds()), Keeper: keeper.Name, UsedUpMs: int(l.UsedUp(now, id).Milliseconds()),
 		}
 		if own {
-			v.PartPct, v.Given = int(100*l.reach(now)), l.whole.Given(id)
+			v.PartPct, v.Given = int(100*l.reach(now)), l.whole.Granted(id)
 		}
 		list = append(list, v)
 	}
--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -22,25 +22,25 @@
 
 // Rate is how much is given out. Values are immutable.
 type Rate struct {
-	PerSecond float64 // above 0
-	Saved     float64 // requests of a rest that may go at once, beside the next
-	Part      bool    // of what others give out too, without a word to each other; nothing of it is saved
+	PerSecond     float64 // above 0
+	Burst         float64 // requests of a rest that may go at once, beside the next
+	Uncoordinated bool    // of what others give out too, without a word to each other; nothing of it is saved
 }
 
 // each returns the time that each request takes.
 func (r Rate) each() time.Duration { return time.Duration(float64(time.Second) / r.PerSecond) }
 
-// Ask is a request that wants to go. Values are immutable.
-type Ask struct {
+// Request is a request that wants to go. Values are immutable.
+type Request struct {
 	Rate    Rate
 	Urgency int           // 0 goes first
 	Wait    time.Duration // how far ahead its time may be
 }
 
-// Turn is the answer to one that asks. Values are immutable.
-type Turn struct {
+// Decision is the answer to one that asks. Values are immutable.
+type Decision struct {
 	Granted bool
-	In      time.Duration // until it may go; if not granted, until one may that asks then
+	Delay   time.Duration // until it may go; if not granted, until one may that asks then
 }
 
 // upstream is what is known of one.
@@ -71,7 +71,7 @@
 // the most urgent of late have a time ahead; the rest leave one for the next of these:
 // where each time is a third of a second, 94 of 114 urgent requests found one before,
 // though they asked for half of what there is (TestAllLimited).
-func (a *Limiter) Take(now time.Time, id string, ask Ask) Turn {
+func (a *Limiter) Take(now time.Time, id string, ask Request) Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	u := a.of(now, id, ask.Rate)
@@ -80,19 +80,19 @@
 	}
 	in, wait := max(u.next.Sub(now), 0), ask.Wait
 	if ask.Urgency > u.first {
-		leave := time.Duration(min(ask.Rate.Saved, 1) * float64(ask.Rate.each()))
+		leave := time.Duration(min(ask.Rate.Burst, 1) * float64(ask.Rate.each()))
 		in, wait = max(u.next.Add(leave).Sub(now), 0), 0
 	}
 	if in > wait {
-		return Turn{In: in}
+		return Decision{Delay: in}
 	}
 	u.goes(ask.Rate)
-	return Turn{Granted: true, In: in}
+	return Decision{Granted: true, Delay: in}
 }
 
-// Press gives a request its time now that cannot be held back: those that follow wait
+// Force gives a request its time now that cannot be held back: those that follow wait
 // for it.
-func (a *Limiter) Press(now time.Time, id string, r Rate) {
+func (a *Limiter) Force(now time.Time, id string, r Rate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.of(now, id, r).goes(r)
@@ -104,8 +104,8 @@
 	u.given++
 }
 
-// Given returns how many requests have gone to an upstream since it was first asked for.
-func (a *Limiter) Given(id string) int {
+// Granted returns how many requests have gone to an upstream since it was first asked for.
+func (a *Limiter) Granted(id string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if u, ok := a.list[id]; ok {
@@ -138,17 +138,17 @@
 		u.rate = r
 	}
 	switch back := now.Sub(u.next); {
-	case r.Part && back > partKept:
+	case r.Uncoordinated && back > partKept:
 		u.next = a.drawn(now, r)
-	case !r.Part && back > time.Duration(r.Saved*float64(r.each())):
-		u.next = now.Add(-time.Duration(r.Saved * float64(r.each())))
+	case !r.Uncoordinated && back > time.Duration(r.Burst*float64(r.each())):
+		u.next = now.Add(-time.Duration(r.Burst * float64(r.each())))
 	}
 	return u
 }
 
-// Keep forgets the upstreams that are kept elsewhere: what was saved up here goes there
+// Retain forgets the upstreams that are kept elsewhere: what was saved up here goes there
 // meanwhile.
-func (a *Limiter) Keep(here func(id string) bool) {
+func (a *Limiter) Retain(here func(id string) bool) {
 	for _, id := range a.known() {
 		if !here(id) {
 			a.forget(id)
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -19,7 +19,7 @@
 
 // TestTake shows how many of those who ask in one moment may go, and when the next may.
 func TestTake(t *testing.T) {
-	two := Rate{PerSecond: 2, Saved: 1}
+	two := Rate{PerSecond: 2, Burst: 1}
 	tests := map[string]struct {
 		rate  Rate
 		begun bool // and not rested
@@ -32,7 +32,7 @@
 		"nothing is saved":                          {Rate{PerSecond: 2}, false, 0, 4, 1, 500 * time.Millisecond},
 		"those who wait have times ahead":           {two, false, time.Second, 6, 4, 1500 * time.Millisecond},
 		"at first nothing is saved up":              {two, true, 0, 4, 0, 260 * time.Millisecond},
-		"a part saves nothing":                      {Rate{PerSecond: 2, Part: true}, false, 0, 4, 0, 386 * time.Millisecond},
+		"a part saves nothing":                      {Rate{PerSecond: 2, Uncoordinated: true}, false, 0, 4, 0, 386 * time.Millisecond},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,19 +43,19 @@
 				a = begun()
 			}
 			goes := 0
-			var last Turn
+			var last Decision
 			for range tt.asks {
-				last = a.Take(now, "u", Ask{Rate: tt.rate, Wait: tt.waits})
+				last = a.Take(now, "u", Request{Rate: tt.rate, Wait: tt.waits})
 				if last.Granted {
 					goes++
 				}
 			}
 			is.Equal(goes, tt.goes)
-			if tt.begun || tt.rate.Part {
-				is.True(!last.Granted && last.In > 0 && last.In <= tt.rate.each()) // by chance
+			if tt.begun || tt.rate.Uncoordinated {
+				is.True(!last.Granted && last.Delay > 0 && last.Delay <= tt.rate.each()) // by chance
 				return
 			}
-			is.Equal(last.In, tt.in)
+			is.Equal(last.Delay, tt.in)
 		})
 	}
 }
@@ -64,13 +64,13 @@
 func TestUrgent(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	rate := Rate{PerSecond: 2, Saved: 1}
+	rate := Rate{PerSecond: 2, Burst: 1}
 	a := rested(now, rate)
-	first, rest := Ask{Rate: rate, Wait: time.Second}, Ask{Rate: rate, Urgency: 5, Wait: time.Second}
+	first, rest := Request{Rate: rate, Wait: time.Second}, Request{Rate: rate, Urgency: 5, Wait: time.Second}
 	is.True(a.Take(now, "u", rest).Granted) // nobody more urgent was met
 	is.True(a.Take(now, "u", first).Granted)
 	is.True(!a.Take(now, "u", rest).Granted)
-	is.Equal(a.Take(now, "u", first), Turn{Granted: true, In: 500 * time.Millisecond})
+	is.Equal(a.Take(now, "u", first), Decision{Granted: true, Delay: 500 * time.Millisecond})
 	now = now.Add(1400 * time.Millisecond) // one may go, and is left
 	is.True(!a.Take(now, "u", rest).Granted)
 	now = now.Add(firstFor)
@@ -85,12 +85,12 @@
 	slow, fast := Rate{PerSecond: 1}, Rate{PerSecond: 10}
 	a := rested(now, slow)
 	for range 4 {
-		a.Press(now, "u", slow)
+		a.Force(now, "u", slow)
 	}
 	is.True(!a.Free(now, "u", slow))
-	is.Equal(a.Take(now, "u", Ask{Rate: slow}).In, 4*time.Second)
-	is.Equal(a.Take(now, "u", Ask{Rate: fast}).In, 400*time.Millisecond)
-	is.Equal(a.Given("u"), 4)
+	is.Equal(a.Take(now, "u", Request{Rate: slow}).Delay, 4*time.Second)
+	is.Equal(a.Take(now, "u", Request{Rate: fast}).Delay, 400*time.Millisecond)
+	is.Equal(a.Granted("u"), 4)
 }
 
 // TestForgotten keeps upstreams no longer than somebody asks for them.
@@ -114,7 +114,7 @@
 	}
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		a.Take(now, ids[i%len(ids)], Ask{Rate: Rate{PerSecond: 16, Saved: 2}})
+		a.Take(now, ids[i%len(ids)], Request{Rate: Rate{PerSecond: 16, Burst: 2}})
 	}
 }
 
@@ -130,12 +130,12 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			rate := Rate{PerSecond: 2, Saved: 1}
+			rate := Rate{PerSecond: 2, Burst: 1}
 			a := rested(now, rate)
-			a.Keep(func(string) bool { return tt.here })
+			a.Retain(func(string) bool { return tt.here })
 			goes := 0
 			for range 4 {
-				if a.Take(now, "u", Ask{Rate: rate}).Granted {
+				if a.Take(now, "u", Request{Rate: rate}).Granted {
 					goes++
 				}
 			}
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -43,7 +43,7 @@
 	// UsedUp returns for how long nothing more is to be had there, as far as is known.
 	UsedUp(now time.Time, upstream string) time.Duration
 	// Take gives a request its time at an upstream, if that is at most a wait ahead.
-	Take(ctx context.Context, a LimitAsk) ratelimit.Turn
+	Take(ctx context.Context, a LimitAsk) ratelimit.Decision
 }
 
 // placeLimited finds an upstream for a request that no engine answers, however it comes
@@ -103,7 +103,7 @@
 	c, in, ok := r.soonest(j)
 	if ok && in <= worth {
 		turn := r.Limiter.Take(ctx, j.limitAsk(c.Upstream.ID, worth))
-		in = turn.In
+		in = turn.Delay
 		if turn.Granted {
 			j.log.WithFields(logrus.Fields{"upstream": c.Upstream.ID, "in_ms": in.Milliseconds()}).Info("limit_awaited")
 			if in > 0 && !r.waitFor(ctx, in) {
--- a/relay/limited_test.go
+++ b/relay/limited_test.go
@@ -36,12 +36,12 @@
 func (*limiter) UsedUp(time.Time, string) time.Duration { return 0 }
 
 // Take implements relay.Limiter.
-func (l *limiter) Take(_ context.Context, a relay.LimitAsk) ratelimit.Turn {
+func (l *limiter) Take(_ context.Context, a relay.LimitAsk) ratelimit.Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asks = append(l.asks, a)
 	in := l.in[a.Upstream]
-	return ratelimit.Turn{Granted: in <= a.Wait, In: in}
+	return ratelimit.Decision{Granted: in <= a.Wait, Delay: in}
 }
 
 func usedUp(in time.Duration, upstreams ...string) map[string]time.Duration {
