--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -77,7 +77,7 @@
 	for _, u := range from.Demand {
 		uses[u.Organisation] = quota.Use{Rate: u.Rate, Tokens: u.Tokens}
 	}
-	d.quota.Heard(now, from.Box, uses)
+	d.quota.Update(now, from.Box, uses)
 	for _, l := range from.Loads {
 		d.heardOf(l, toldSilence)
 	}
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -228,7 +228,7 @@
 			return
 		}
 		d.members.Listed(time.Now(), list)
-		d.quota.Boxes(len(d.members.All(time.Now())))
+		d.quota.SetBoxes(len(d.members.All(time.Now())))
 	}
 	read(time.Now())
 	d.timer.Every(ctx, d.config.Box, listEvery, read)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -96,16 +96,16 @@
 	if _, ok := view.Models[req.Body.Model]; !ok {
 		return nil, refusal.New(refusal.UnknownModel, req.Body.Model)
 	}
-	if ok, wait := d.Quota.Request(time.Now(), req.Organisation, req.Terms.RequestsPerSecond); !ok {
+	if ok, wait := d.Quota.Allow(time.Now(), req.Organisation, req.Terms.RequestsPerSecond); !ok {
 		return nil, refusal.New(refusal.QuotaRequests, "requests a second").WithRetryAfter(wait)
 	}
 	key := outputlen.Key{Organisation: req.Organisation, Model: req.Body.Model, Class: string(req.Body.Class)}
 	prompt := promptTokens(req.Body.Prompt)
 	promised := prompt + int(min(d.Lengths.Curve(key).Mean(), float64(req.Body.MaxTokens)))
-	if !d.Quota.Promise(time.Now(), req.Organisation, promised, req.Terms.TokensInFlight) {
+	if !d.Quota.Reserve(time.Now(), req.Organisation, promised, req.Terms.TokensInFlight) {
 		return nil, refusal.New(refusal.QuotaTokens, "tokens in flight").WithRetryAfter(comeAgain)
 	}
-	release := func() { d.Quota.Return(req.Organisation, promised) }
+	release := func() { d.Quota.Release(req.Organisation, promised) }
 	deadline := time.Now().Add(time.Duration(req.Body.DeadlineMs) * time.Millisecond)
 	running, err := d.tries(ctx, req, key, prompt, deadline)
 	if err != nil {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -60,15 +60,15 @@
 	return &Quota{boxes: max(boxes, 1), accounts: map[string]*account{}, peers: map[string]*peerUse{}}
 }
 
-// Boxes tells how many boxes there are, the parted ones too.
-func (q *Quota) Boxes(n int) {
+// SetBoxes tells how many boxes there are, the parted ones too.
+func (q *Quota) SetBoxes(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.boxes = max(n, 1)
 }
 
-// Heard takes a peer's digest: the entries that it tells anew.
-func (q *Quota) Heard(now time.Time, box string, uses map[string]Use) {
+// Update takes a peer's digest: the entries that it tells anew.
+func (q *Quota) Update(now time.Time, box string, uses map[string]Use) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	p, ok := q.peers[box]
@@ -82,9 +82,9 @@
 	}
 }
 
-// Request asks to let one request in; when it may not, it returns how long
+// Allow asks to let one request in; when it may not, it returns how long
 // until it might. A limit of zero is none.
-func (q *Quota) Request(now time.Time, organisation string, perSecond float64) (ok bool, wait time.Duration) {
+func (q *Quota) Allow(now time.Time, organisation string, perSecond float64) (ok bool, wait time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	a := q.account(now, organisation)
@@ -103,9 +103,9 @@
 	return true, 0
 }
 
-// Promise asks to hold so much memory in flight; Return gives it back. A
+// Reserve asks to hold so much memory in flight; Return gives it back. A
 // limit of zero is none.
-func (q *Quota) Promise(now time.Time, organisation string, tokens, limit int) bool {
+func (q *Quota) Reserve(now time.Time, organisation string, tokens, limit int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	a := q.account(now, organisation)
@@ -117,8 +117,8 @@
 	return true
 }
 
-// Return gives promised memory back.
-func (q *Quota) Return(organisation string, tokens int) {
+// Release gives promised memory back.
+func (q *Quota) Release(organisation string, tokens int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if a, ok := q.accounts[organisation]; ok {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -30,7 +30,7 @@
 		uses := from.Uses(now)
 		for j, to := range b {
 			if i != j {
-				to.Heard(now, fmt.Sprint("box", i), uses)
+				to.Update(now, fmt.Sprint("box", i), uses)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 			if rate == 0 || tick%(100/rate) != 0 {
 				continue
 			}
-			if ok, _ := b[i].Request(now, "o", limit); ok && tick > 1000 {
+			if ok, _ := b[i].Allow(now, "o", limit); ok && tick > 1000 {
 				admitted++
 			}
 		}
@@ -114,12 +114,12 @@
 		b.tell(now)
 	case 1:
 		if len(held[i]) > 0 {
-			b[i].Return("o", held[i][0])
+			b[i].Release("o", held[i][0])
 			held[i] = held[i][1:]
 		}
 	default:
 		tokens := rapid.IntRange(1, 200).Draw(rt, "tokens")
-		if b[i].Promise(now, "o", tokens, limit) {
+		if b[i].Reserve(now, "o", tokens, limit) {
 			held[i] = append(held[i], tokens)
 		}
 	}
@@ -131,11 +131,11 @@
 			q := quota.New(peers + 1)
 			now := time.Now()
 			for i := range peers {
-				q.Heard(now, fmt.Sprint("box", i), map[string]quota.Use{"o": {Rate: 1, Tokens: 100}})
+				q.Update(now, fmt.Sprint("box", i), map[string]quota.Use{"o": {Rate: 1, Tokens: 100}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Request(now, "o", 1000)
+				q.Allow(now, "o", 1000)
 			}
 		})
 	}
