--- a/picker/picker.go
+++ b/picker/picker.go
@@ -1,4 +1,4 @@
-// Package picker picks the upstream that a request goes to, or a run moves to.
+// Package picker selects the upstream for a new request or for a run that moves.
 package picker
 
 import (
@@ -17,47 +17,44 @@
 	"petrelstep/warmup"
 )
 
-// Weights of a score, in shares of an upstream's capacity.
+// A score is an upstream's load as a share of its capacity, plus these weighted
+// penalties. The lowest score is best.
 const (
-	// far is what another hall costs: its link may lose packets or be cut for as
-	// long as a stream lasts, and its bytes are paid for. An engine next door goes
-	// before one elsewhere unless it holds a third more of its memory: halls'
-	// shares of requests differ by less.
-	far = 0.35
-	// farMove is what it costs a run that moves on top: its copy takes twice as
-	// long, and those behind it wait.
-	farMove = 0.2
-	// slots weighs an engine's requests against its memory.
-	slots = 0.3
-	// waiting weighs a second of waiting for other prompts to be read.
-	waiting = 0.3
-	// slowFrom is from how many times the usual pace an engine counts as slow: a
-	// full one that reads prompts takes up to twice as long as an idle one.
-	slowFrom = 2.0
-	// slowing weighs each time of the usual pace that a slow one takes: streams
-	// there pause for longer than they may as soon as a prompt is read beside them.
-	slowing = 1.0
-	// late weighs a request that is made late: more than any load does, as what fits
-	// is served in time whatever else runs there.
-	late = 4.0
-	// failing weighs the share of sends that failed of late.
-	failing = 3.0
-	// missing is for one whose entry has lapsed and may come back.
-	missing = 1.0
-	// leavingFor is how long what runs at an upstream that leaves is taken to be on
-	// its way elsewhere: the notice is 1.5 to 2.1 s, and boxes' word of what they run
-	// is half a second old.
-	leavingFor = 4 * time.Second
-	// noise breaks ties otherwise on each box.
-	noise = 0.02
-	// spreadAbove is the list length from which a box ranks a random sample of spreadSize:
-	// many boxes with the same view would all pick the same upstream.
-	spreadAbove = 16
-	spreadSize  = 5
-	// targetSample is the sample's size for a run that moves, and targetFar how many of it
-	// are of other halls, should its own be full.
-	targetSample = 8
-	targetFar    = 2
+	// otherHallWeight is the penalty for another hall, whose link may lose packets or be
+	// cut during a stream and whose traffic is billed.
+	otherHallWeight = 0.35
+	// otherHallMoveWeight is added for a run that moves: copies between halls take twice
+	// as long, and others queue behind them.
+	otherHallMoveWeight = 0.2
+	// slotsWeight weighs an engine's slots in use against its memory in use.
+	slotsWeight = 0.3
+	// prefillWeight is the penalty per second of prompts that are read first.
+	prefillWeight = 0.3
+	// slowThreshold is the multiple of the median pace from which an engine counts as
+	// slow. A full engine that also reads prompts takes up to twice as long as an idle one.
+	slowThreshold = 2.0
+	// slownessWeight is the penalty per multiple of the median pace.
+	slownessWeight = 1.0
+	// lateWeight is the penalty per request that would miss its deadline. It outweighs
+	// any load.
+	lateWeight = 4.0
+	// failureWeight weighs the share of requests that failed recently.
+	failureWeight = 3.0
+	// missingWeight is the penalty for an upstream whose entry lapsed and may return.
+	missingWeight = 1.0
+	// leavingWindow is how long the runs of a leaving upstream count as moving: its notice
+	// of 1.5 to 2.1 s, plus the delay of the boxes' reports.
+	leavingWindow = 4 * time.Second
+	// noiseWeight bounds the random tie-breaker, which differs between boxes.
+	noiseWeight = 0.02
+	// smallSampleThreshold is the number of upstreams from which a box ranks a random
+	// sample of smallSampleSize. Otherwise all boxes would pick the same upstream.
+	smallSampleThreshold = 16
+	smallSampleSize      = 5
+	// moveSampleSize is the sample's size for a run that moves. moveSampleOtherHalls of
+	// it are in other halls, in case the run's own hall is full.
+	moveSampleSize       = 8
+	moveSampleOtherHalls = 2
 )
 
 // Picker is safe for use by several goroutines.
@@ -67,67 +64,67 @@
 	mu sync.Mutex // guards Random
 }
 
-// Parts are what a chooser works with.
+// Parts are the dependencies of a Picker.
 type Parts struct {
 	Fleet       *fleet.Fleet
 	Loads       *upstreamload.Tracker
 	Reliability *reliability.Reliability
-	Prefill     reading
-	Speeds      *speeds.Speeds // nil: engines' paces are compared where they stream
-	Hall        string         // of the box
+	Prefill     prefillEstimator
+	Speeds      *speeds.Speeds // nil: only the paces of current streams are compared
+	Hall        string         // the hall of this box
 	Random      *rand.Rand
-	Regions     map[string]string             // of halls
-	Warmup      *warmup.Warmup                // nil: cold upstreams are not spared
-	Allocation  func(s route.Service) float64 // of what a cold upstream bears that this box may send
-	Limits      Limits                        // nil: nobody names a limit
-	Backoff     *backoff.Tracker              // that upstreams have asked this box for; nil: none
+	Regions     map[string]string             // region by hall
+	Warmup      *warmup.Warmup                // nil: cold upstreams are not limited
+	Allocation  func(s route.Service) float64 // this box's share of a cold upstream's limit
+	Limits      Limits                        // nil: no upstream announces a limit
+	Backoff     *backoff.Tracker              // upstreams that requested backoff from this box; nil: none
 }
 
-// New returns a chooser of a box in a hall.
+// New returns a Picker with the given dependencies.
 func New(parts Parts) *Picker { return &Picker{Parts: parts} }
 
-// Limits knows which upstreams name how much they take.
+// Limits holds the request rates that upstreams announce.
 type Limits interface {
-	// Limit returns how many requests a second an upstream takes; false if it takes all.
+	// Limit returns an upstream's announced requests per second, and false if it has none.
 	Limit(upstream string) (perSecond float64, limited bool)
-	// May tells whether one more request may go to an engine of a service.
+	// May reports whether an engine's limit allows one more request.
 	May(now time.Time, s route.Service, upstream string) bool
-	// Sent notes that one goes there.
+	// Sent records that a request is sent to the engine.
 	Sent(now time.Time, s route.Service, upstream string)
 }
 
-// reading tells how long engines take to read prompts.
-type reading interface {
+// prefillEstimator estimates how long engines take to read prompts.
+type prefillEstimator interface {
 	Time(tokens int) time.Duration
 }
 
-// Want is what an upstream is chosen for.
+// Want describes the request or run that needs an upstream.
 type Want struct {
 	Service route.Service
 	Tokens  int
-	Hall    string // to be near; the box's own where empty
-	Moves   bool   // it is for a run that moves there
+	Hall    string // preferred hall; the box's own if empty
+	Moves   bool   // a run moves there, rather than a new request
 	Need    speeds.Need
 	Avoid   []string
-	Regions []string // the only ones that may be chosen; none for any
-	All     bool     // all are ranked: what others send there meanwhile is known
-	Sample  bool     // of a long list a random sample, most of it of Hall, is ranked
-	Own     bool     // this box sends it: upstreams that have asked it for rest are left out
+	Regions []string // allowed regions; empty for any
+	All     bool     // rank all upstreams: no other box sends to them at the same time
+	Sample  bool     // rank a random sample of a long list, most of it in Hall
+	Own     bool     // this box sends the request: leave out upstreams that requested backoff from it
 }
 
-// Choice is an upstream, what runs there, and that as a share of its capacity.
+// Choice is a ranked upstream with its current load.
 type Choice struct {
 	Upstream fleet.Upstream
 	Running  upstreamload.Load
-	Load     float64
+	Load     float64 // share of the capacity in use
 	speeds.Judged
-	Held bool // it is cold or limited, and may get no more for now
+	Held bool // cold or limited, and at its limit for now
 }
 
-// Choose returns the upstream with the most room, and its load as a share of
-// its capacity. It reports false if there is none.
-func (c *Picker) Choose(now time.Time, w Want) (best fleet.Upstream, load float64, found bool) {
-	for _, r := range c.Ranked(now, w) {
+// Choose returns the best upstream that is not at a limit, and its load as a share
+// of its capacity. It reports false if there is none.
+func (p *Picker) Choose(now time.Time, w Want) (best fleet.Upstream, load float64, found bool) {
+	for _, r := range p.Ranked(now, w) {
 		if !r.Held {
 			return r.Upstream, r.Load, true
 		}
@@ -135,171 +132,171 @@
 	return fleet.Upstream{}, 0, false
 }
 
-// Gave notes that the keeper of a queue sends a request to an upstream.
-func (c *Picker) Assigned(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
-	c.Speeds.Gave(now, u, n, running)
+// Assigned records that this box, as owner of a queue, assigned a request to an
+// upstream.
+func (p *Picker) Assigned(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
+	p.Speeds.Gave(now, u, n, running)
 }
 
-// Sent notes that a request goes to an upstream.
-func (c *Picker) Sent(now time.Time, s route.Service, u fleet.Upstream) {
-	if c.Warmup != nil && now.Before(u.Cold) {
-		c.Warmup.Sent(now, u.ID, c.limit(s))
+// Sent records that a request is sent to an upstream.
+func (p *Picker) Sent(now time.Time, s route.Service, u fleet.Upstream) {
+	if p.Warmup != nil && now.Before(u.Cold) {
+		p.Warmup.Sent(now, u.ID, p.warmupLimit(s))
 	}
-	if c.Limits != nil && s.Engine != nil {
-		c.Limits.Sent(now, s, u.ID)
+	if p.Limits != nil && s.Engine != nil {
+		p.Limits.Sent(now, s, u.ID)
 	}
 }
 
-// usedUp tells whether an engine that names a limit may get no more for now. A run that
-// moves goes to one that names none.
-func (c *Picker) usedUp(now time.Time, w Want, u fleet.Upstream) bool {
-	if c.Limits == nil || w.Service.Engine == nil {
+// limitReached reports whether an engine's announced limit allows no more requests for
+// now. Runs that move go only to engines without a limit.
+func (p *Picker) limitReached(now time.Time, w Want, u fleet.Upstream) bool {
+	if p.Limits == nil || w.Service.Engine == nil {
 		return false
 	}
 	if w.Moves {
-		_, limited := c.Limits.Limit(u.ID)
+		_, limited := p.Limits.Limit(u.ID)
 		return limited
 	}
-	return !c.Limits.May(now, w.Service, u.ID)
+	return !p.Limits.May(now, w.Service, u.ID)
 }
 
-// held tells whether an upstream is cold and may get no more for now. A run that
-// moves there is not held: turns give an upstream one copy at a time, and the run
-// would be lost.
-func (c *Picker) held(now time.Time, w Want, u fleet.Upstream) bool {
-	return c.Warmup != nil && now.Before(u.Cold) && !w.Moves && !c.Warmup.May(now, u.ID, c.limit(w.Service))
+// coldLimitReached reports whether an upstream is cold and may receive no more requests
+// for now. Runs that move are exempt: they would be lost otherwise, and turns
+// (permissions to move a run) already restrict an upstream to one copy at a time.
+func (p *Picker) coldLimitReached(now time.Time, w Want, u fleet.Upstream) bool {
+	return p.Warmup != nil && now.Before(u.Cold) && !w.Moves && !p.Warmup.May(now, u.ID, p.warmupLimit(w.Service))
 }
 
-func (c *Picker) limit(s route.Service) warmup.Limit {
-	return warmup.Limit{PerSecond: s.ColdPerSecond, Part: c.Allocation(s)}
+func (p *Picker) warmupLimit(s route.Service) warmup.Limit {
+	return warmup.Limit{PerSecond: s.ColdPerSecond, Part: p.Allocation(s)}
 }
 
-// Ranked returns the upstreams that were weighed, the one with the most room
-// first.
-func (c *Picker) Ranked(now time.Time, w Want) []Choice {
+// Ranked returns the upstreams that were considered, best first.
+func (p *Picker) Ranked(now time.Time, w Want) []Choice {
 	if w.Hall == "" {
-		w.Hall = c.Hall
+		w.Hall = p.Hall
 	}
-	list := c.candidates(now, w)
+	list := p.candidates(now, w)
 	loads := make([]upstreamload.Load, len(list))
 	for i, u := range list {
-		loads[i] = c.Loads.Load(now, u.ID)
+		loads[i] = p.Loads.Load(now, u.ID)
 	}
-	judged, scores := c.judge(now, w, list, loads)
+	judged, scores := p.speedScores(now, w, list, loads)
 	order := make([]scored, len(list))
 	for i, u := range list {
-		load := c.load(w, u, loads[i])
-		order[i] = scored{at: i, load: load, score: load + scores[i] + c.penalty(now, w, u)}
+		load := p.load(w, u, loads[i])
+		order[i] = scored{index: i, load: load, score: load + scores[i] + p.penalty(now, w, u)}
 	}
-	slices.SortFunc(order, func(a, b scored) int { return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.at, b.at)) })
+	slices.SortFunc(order, func(a, b scored) int { return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.index, b.index)) })
 	ranked := make([]Choice, len(list))
 	for i, s := range order {
-		u := list[s.at]
-		ranked[i] = Choice{Upstream: u, Running: loads[s.at], Load: s.load, Judged: judged[s.at], Held: c.held(now, w, u) || c.usedUp(now, w, u)}
+		u := list[s.index]
+		ranked[i] = Choice{Upstream: u, Running: loads[s.index], Load: s.load, Judged: judged[s.index], Held: p.coldLimitReached(now, w, u) || p.limitReached(now, w, u)}
 	}
 	return ranked
 }
 
-// Leaving returns what runs at the upstreams of a service that leave.
-func (c *Picker) Leaving(now time.Time, service string) upstreamload.Load {
+// Leaving returns the load of the upstreams of a service that are leaving.
+func (p *Picker) Leaving(now time.Time, service string) upstreamload.Load {
 	var sum upstreamload.Load
-	for _, u := range c.Fleet.Leavers(now, service, leavingFor) {
-		sum = sum.Plus(c.Loads.Load(now, u.ID))
+	for _, u := range p.Fleet.Leavers(now, service, leavingWindow) {
+		sum = sum.Plus(p.Loads.Load(now, u.ID))
 	}
 	return sum
 }
 
-// scored is an upstream's place in a list and its score; sorting these in place
-// of whole choices takes a fifth of the time.
+// scored is an upstream's index and score. Sorting these is much cheaper than sorting
+// whole choices.
 type scored struct {
-	at          int
+	index       int
 	load, score float64
 }
 
-// candidates returns the upstreams to weigh.
-func (c *Picker) candidates(now time.Time, w Want) []fleet.Upstream {
-	list := c.Fleet.Serving(w.Service.Name)
+// candidates returns the upstreams to rank.
+func (p *Picker) candidates(now time.Time, w Want) []fleet.Upstream {
+	list := p.Fleet.Serving(w.Service.Name)
 	if w.Own {
-		list = c.Backoff.Without(now, list)
+		list = p.Backoff.Without(now, list)
 	}
-	if w.Sample && len(list) > sampleAbove {
-		list = c.sampleByHall(list, w.Hall)
+	if w.Sample && len(list) > largeSampleThreshold {
+		list = p.sampleByHall(list, w.Hall)
 	}
 	if len(w.Avoid) > 0 {
 		list = slices.DeleteFunc(slices.Clone(list), func(u fleet.Upstream) bool { return slices.Contains(w.Avoid, u.ID) })
 	}
 	if len(w.Regions) > 0 {
-		list = slices.DeleteFunc(slices.Clone(list), func(u fleet.Upstream) bool { return !slices.Contains(w.Regions, c.Regions[u.Hall]) })
+		list = slices.DeleteFunc(slices.Clone(list), func(u fleet.Upstream) bool { return !slices.Contains(w.Regions, p.Regions[u.Hall]) })
 	}
-	if w.All || w.Sample || len(list) < spreadAbove {
+	if w.All || w.Sample || len(list) < smallSampleThreshold {
 		return list
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if w.Moves {
 		list = slices.Clone(list)
-		c.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		return mostlyNear(list, w.Hall)
+		p.Random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+		return mostlySameHall(list, w.Hall)
 	}
-	return c.sample(list)
+	return p.sample(list)
 }
 
 // sample returns a small random sample of a list.
-func (c *Picker) sample(list []fleet.Upstream) []fleet.Upstream {
-	picked := make([]fleet.Upstream, 0, spreadSize)
-	taken := make([]int, 0, spreadSize)
-	for len(picked) < spreadSize {
-		at := c.Random.IntN(len(list))
-		if !slices.Contains(taken, at) {
-			taken = append(taken, at)
+func (p *Picker) sample(list []fleet.Upstream) []fleet.Upstream {
+	picked := make([]fleet.Upstream, 0, smallSampleSize)
+	drawn := make([]int, 0, smallSampleSize)
+	for len(picked) < smallSampleSize {
+		at := p.Random.IntN(len(list))
+		if !slices.Contains(drawn, at) {
+			drawn = append(drawn, at)
 			picked = append(picked, list[at])
 		}
 	}
 	return picked
 }
 
-// mostlyNear returns the sample of a shuffled list for a run that moves.
-func mostlyNear(list []fleet.Upstream, hall string) []fleet.Upstream {
-	near := slices.DeleteFunc(slices.Clone(list), func(u fleet.Upstream) bool { return u.Hall != hall })
-	far := slices.DeleteFunc(list, func(u fleet.Upstream) bool { return u.Hall == hall })
-	near = near[:min(len(near), max(targetSample-targetFar, targetSample-len(far)))]
-	return append(near, far[:targetSample-len(near)]...)
+// mostlySameHall returns the first moveSampleSize upstreams of a shuffled list, most of
+// them in one hall.
+func mostlySameHall(list []fleet.Upstream, hall string) []fleet.Upstream {
+	same := slices.DeleteFunc(slices.Clone(list), func(u fleet.Upstream) bool { return u.Hall != hall })
+	other := slices.DeleteFunc(list, func(u fleet.Upstream) bool { return u.Hall == hall })
+	same = same[:min(len(same), max(moveSampleSize-moveSampleOtherHalls, moveSampleSize-len(other)))]
+	return append(same, other[:moveSampleSize-len(same)]...)
 }
 
-// load is the share of an upstream's capacity that is in use.
-func (c *Picker) load(w Want, u fleet.Upstream, l upstreamload.Load) float64 {
-	places := float64(l.Requests) / float64(max(u.Slots, 1))
+// load returns the share of an upstream's capacity that is in use with the request.
+func (p *Picker) load(w Want, u fleet.Upstream, l upstreamload.Load) float64 {
+	slots := float64(l.Requests) / float64(max(u.Slots, 1))
 	e := w.Service.Engine
 	if e == nil || e.Memory == 0 {
-		return places
+		return slots
 	}
-	return float64(l.Tokens+l.Coming+w.Tokens)/float64(e.Memory) + slots*places + waiting*c.Prefill.Time(l.Prefill).Seconds()
+	return float64(l.Tokens+l.Coming+w.Tokens)/float64(e.Memory) + slotsWeight*slots + prefillWeight*p.Prefill.Time(l.Prefill).Seconds()
 }
 
-// judge weighs how fast upstreams are for a request, and returns what that is in
-// scores: by what is known of them, or, where nothing is or that is off, by the paces of
-// what streams there.
-func (c *Picker) judge(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Judged, scores []float64) {
+// speedScores estimates how fast upstreams serve a request and returns the penalties: by
+// their learned speeds or, without any, by the pace of their current streams.
+func (p *Picker) speedScores(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Judged, scores []float64) {
 	scores = make([]float64, len(list))
-	judged = c.Speeds.Judge(now, w.Service.Name, list, loads, w.Need)
+	judged = p.Speeds.Judge(now, w.Service.Name, list, loads, w.Need)
 	if judged == nil {
 		judged = make([]speeds.Judged, len(list))
-		usual := usualPace(loads)
+		median := medianPace(loads)
 		for i, l := range loads {
 			judged[i].Reading = 1
-			scores[i] = slowness(l.Pace(), usual)
+			scores[i] = slowness(l.Pace(), median)
 		}
 		return judged, scores
 	}
 	for i, l := range loads {
-		judged[i] = judged[i].WithLine(w.Need, c.Prefill.Time(l.Prefill))
-		scores[i] = late * (judged[i].Cost + judged[i].Line)
+		judged[i] = judged[i].WithLine(w.Need, p.Prefill.Time(l.Prefill))
+		scores[i] = lateWeight * (judged[i].Cost + judged[i].Line)
 	}
 	return judged, scores
 }
 
-// usualPace returns the middle time between events at upstreams; 0 if none is known.
-func usualPace(loads []upstreamload.Load) time.Duration {
+// medianPace returns the median time between events at upstreams; 0 if none is known.
+func medianPace(loads []upstreamload.Load) time.Duration {
 	var paces []time.Duration
 	for _, l := range loads {
 		if l.Paced > 0 {
@@ -313,31 +310,31 @@
 	return paces[len(paces)/2]
 }
 
-// slowness is what an upstream costs that makes events more slowly than its load
-// explains.
-func slowness(pace, usual time.Duration) float64 {
-	if usual == 0 || float64(pace) < slowFrom*float64(usual) {
+// slowness returns the penalty for an upstream with a pace far above the median.
+func slowness(pace, median time.Duration) float64 {
+	if median == 0 || float64(pace) < slowThreshold*float64(median) {
 		return 0
 	}
-	return slowing * (float64(pace)/float64(usual) - 1)
+	return slownessWeight * (float64(pace)/float64(median) - 1)
 }
 
-func (c *Picker) penalty(now time.Time, w Want, u fleet.Upstream) float64 {
-	p := failing*c.Reliability.Failing(now, u.ID) + noise*c.draw()
+// penalty returns the penalties for failures, distance and a lapsed entry, with noise.
+func (p *Picker) penalty(now time.Time, w Want, u fleet.Upstream) float64 {
+	sum := failureWeight*p.Reliability.Failing(now, u.ID) + noiseWeight*p.random()
 	if u.Hall != w.Hall {
-		p += far
+		sum += otherHallWeight
 		if w.Moves {
-			p += farMove
+			sum += otherHallMoveWeight
 		}
 	}
 	if u.State == fleet.Missing {
-		p += missing
+		sum += missingWeight
 	}
-	return p
+	return sum
 }
 
-func (c *Picker) draw() float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.Random.Float64()
+func (p *Picker) random() float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.Random.Float64()
 }
--- a/picker/sample.go
+++ b/picker/sample.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// sampleAbove is the list length above which a random sample is ranked: ranking all
-	// costs the keeper of a queue too much for each request.
-	sampleAbove = 200
-	// sampleNear and sampleElsewhere are the sample's sizes in the hall that is preferred
-	// and in the others, should that be full.
-	sampleNear      = 48
-	sampleElsewhere = 16
-	// sampleTries bounds the draws for a sample: a hall may have few upstreams.
-	sampleTries = 20 * sampleNear
+	// largeSampleThreshold is the number of upstreams above which the owner of a queue
+	// ranks a random sample: ranking all of them for each request is too expensive.
+	largeSampleThreshold = 200
+	// sampleSameHall and sampleOtherHalls are the sample's sizes in the preferred hall and
+	// in the others, in case the preferred one is full.
+	sampleSameHall   = 48
+	sampleOtherHalls = 16
+	// maxSampleDraws bounds the draws: a hall may have few upstreams.
+	maxSampleDraws = 20 * sampleSameHall
 )
 
-// SampledFrom returns the number of upstreams of a service of which a sample is ranked; 0
-// where all are.
-func (c *Picker) SampledFrom(s route.Service) int {
-	if n := len(c.Fleet.Serving(s.Name)); n > sampleAbove {
+// SampledFrom returns the number of a service's upstreams if only a sample of them is
+// ranked, and 0 if all are.
+func (p *Picker) SampledFrom(s route.Service) int {
+	if n := len(p.Fleet.Serving(s.Name)); n > largeSampleThreshold {
 		return n
 	}
 	return 0
 }
 
-// sampleByHall returns a random sample of a long list, most of it of one hall. Its cost
-// does not grow with the list.
-func (c *Picker) sampleByHall(list []fleet.Upstream, hall string) []fleet.Upstream {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var near, elsewhere []int
-	for range sampleTries {
-		at := c.Random.IntN(len(list))
+// sampleByHall returns a random sample of a long list, most of it in one hall, at a cost
+// independent of the list's length.
+func (p *Picker) sampleByHall(list []fleet.Upstream, hall string) []fleet.Upstream {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var same, other []int
+	for range maxSampleDraws {
+		i := p.Random.IntN(len(list))
 		switch {
-		case list[at].Hall == hall && len(near) < sampleNear && !slices.Contains(near, at):
-			near = append(near, at)
-		case list[at].Hall != hall && len(elsewhere) < sampleElsewhere && !slices.Contains(elsewhere, at):
-			elsewhere = append(elsewhere, at)
+		case list[i].Hall == hall && len(same) < sampleSameHall && !slices.Contains(same, i):
+			same = append(same, i)
+		case list[i].Hall != hall && len(other) < sampleOtherHalls && !slices.Contains(other, i):
+			other = append(other, i)
 		}
-		if len(near) == sampleNear && len(elsewhere) == sampleElsewhere {
+		if len(same) == sampleSameHall && len(other) == sampleOtherHalls {
 			break
 		}
 	}
-	sample := make([]fleet.Upstream, 0, len(near)+len(elsewhere))
-	for _, at := range append(near, elsewhere...) {
-		sample = append(sample, list[at])
+	sample := make([]fleet.Upstream, 0, len(same)+len(other))
+	for _, i := range append(same, other...) {
+		sample = append(sample, list[i])
 	}
 	return sample
 }
