--- a/peerstate/peerstate.go
+++ b/peerstate/peerstate.go
@@ -1,5 +1,5 @@
-// Package peerstate keeps what other boxes last told, by upstream: each box's own
-// word, or the sum of all others that a hub tells.
+// Package peerstate holds the last reports of other boxes by upstream: each box's own
+// report, or the sum of all others that a hub sends.
 package peerstate
 
 import (
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// freshFor is how long a box's word counts: some of its periods of gossip,
-// after which it is taken to be gone, and what it told of with it.
-const freshFor = 3 * time.Second
+// maxAge is how long a box's report counts, several gossip intervals. A box that is
+// silent for longer is considered down, and its report is dropped.
+const maxAge = 3 * time.Second
 
-// Sum is what can be added up.
+// Sum is a value that can be added and subtracted.
 type Sum[T any] interface {
 	// Plus returns the sum of both.
 	Plus(other T) T
@@ -20,80 +20,81 @@
 	Minus(other T) T
 }
 
-type word[T any] struct {
+// report is what one box, or a hub for all others, sent last.
+type report[T any] struct {
 	at   time.Time
 	list map[string]T
 }
 
-func (w word[T]) fresh(now time.Time) bool { return now.Sub(w.at) <= freshFor }
+func (r report[T]) fresh(now time.Time) bool { return now.Sub(r.at) <= maxAge }
 
-// total is the sum of what boxes told of one upstream.
+// total is the sum of all reports on one upstream.
 type total[T any] struct {
 	sum   T
-	boxes int // that told of it
+	boxes int // number of reports in sum
 }
 
-// Coverage is how many boxes a word holds besides the one that tells it.
+// Coverage is the number of boxes that a report includes besides its sender.
 type Coverage struct {
 	Boxes  int
-	Recent int // of these, that had just told it
+	Recent int // of these, the boxes that the sender heard from recently
 }
 
-// Totals is safe for use by several goroutines. It keeps the sum of all words as they come
-// and lapse, so that what is asked of it costs the same however many boxes tell.
+// Totals is safe for use by several goroutines. It maintains running sums, so that the
+// cost of reading an upstream's total does not grow with the number of boxes.
 type Totals[T Sum[T]] struct {
-	mu     sync.Mutex
-	others map[string]word[T]
-	totals map[string]total[T] // of others, by upstream
-	oldest time.Time           // no word of others is older
-	sum    word[T]             // of all other boxes, as a hub tells it
-	only   map[string]bool     // boxes that tell this one alone, by name
-	covers map[string]Coverage // whom else the words of others hold, by name
+	mu        sync.Mutex
+	others    map[string]report[T]
+	totals    map[string]total[T] // sum of others, by upstream
+	oldest    time.Time           // no report in others is older
+	sum       report[T]           // of all other boxes, as sent by a hub
+	exclusive map[string]bool     // boxes that report to this box only, by name
+	coverage  map[string]Coverage // of the reports in others, by box
 }
 
-// New returns an empty book.
+// New returns totals without any report.
 func New[T Sum[T]]() *Totals[T] {
-	return &Totals[T]{others: map[string]word[T]{}, totals: map[string]total[T]{}, only: map[string]bool{}, covers: map[string]Coverage{}}
+	return &Totals[T]{others: map[string]report[T]{}, totals: map[string]total[T]{}, exclusive: map[string]bool{}, coverage: map[string]Coverage{}}
 }
 
-// Update takes another box's word.
-func (b *Totals[T]) Update(now time.Time, box string, list map[string]T) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.drop(box)
-	if len(b.others) == 0 || now.Before(b.oldest) {
-		b.oldest = now
+// Update replaces the report of another box.
+func (p *Totals[T]) Update(now time.Time, box string, list map[string]T) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.drop(box)
+	if len(p.others) == 0 || now.Before(p.oldest) {
+		p.oldest = now
 	}
-	b.others[box] = word[T]{now, list}
+	p.others[box] = report[T]{now, list}
 	for upstream, v := range list {
-		t := b.totals[upstream]
-		b.totals[upstream] = total[T]{t.sum.Plus(v), t.boxes + 1}
+		t := p.totals[upstream]
+		p.totals[upstream] = total[T]{t.sum.Plus(v), t.boxes + 1}
 	}
 }
 
-// SetCoverage notes, before a box's word is taken, whether the box tells this one alone,
-// and whom besides it the word holds.
-func (b *Totals[T]) SetCoverage(box string, only bool, c Coverage) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.only[box], b.covers[box] = only, c
-	if !only {
-		delete(b.only, box)
+// SetCoverage records, before a box's report is updated, whether the box reports to this
+// box only, and how many other boxes the report includes.
+func (p *Totals[T]) SetCoverage(box string, exclusive bool, c Coverage) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.exclusive[box], p.coverage[box] = exclusive, c
+	if !exclusive {
+		delete(p.exclusive, box)
 	}
 	if c.Boxes == 0 {
-		delete(b.covers, box)
+		delete(p.coverage, box)
 	}
 }
 
-// AddExclusive adds what the boxes told that tell this one alone to a list, for those that
-// do not hear them, and returns how many such boxes there are.
-func (b *Totals[T]) AddExclusive(now time.Time, list map[string]T) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lapse(now)
+// AddExclusive adds the reports of boxes that report to this box only to a list for the
+// hubs that don't receive them. It returns the number of those boxes.
+func (p *Totals[T]) AddExclusive(now time.Time, list map[string]T) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.expire(now)
 	boxes := 0
-	for box := range b.only {
-		o, ok := b.others[box]
+	for box := range p.exclusive {
+		o, ok := p.others[box]
 		if !ok {
 			continue
 		}
@@ -105,72 +106,72 @@
 	return boxes
 }
 
-// drop takes a box's word off the totals.
-func (b *Totals[T]) drop(box string) {
-	for upstream, v := range b.others[box].list {
-		t := b.totals[upstream]
+// drop subtracts a box's report from the totals.
+func (p *Totals[T]) drop(box string) {
+	for upstream, v := range p.others[box].list {
+		t := p.totals[upstream]
 		if t.boxes == 1 {
-			delete(b.totals, upstream) // and what rounding has left
+			delete(p.totals, upstream) // together with any rounding error
 			continue
 		}
-		b.totals[upstream] = total[T]{t.sum.Minus(v), t.boxes - 1}
+		p.totals[upstream] = total[T]{t.sum.Minus(v), t.boxes - 1}
 	}
-	delete(b.others, box)
+	delete(p.others, box)
 }
 
-// lapse drops the words that are no longer fresh. It looks at all of them only
-// when one may have lapsed.
-func (b *Totals[T]) lapse(now time.Time) {
-	if now.Sub(b.oldest) <= freshFor {
+// expire drops reports that are no longer fresh. It scans them only when one may have
+// expired.
+func (p *Totals[T]) expire(now time.Time) {
+	if now.Sub(p.oldest) <= maxAge {
 		return
 	}
-	b.oldest = now
-	for box, o := range b.others {
+	p.oldest = now
+	for box, o := range p.others {
 		switch {
 		case !o.fresh(now):
-			b.drop(box)
-			delete(b.only, box)
-			delete(b.covers, box)
-		case o.at.Before(b.oldest):
-			b.oldest = o.at
+			p.drop(box)
+			delete(p.exclusive, box)
+			delete(p.coverage, box)
+		case o.at.Before(p.oldest):
+			p.oldest = o.at
 		}
 	}
 }
 
-// UpdateSum takes a hub's word of what all other boxes have.
-func (b *Totals[T]) UpdateSum(now time.Time, list map[string]T) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sum = word[T]{now, list}
+// UpdateSum replaces a hub's sum of all other boxes' reports.
+func (p *Totals[T]) UpdateSum(now time.Time, list map[string]T) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.sum = report[T]{now, list}
 }
 
-// SumAge returns how long ago a hub last told the sum.
-func (b *Totals[T]) SumAge(now time.Time) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return now.Sub(b.sum.at)
+// SumAge returns the time since a hub last sent the sum.
+func (p *Totals[T]) SumAge(now time.Time) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return now.Sub(p.sum.at)
 }
 
-// Boxes returns how many other boxes have told of late, by themselves or by others.
-func (b *Totals[T]) Boxes(now time.Time) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lapse(now)
-	boxes := len(b.others)
-	for box, c := range b.covers {
-		if _, told := b.others[box]; told {
+// Boxes returns the number of other boxes with a fresh report, direct or through a hub.
+func (p *Totals[T]) Boxes(now time.Time) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.expire(now)
+	boxes := len(p.others)
+	for box, c := range p.coverage {
+		if _, reported := p.others[box]; reported {
 			boxes += c.Boxes
 		}
 	}
 	return boxes
 }
 
-// RecentBoxes returns how many other boxes have told this one within a time.
-func (b *Totals[T]) RecentBoxes(now time.Time, within time.Duration) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecentBoxes returns the number of boxes that reported to this one within a duration.
+func (p *Totals[T]) RecentBoxes(now time.Time, within time.Duration) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	boxes := 0
-	for _, o := range b.others {
+	for _, o := range p.others {
 		if now.Sub(o.at) <= within {
 			boxes++
 		}
@@ -178,78 +179,78 @@
 	return boxes
 }
 
-// RecentExclusive returns how many of them tell this one alone.
-func (b *Totals[T]) RecentExclusive(now time.Time, within time.Duration) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecentExclusive returns how many of these boxes report to this one only.
+func (p *Totals[T]) RecentExclusive(now time.Time, within time.Duration) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	boxes := 0
-	for box := range b.only {
-		if o, ok := b.others[box]; ok && now.Sub(o.at) <= within {
+	for box := range p.exclusive {
+		if o, ok := p.others[box]; ok && now.Sub(o.at) <= within {
 			boxes++
 		}
 	}
 	return boxes
 }
 
-// RecentIndirect returns how many boxes had just told others that told this one within a
-// time.
-func (b *Totals[T]) RecentIndirect(now time.Time, within time.Duration) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecentIndirect returns the number of boxes that had recently reported to the boxes
+// that reported to this one within a duration.
+func (p *Totals[T]) RecentIndirect(now time.Time, within time.Duration) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	boxes := 0
-	for box, c := range b.covers {
-		if o, ok := b.others[box]; ok && now.Sub(o.at) <= within {
+	for box, c := range p.coverage {
+		if o, ok := p.others[box]; ok && now.Sub(o.at) <= within {
 			boxes += c.Recent
 		}
 	}
 	return boxes
 }
 
-// Older makes all words older: this box's machine was suspended, which the steady clock
-// leaves out.
-func (b *Totals[T]) Older(by time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for box, w := range b.others {
-		w.at = w.at.Add(-by)
-		b.others[box] = w
+// Older increases the age of all reports by the time that this box's machine was
+// suspended, which the monotonic clock doesn't count.
+func (p *Totals[T]) Older(by time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for box, r := range p.others {
+		r.at = r.at.Add(-by)
+		p.others[box] = r
 	}
-	b.oldest, b.sum.at = b.oldest.Add(-by), b.sum.at.Add(-by)
+	p.oldest, p.sum.at = p.oldest.Add(-by), p.sum.at.Add(-by)
 }
 
-// Forget drops what was told of an upstream.
-func (b *Totals[T]) Forget(upstream string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, o := range b.others {
+// Forget drops all reports on an upstream.
+func (p *Totals[T]) Forget(upstream string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, o := range p.others {
 		delete(o.list, upstream)
 	}
-	delete(b.totals, upstream)
-	delete(b.sum.list, upstream)
+	delete(p.totals, upstream)
+	delete(p.sum.list, upstream)
 }
 
-// Of returns what the others have at an upstream: by the sum that a hub tells,
-// or by what they tell themselves.
-func (b *Totals[T]) Of(now time.Time, upstream string) T {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.sum.fresh(now) {
-		return b.sum.list[upstream]
+// Of returns the other boxes' total at an upstream: a hub's sum if it is fresh, or else
+// the sum of their reports.
+func (p *Totals[T]) Of(now time.Time, upstream string) T {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.sum.fresh(now) {
+		return p.sum.list[upstream]
 	}
-	b.lapse(now)
-	return b.totals[upstream].sum
+	p.expire(now)
+	return p.totals[upstream].sum
 }
 
-// AddExcept adds what all boxes but one told to a list, for that one.
-func (b *Totals[T]) AddExcept(now time.Time, box string, list map[string]T) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lapse(now)
-	own := b.others[box].list
-	for upstream, t := range b.totals {
-		v, told := own[upstream]
+// AddExcept adds the reports of all boxes except one to a list that is sent to that box.
+func (p *Totals[T]) AddExcept(now time.Time, box string, list map[string]T) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.expire(now)
+	own := p.others[box].list
+	for upstream, t := range p.totals {
+		v, reported := own[upstream]
 		switch {
-		case !told:
+		case !reported:
 			list[upstream] = list[upstream].Plus(t.sum)
 		case t.boxes > 1:
 			list[upstream] = list[upstream].Plus(t.sum.Minus(v))
@@ -257,16 +258,16 @@
 	}
 }
 
-// All returns a copy of what the others have, by upstream.
-func (b *Totals[T]) All(now time.Time) map[string]T {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.sum.fresh(now) && len(b.sum.list) > 0 {
-		return maps.Clone(b.sum.list)
+// All returns a copy of the other boxes' totals by upstream.
+func (p *Totals[T]) All(now time.Time) map[string]T {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.sum.fresh(now) && len(p.sum.list) > 0 {
+		return maps.Clone(p.sum.list)
 	}
-	b.lapse(now)
-	all := make(map[string]T, len(b.totals))
-	for upstream, t := range b.totals {
+	p.expire(now)
+	all := make(map[string]T, len(p.totals))
+	for upstream, t := range p.totals {
 		all[upstream] = t.sum
 	}
 	return all
--- a/peerstate/peerstate_test.go
+++ b/peerstate/peerstate_test.go
@@ -17,74 +17,73 @@
 
 func (c count) Minus(o count) count { return c - o }
 
-func words(n count) map[string]count { return map[string]count{"u": n} }
+func report(n count) map[string]count { return map[string]count{"u": n} }
 
-// TestOf shows whose word counts: a hub's sum before what boxes told, and none
-// that is old.
+// TestOf checks that a hub's sum takes precedence over the boxes' reports and that old
+// reports don't count.
 func TestOf(t *testing.T) {
 	now := time.Now()
 	tests := map[string]struct {
-		tell  func(b *peerstate.Totals[count])
-		after time.Duration
-		want  count
+		updates func(totals *peerstate.Totals[count])
+		after   time.Duration
+		want    count
 	}{
-		"nothing": {tell: func(*peerstate.Totals[count]) {}},
-		"two boxes": {tell: func(b *peerstate.Totals[count]) {
-			b.Update(now, "a", words(1))
-			b.Update(now, "b", words(2))
+		"no report": {updates: func(*peerstate.Totals[count]) {}},
+		"two boxes": {updates: func(totals *peerstate.Totals[count]) {
+			totals.Update(now, "a", report(1))
+			totals.Update(now, "b", report(2))
 		}, want: 3},
-		"a box again": {tell: func(b *peerstate.Totals[count]) {
-			b.Update(now, "a", words(1))
-			b.Update(now, "a", words(5))
+		"a second report of a box": {updates: func(totals *peerstate.Totals[count]) {
+			totals.Update(now, "a", report(1))
+			totals.Update(now, "a", report(5))
 		}, want: 5},
-		"a hub's sum": {tell: func(b *peerstate.Totals[count]) {
-			b.Update(now, "a", words(1))
-			b.UpdateSum(now, words(7))
+		"a hub's sum": {updates: func(totals *peerstate.Totals[count]) {
+			totals.Update(now, "a", report(1))
+			totals.UpdateSum(now, report(7))
 		}, want: 7},
-		"a hub that is gone, a box that is not": {tell: func(b *peerstate.Totals[count]) {
-			b.UpdateSum(now, words(7))
-			b.Update(now.Add(2*time.Second), "a", words(1))
+		"the hub's sum has expired": {updates: func(totals *peerstate.Totals[count]) {
+			totals.UpdateSum(now, report(7))
+			totals.Update(now.Add(2*time.Second), "a", report(1))
 		}, after: 4 * time.Second, want: 1},
-		"all are gone": {tell: func(b *peerstate.Totals[count]) {
-			b.UpdateSum(now, words(7))
-			b.Update(now, "a", words(1))
+		"all reports have expired": {updates: func(totals *peerstate.Totals[count]) {
+			totals.UpdateSum(now, report(7))
+			totals.Update(now, "a", report(1))
 		}, after: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := peerstate.New[count]()
-			tt.tell(b)
-			is.New(t).Equal(b.Of(now.Add(tt.after), "u"), tt.want)
+			totals := peerstate.New[count]()
+			tt.updates(totals)
+			is.New(t).Equal(totals.Of(now.Add(tt.after), "u"), tt.want)
 		})
 	}
 }
 
-// TestWithout shows what a hub tells a box: its own and all others' words but
-// the box's.
-func TestWithout(t *testing.T) {
+// TestAddExcept checks what a hub sends to a box: all reports except the box's own.
+func TestAddExcept(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := peerstate.New[count]()
-	b.Update(now, "a", words(1))
-	b.Update(now, "b", words(2))
-	b.Update(now.Add(-time.Minute), "gone", words(100))
-	list := words(10)
-	b.AddExcept(now, "b", list)
-	is.Equal(list, words(11))
+	totals := peerstate.New[count]()
+	totals.Update(now, "a", report(1))
+	totals.Update(now, "b", report(2))
+	totals.Update(now.Add(-time.Minute), "expired", report(100))
+	list := report(10)
+	totals.AddExcept(now, "b", list)
+	is.Equal(list, report(11))
 }
 
-// TestSums holds the sums against adding all fresh words up, as boxes tell, tell
-// less, fall silent and come back.
+// TestSums compares the running sums with a recomputation from all fresh reports, as
+// boxes report, drop upstreams, fall silent and return.
 func TestSums(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Now()
-	b := peerstate.New[count]()
-	type word struct {
+	totals := peerstate.New[count]()
+	type sent struct {
 		at   time.Time
 		list map[string]count
 	}
-	said := map[string]word{}
+	reports := map[string]sent{}
 	for range 3000 {
 		now = now.Add(time.Duration(random.Int64N(int64(100 * time.Millisecond))))
 		box := fmt.Sprint("b", random.IntN(40))
@@ -92,135 +91,136 @@
 		for range random.IntN(4) {
 			list[fmt.Sprint("u", random.IntN(6))] = count(random.IntN(9))
 		}
-		b.Update(now, box, list)
-		said[box] = word{now, list}
+		totals.Update(now, box, list)
+		reports[box] = sent{now, list}
 		now = now.Add(time.Duration(random.Int64N(int64(100 * time.Millisecond))))
-		asker := fmt.Sprint("b", random.IntN(40))
+		receiver := fmt.Sprint("b", random.IntN(40))
 		got, want, all := map[string]count{}, map[string]count{}, map[string]count{}
-		b.AddExcept(now, asker, got)
-		for name, w := range said {
-			for u, v := range w.list {
-				if now.Sub(w.at) > 3*time.Second {
+		totals.AddExcept(now, receiver, got)
+		for name, r := range reports {
+			for u, v := range r.list {
+				if now.Sub(r.at) > 3*time.Second {
 					continue
 				}
 				all[u] += v
-				if name != asker {
+				if name != receiver {
 					want[u] += v
 				}
 			}
 		}
 		is.Equal(got, want)
 		for _, u := range []string{"u0", "u3"} {
-			is.Equal(b.Of(now, u), all[u])
+			is.Equal(totals.Of(now, u), all[u])
 		}
 	}
 }
 
-// BenchmarkWithout is a hub's answer to one box, by boxes that each tell of 13
-// of 65 upstreams; BenchmarkOf the sum at one upstream.
-func BenchmarkWithout(b *testing.B) {
-	bench(b, func(book *peerstate.Totals[count], now time.Time) { book.AddExcept(now, "b1", map[string]count{}) })
+// BenchmarkAddExcept measures a hub's answer to one box when each box reports 13 of 65
+// upstreams.
+func BenchmarkAddExcept(b *testing.B) {
+	bench(b, func(totals *peerstate.Totals[count], now time.Time) { totals.AddExcept(now, "b1", map[string]count{}) })
 }
 
+// BenchmarkOf measures reading one upstream's total.
 func BenchmarkOf(b *testing.B) {
-	bench(b, func(book *peerstate.Totals[count], now time.Time) { book.Of(now, "u3") })
+	bench(b, func(totals *peerstate.Totals[count], now time.Time) { totals.Of(now, "u3") })
 }
 
-func bench(b *testing.B, f func(book *peerstate.Totals[count], now time.Time)) {
+func bench(b *testing.B, f func(totals *peerstate.Totals[count], now time.Time)) {
 	for _, boxes := range []int{7, 66, 195, 350} {
 		b.Run(fmt.Sprint(boxes, " boxes"), func(b *testing.B) {
-			book, now := peerstate.New[count](), time.Now()
+			totals, now := peerstate.New[count](), time.Now()
 			for i := range boxes {
 				list := map[string]count{}
 				for j := range 13 {
 					list[fmt.Sprint("u", (i*7+j*5)%65)] = 1
 				}
-				book.Update(now, fmt.Sprint("b", i), list)
+				totals.Update(now, fmt.Sprint("b", i), list)
 			}
 			for b.Loop() {
-				f(book, now)
+				f(totals, now)
 			}
 		})
 	}
 }
 
-// TestPart shows whose words a box tells on: of those that tell it alone, as long as
-// they do, and how many boxes stand behind all words.
-func TestPart(t *testing.T) {
+// TestAddExclusive checks that a hub forwards the reports of the boxes that report to it
+// only, and how many boxes all reports cover.
+func TestAddExclusive(t *testing.T) {
 	tests := map[string]struct {
-		words func(b *peerstate.Totals[count], now time.Time)
-		after time.Duration
-		want  map[string]count
-		part  int // boxes that tell it alone
-		all   int
+		updates   func(totals *peerstate.Totals[count], now time.Time)
+		after     time.Duration
+		want      map[string]count
+		exclusive int // boxes that report to this one only
+		boxes     int // that all reports cover
 	}{
-		"each tells all hubs": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.Update(now, "b1", map[string]count{"u1": 1})
-		}, want: map[string]count{}, all: 1},
-		"two tell it alone": {words: func(b *peerstate.Totals[count], now time.Time) {
+		"each reports to all hubs": {updates: func(totals *peerstate.Totals[count], now time.Time) {
+			totals.Update(now, "b1", map[string]count{"u1": 1})
+		}, want: map[string]count{}, boxes: 1},
+		"two report to this box only": {updates: func(totals *peerstate.Totals[count], now time.Time) {
 			for _, box := range []string{"b1", "b2"} {
-				b.SetCoverage(box, true, peerstate.Coverage{})
-				b.Update(now, box, map[string]count{"u1": 1})
+				totals.SetCoverage(box, true, peerstate.Coverage{})
+				totals.Update(now, box, map[string]count{"u1": 1})
 			}
-		}, want: map[string]count{"u1": 2}, part: 2, all: 2},
-		"one has another hub now": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.SetCoverage("b1", true, peerstate.Coverage{})
-			b.Update(now, "b1", map[string]count{"u1": 1})
-			b.SetCoverage("b1", false, peerstate.Coverage{})
-			b.Update(now, "b1", nil)
-		}, want: map[string]count{}, all: 1},
-		"a hub tells of its boxes": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40})
-			b.Update(now, "hub", map[string]count{"u1": 30})
-		}, want: map[string]count{}, all: 41},
-		"words that have lapsed": {words: func(b *peerstate.Totals[count], now time.Time) {
-			b.SetCoverage("b1", true, peerstate.Coverage{})
-			b.Update(now, "b1", map[string]count{"u1": 1})
-			b.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40})
-			b.Update(now, "hub", map[string]count{"u1": 30})
+		}, want: map[string]count{"u1": 2}, exclusive: 2, boxes: 2},
+		"one now reports to another hub as well": {updates: func(totals *peerstate.Totals[count], now time.Time) {
+			totals.SetCoverage("b1", true, peerstate.Coverage{})
+			totals.Update(now, "b1", map[string]count{"u1": 1})
+			totals.SetCoverage("b1", false, peerstate.Coverage{})
+			totals.Update(now, "b1", nil)
+		}, want: map[string]count{}, boxes: 1},
+		"a hub reports for its boxes": {updates: func(totals *peerstate.Totals[count], now time.Time) {
+			totals.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40})
+			totals.Update(now, "hub", map[string]count{"u1": 30})
+		}, want: map[string]count{}, boxes: 41},
+		"the reports have expired": {updates: func(totals *peerstate.Totals[count], now time.Time) {
+			totals.SetCoverage("b1", true, peerstate.Coverage{})
+			totals.Update(now, "b1", map[string]count{"u1": 1})
+			totals.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40})
+			totals.Update(now, "hub", map[string]count{"u1": 30})
 		}, after: 4 * time.Second, want: map[string]count{}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			b := peerstate.New[count]()
-			tt.words(b, now)
+			totals := peerstate.New[count]()
+			tt.updates(totals, now)
 			now = now.Add(tt.after)
 			list := map[string]count{}
-			is.Equal(b.AddExclusive(now, list), tt.part)
+			is.Equal(totals.AddExclusive(now, list), tt.exclusive)
 			is.Equal(list, tt.want)
-			is.Equal(b.Boxes(now), tt.all)
+			is.Equal(totals.Boxes(now), tt.boxes)
 		})
 	}
 }
 
-// TestHeard shows which boxes count as heard of late: those that told this one, and
-// those that had just told the ones that did.
-func TestHeard(t *testing.T) {
+// TestRecent checks which boxes count as recently heard from: those that reported to
+// this one, and those that had just reported to one of these.
+func TestRecent(t *testing.T) {
 	tests := map[string]struct {
-		after                 time.Duration
-		itself, alone, behind int
+		after                      time.Duration
+		boxes, exclusive, indirect int
 	}{
-		"just now":        {itself: 3, alone: 1, behind: 30},
-		"one is silent":   {after: 200 * time.Millisecond, itself: 1, behind: 30},
-		"all are silent":  {after: time.Second},
-		"all have lapsed": {after: 4 * time.Second},
+		"just reported":            {boxes: 3, exclusive: 1, indirect: 30},
+		"two are silent":           {after: 200 * time.Millisecond, boxes: 1, indirect: 30},
+		"all are silent":           {after: time.Second},
+		"all reports have expired": {after: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			b := peerstate.New[count]()
-			b.SetCoverage("b1", true, peerstate.Coverage{})
-			b.Update(now, "b1", words(1))
-			b.Update(now, "b2", words(1))
-			b.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40, Recent: 30})
-			b.Update(now.Add(300*time.Millisecond), "hub", words(1))
+			totals := peerstate.New[count]()
+			totals.SetCoverage("b1", true, peerstate.Coverage{})
+			totals.Update(now, "b1", report(1))
+			totals.Update(now, "b2", report(1))
+			totals.SetCoverage("hub", false, peerstate.Coverage{Boxes: 40, Recent: 30})
+			totals.Update(now.Add(300*time.Millisecond), "hub", report(1))
 			now = now.Add(300*time.Millisecond + tt.after)
-			is.Equal(b.RecentBoxes(now, 400*time.Millisecond), tt.itself)
-			is.Equal(b.RecentExclusive(now, 400*time.Millisecond), tt.alone)
-			is.Equal(b.RecentIndirect(now, 400*time.Millisecond), tt.behind)
+			is.Equal(totals.RecentBoxes(now, 400*time.Millisecond), tt.boxes)
+			is.Equal(totals.RecentExclusive(now, 400*time.Millisecond), tt.exclusive)
+			is.Equal(totals.RecentIndirect(now, 400*time.Millisecond), tt.indirect)
 		})
 	}
 }
--- a/upstreamload/upstreamload.go
+++ b/upstreamload/upstreamload.go
@@ -1,5 +1,5 @@
-// Package upstreamload counts what is running at each upstream: what this box sent
-// there, and what the other boxes last told.
+// Package upstreamload tracks the load of each upstream: the requests that this box sent
+// there, the last reports of the other boxes, and pending reservations.
 package upstreamload
 
 import (
@@ -13,27 +13,25 @@
 )
 
 const (
-	// promiseSettles is how long after a promise its box's word may still lack what
-	// it was made for: the answer travels to the box and the word back, some
-	// milliseconds each, and half as long as a lost packet's second sending.
-	promiseSettles = 100 * time.Millisecond
-	// promiseLapses is when a promise is forgotten whose box says nothing: three of
-	// the periods of gossip.
-	promiseLapses = 800 * time.Millisecond
-	// paceEvents is over how many events the pace of a stream is averaged: half a
-	// second's, so that an engine that turns slow is seen before prompts are sent
-	// there, and a prompt that is read beside is not taken for it.
+	// reservationMinAge is the age below which a report may not yet include the reserved
+	// request: the grant has to reach the box and the report has to come back.
+	reservationMinAge = 100 * time.Millisecond
+	// reservationMaxAge is when a reservation expires without a report of its box: three
+	// gossip intervals.
+	reservationMaxAge = 800 * time.Millisecond
+	// paceEvents is the number of events over which a stream's pace is averaged, about half
+	// a second: a slow engine is detected soon, and a concurrent prefill is smoothed out.
 	paceEvents = 8
 )
 
-// Load is what runs at one upstream.
+// Load is the load of one upstream.
 type Load struct {
 	Requests int
-	Tokens   int // of memory that is held now
-	Coming   int // tokens of memory that what runs is expected to take yet
-	Prefill  int // tokens of prompts whose first event has not come
-	Paced    int // streams whose pace is known
-	PaceUs   int // microseconds between the events of each of them, summed
+	Tokens   int // memory in use
+	Coming   int // memory that running requests are expected to need in addition
+	Prefill  int // tokens of prompts without a first event yet
+	Paced    int // streams with a known pace
+	PaceUs   int // sum of their times between events, in microseconds
 }
 
 // Plus returns the sum of both.
@@ -44,13 +42,12 @@
 	}
 }
 
-// Pace returns the mean time between events of the streams there; 0 where it is
-// not known.
+// Pace returns the streams' mean time between events, or 0 if it is unknown.
 func (l Load) Pace() time.Duration {
 	return time.Duration(l.PaceUs/max(l.Paced, 1)) * time.Microsecond
 }
 
-// Minus returns the load without another.
+// Minus returns the load with the other subtracted.
 func (l Load) Minus(o Load) Load {
 	return Load{
 		Requests: l.Requests - o.Requests, Tokens: l.Tokens - o.Tokens, Coming: l.Coming - o.Coming, Prefill: l.Prefill - o.Prefill,
@@ -68,8 +65,9 @@
 	return loads
 }
 
-// promise is room at an upstream that a box was told to take.
-type promise struct {
+// reservation is capacity at an upstream that was granted to a box whose reports don't
+// include it yet.
+type reservation struct {
 	at       time.Time
 	box      string
 	upstream string
@@ -78,25 +76,25 @@
 
 // Tracker is safe for use by several goroutines.
 type Tracker struct {
-	mu       sync.Mutex
-	own      map[string]*Load // what entries have begun, by upstream
-	promises []promise
-	others   *peerstate.Totals[Load]
+	mu           sync.Mutex
+	own          map[string]*Load // sums of this box's entries, by upstream
+	reservations []reservation
+	others       *peerstate.Totals[Load]
 }
 
-// New returns an empty tally.
+// New returns a tracker without any load.
 func New() *Tracker { return &Tracker{own: map[string]*Load{}, others: peerstate.New[Load]()} }
 
-// Entry is one request that is counted at an upstream.
+// Entry is the load of one request at an upstream.
 type Entry struct {
-	tally    *Tracker
-	upstream string
-	sum      *Load     // of all that count there with it
-	left     Load      // still counted
-	paced    time.Time // the last event
+	tracker   *Tracker
+	upstream  string
+	sum       *Load // of all entries at the upstream
+	left      Load  // of this entry, still counted
+	lastEvent time.Time
 }
 
-// Begin counts a request at an upstream until its entry ends.
+// Begin adds a request's load to an upstream until the entry ends.
 func (t *Tracker) Begin(upstream string, l Load) *Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,39 +104,39 @@
 		t.own[upstream] = sum
 	}
 	*sum = sum.Plus(l)
-	return &Entry{tally: t, upstream: upstream, sum: sum, left: l}
+	return &Entry{tracker: t, upstream: upstream, sum: sum, left: l}
 }
 
-// Started takes the prompt off what is to be read: the first event has come.
+// Started records the first event: the prompt has been read.
 func (e *Entry) Started() {
-	e.take(Load{Prefill: e.left.Prefill})
+	e.subtract(Load{Prefill: e.left.Prefill})
 }
 
-// Progress notes an event of so many tokens, and how many are expected yet.
+// Progress records an event with a number of tokens and the number still expected.
 func (e *Entry) Progress(now time.Time, tokens, coming int) {
 	pace := e.left.PaceUs
-	since := int(now.Sub(e.paced).Microseconds())
+	since := int(now.Sub(e.lastEvent).Microseconds())
 	switch {
-	case e.paced.IsZero(): // the first
+	case e.lastEvent.IsZero(): // the first event
 	case e.left.Paced == 0:
 		pace = since
 	default:
 		pace += (since - pace) / paceEvents
 	}
 	change := Load{Tokens: -tokens, Coming: e.left.Coming - coming, PaceUs: e.left.PaceUs - pace}
-	if !e.paced.IsZero() && e.left.Paced == 0 {
+	if !e.lastEvent.IsZero() && e.left.Paced == 0 {
 		change.Paced = -1
 	}
-	e.paced = now
-	e.take(change)
+	e.lastEvent = now
+	e.subtract(change)
 }
 
-// End takes off what is still counted. It may be called again.
-func (e *Entry) End() { e.take(e.left) }
+// End removes the rest of the entry's load. Further calls have no effect.
+func (e *Entry) End() { e.subtract(e.left) }
 
-func (e *Entry) take(l Load) {
+func (e *Entry) subtract(l Load) {
 	e.left = e.left.Minus(l)
-	t := e.tally
+	t := e.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	*e.sum = e.sum.Minus(l)
@@ -147,17 +145,17 @@
 	}
 }
 
-// Forget drops all that is counted at an upstream, as it has started again: what its
-// last incarnation had runs no longer. Entries begun before count nowhere.
+// Forget drops all load of an upstream that has restarted: the requests of its previous
+// incarnation no longer run. Later calls on their entries have no effect on it.
 func (t *Tracker) Forget(upstream string) {
-	t.settle(func(p promise) bool { return p.upstream == upstream })
+	t.settle(func(r reservation) bool { return r.upstream == upstream })
 	t.others.Forget(upstream)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.own, upstream)
 }
 
-// ownOf returns what this box has running at an upstream.
+// ownOf returns this box's load at an upstream. The caller holds the lock.
 func (t *Tracker) ownOf(upstream string) Load {
 	if sum, ok := t.own[upstream]; ok {
 		return *sum
@@ -165,7 +163,7 @@
 	return Load{}
 }
 
-// ownAll returns what this box has running, by upstream.
+// ownAll returns this box's load by upstream. The caller holds the lock.
 func (t *Tracker) ownAll() map[string]Load {
 	loads := make(map[string]Load, len(t.own))
 	for id, sum := range t.own {
@@ -174,14 +172,14 @@
 	return loads
 }
 
-// Busy tells whether this box has anything at an upstream.
+// Busy reports whether this box has requests at an upstream.
 func (t *Tracker) Busy(upstream string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ownOf(upstream).Requests > 0
 }
 
-// Own returns what this box has running, for its peers.
+// Own returns this box's load, as reported to its peers.
 func (t *Tracker) Own() []wire.UpstreamTally {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,7 +197,7 @@
 	return list
 }
 
-// Without returns what all boxes but one have running, for that one.
+// Without returns the load of all boxes except one, as sent to that box.
 func (t *Tracker) Without(now time.Time, box string) []wire.UpstreamTally {
 	t.mu.Lock()
 	sum := t.ownAll()
@@ -208,8 +206,8 @@
 	return listOf(sum)
 }
 
-// Exclusive returns what this box has running and those that tell it alone, for the boxes
-// that do not hear them, and how many those are.
+// Exclusive returns the load of this box and of the boxes that report to it only, for the
+// hubs that don't receive their reports, and the number of those boxes.
 func (t *Tracker) Exclusive(now time.Time) (list []wire.UpstreamTally, boxes int) {
 	t.mu.Lock()
 	sum := t.ownAll()
@@ -218,75 +216,77 @@
 	return listOf(sum), boxes
 }
 
-// SetCoverage notes, before a box's word is taken, whether it tells this box alone, and whom
-// besides it the word holds.
-func (t *Tracker) SetCoverage(box string, only bool, c peerstate.Coverage) {
-	t.others.SetCoverage(box, only, c)
+// SetCoverage records, before a box's report is updated, whether the box reports to this
+// box only, and how many other boxes the report includes.
+func (t *Tracker) SetCoverage(box string, exclusive bool, c peerstate.Coverage) {
+	t.others.SetCoverage(box, exclusive, c)
 }
 
-// Update takes another box's word of what it has running.
+// Update replaces another box's report and drops the reservations that it includes.
 func (t *Tracker) Update(now time.Time, box string, list []wire.UpstreamTally) {
 	t.others.Update(now, box, loadsOf(list))
-	t.settle(func(p promise) bool { return p.box == box && now.Sub(p.at) > promiseSettles })
+	t.settle(func(r reservation) bool { return r.box == box && now.Sub(r.at) > reservationMinAge })
 }
 
-// Promise counts what a box was told to send to an upstream until the box's own
-// word has it.
+// Reserve counts a request that a box may send to an upstream until the box's own
+// reports include it.
 func (t *Tracker) Reserve(now time.Time, box, upstream string, l Load) {
-	t.settle(func(p promise) bool { return now.Sub(p.at) > promiseLapses })
+	t.settle(func(r reservation) bool { return now.Sub(r.at) > reservationMaxAge })
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.promises = append(t.promises, promise{now, box, upstream, l})
+	t.reservations = append(t.reservations, reservation{now, box, upstream, l})
 }
 
-// Release ends a box's promise at an upstream: it is counted otherwise now.
+// Release drops a box's reservation at an upstream, as the request is counted by other
+// means now.
 func (t *Tracker) Release(box, upstream string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at := slices.IndexFunc(t.promises, func(p promise) bool { return p.box == box && p.upstream == upstream })
+	at := slices.IndexFunc(t.reservations, func(r reservation) bool { return r.box == box && r.upstream == upstream })
 	if at >= 0 {
-		t.promises = slices.Delete(t.promises, at, at+1)
+		t.reservations = slices.Delete(t.reservations, at, at+1)
 	}
 }
 
-func (t *Tracker) settle(settled func(promise) bool) {
+// settle drops the reservations for which settled returns true.
+func (t *Tracker) settle(settled func(reservation) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.promises = slices.DeleteFunc(t.promises, settled)
+	t.reservations = slices.DeleteFunc(t.reservations, settled)
 }
 
-// UpdateSum takes a hub's word of what all other boxes have running.
+// UpdateSum replaces a hub's sum of all other boxes' load.
 func (t *Tracker) UpdateSum(now time.Time, list []wire.UpstreamTally) {
 	t.others.UpdateSum(now, loadsOf(list))
 }
 
-// Older makes what other boxes told older: this box's machine was suspended.
+// Older increases the age of the other boxes' reports by the time that this box's machine
+// was suspended.
 func (t *Tracker) Older(by time.Duration) { t.others.Older(by) }
 
-// SumAge returns how long ago a hub last told what all other boxes have running.
+// SumAge returns the time since a hub last sent the sum of all other boxes' load.
 func (t *Tracker) SumAge(now time.Time) time.Duration { return t.others.SumAge(now) }
 
-// Boxes returns how many other boxes have told this one of late what they run.
+// Boxes returns the number of other boxes with a fresh report.
 func (t *Tracker) Boxes(now time.Time) int { return t.others.Boxes(now) }
 
-// RecentBoxes returns how many other boxes have told this one within a time what they run.
+// RecentBoxes returns the number of boxes that reported to this one within a duration.
 func (t *Tracker) RecentBoxes(now time.Time, within time.Duration) int {
 	return t.others.RecentBoxes(now, within)
 }
 
-// RecentExclusive returns how many of them tell this box alone.
+// RecentExclusive returns how many of these boxes report to this one only.
 func (t *Tracker) RecentExclusive(now time.Time, within time.Duration) int {
 	return t.others.RecentExclusive(now, within)
 }
 
-// RecentIndirect returns how many boxes had just told others that told this one within a
-// time.
+// RecentIndirect returns the number of boxes that had recently reported to the boxes that
+// reported to this one within a duration.
 func (t *Tracker) RecentIndirect(now time.Time, within time.Duration) int {
 	return t.others.RecentIndirect(now, within)
 }
 
-// Pace returns the mean time between events of this box's streams; 0 while it has
-// none.
+// Pace returns the mean time between events of this box's streams, or 0 without any.
 func (t *Tracker) Pace() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -297,13 +297,13 @@
 	return sum.Pace()
 }
 
-// Load returns what runs at an upstream by all that is known.
+// Load returns an upstream's load from this box, the other boxes and reservations.
 func (t *Tracker) Load(now time.Time, upstream string) Load {
 	t.mu.Lock()
 	own := t.ownOf(upstream)
-	for _, p := range t.promises {
-		if p.upstream == upstream && now.Sub(p.at) <= promiseLapses {
-			own = own.Plus(p.load)
+	for _, r := range t.reservations {
+		if r.upstream == upstream && now.Sub(r.at) <= reservationMaxAge {
+			own = own.Plus(r.load)
 		}
 	}
 	t.mu.Unlock()
--- a/upstreamload/upstreamload_test.go
+++ b/upstreamload/upstreamload_test.go
@@ -10,7 +10,8 @@
 	"petrelstep/wire"
 )
 
-func TestEntryIsTakenOffOnce(t *testing.T) {
+// TestEntryEndsOnce checks that repeated calls subtract an entry's load only once.
+func TestEntryEndsOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := upstreamload.New()
@@ -29,7 +30,8 @@
 	is.Equal(len(s.Own()), 0)
 }
 
-func TestWhatOthersTell(t *testing.T) {
+// TestReportsOfOthers checks how reports of boxes and of a hub add up.
+func TestReportsOfOthers(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	s := upstreamload.New()
@@ -37,32 +39,32 @@
 	s.Update(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
 	s.Update(now, "b2", []wire.UpstreamTally{{Upstream: "u", Requests: 3, Tokens: 30, Prefill: 7}})
 	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 6, Tokens: 60, Prefill: 7})
-	// A hub tells a box what all others have, so that it adds its own.
+	// A hub sends a box the load of all others, to which the box adds its own.
 	is.Equal(s.Without(now, "b2"), []wire.UpstreamTally{{Upstream: "u", Requests: 3, Tokens: 30}})
-	// A box that is gone takes its word with it.
+	// Reports of silent boxes expire.
 	later := now.Add(3500 * time.Millisecond)
 	is.Equal(s.Load(later, "u"), upstreamload.Load{Requests: 1, Tokens: 10})
-	// A hub's sum stands for all others, and is not added to what they told.
+	// A hub's sum replaces the reports of the others.
 	s.Update(later, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 2, Tokens: 20}})
 	s.UpdateSum(later, []wire.UpstreamTally{{Upstream: "u", Requests: 4, Tokens: 40}})
 	is.Equal(s.Load(later, "u"), upstreamload.Load{Requests: 5, Tokens: 50})
 }
 
-// TestPromises shows how long room is counted that a box was told to take.
-func TestPromises(t *testing.T) {
+// TestReservations checks how long a reservation counts.
+func TestReservations(t *testing.T) {
 	load := upstreamload.Load{Requests: 1, Tokens: 900, Coming: 100, Prefill: 900}
 	tests := map[string]struct {
 		then func(s *upstreamload.Tracker, now time.Time)
 		at   time.Duration
 		want upstreamload.Load
 	}{
-		"at once":               {want: load},
-		"its box said nothing":  {at: 700 * time.Millisecond, want: load},
-		"it has lapsed":         {at: 900 * time.Millisecond},
-		"its box tells of it":   {at: 300 * time.Millisecond, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b1", nil) }},
-		"told before it was":    {at: 50 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b1", nil) }},
-		"another box tells":     {at: 300 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b2", nil) }},
-		"it is counted already": {then: func(s *upstreamload.Tracker, _ time.Time) { s.Release("b1", "u") }},
+		"at once":                  {want: load},
+		"no report yet":            {at: 700 * time.Millisecond, want: load},
+		"expired":                  {at: 900 * time.Millisecond},
+		"its box reports":          {at: 300 * time.Millisecond, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b1", nil) }},
+		"its box reports too soon": {at: 50 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b1", nil) }},
+		"another box reports":      {at: 300 * time.Millisecond, want: load, then: func(s *upstreamload.Tracker, now time.Time) { s.Update(now, "b2", nil) }},
+		"released":                 {then: func(s *upstreamload.Tracker, _ time.Time) { s.Release("b1", "u") }},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -76,8 +78,8 @@
 	}
 }
 
-// TestMade follows a generation's memory: what was to come is held.
-func TestMade(t *testing.T) {
+// TestProgress checks that expected tokens become memory in use as they are generated.
+func TestProgress(t *testing.T) {
 	is := is.New(t)
 	s := upstreamload.New()
 	e := s.Begin("u", upstreamload.Load{Requests: 1, Tokens: 900, Coming: 100, Prefill: 900})
@@ -85,7 +87,7 @@
 	now := time.Now()
 	e.Progress(now, 4, 80)
 	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 1, Tokens: 904, Coming: 80})
-	e.Progress(now.Add(40*time.Millisecond), 4, 70) // the first time between events
+	e.Progress(now.Add(40*time.Millisecond), 4, 70) // the first interval between events
 	is.Equal(s.Load(now, "u"), upstreamload.Load{Requests: 1, Tokens: 908, Coming: 70, Paced: 1, PaceUs: 40000})
 	e.Progress(now.Add(160*time.Millisecond), 4, 60)
 	is.Equal(s.Load(now, "u").Pace(), 50*time.Millisecond)
@@ -94,8 +96,8 @@
 	is.Equal(s.Load(time.Now(), "u"), upstreamload.Load{})
 }
 
-// TestForget holds that nothing of an upstream's last incarnation counts, and that
-// what ends there later takes nothing off the new one.
+// TestForget checks that the load of an upstream's previous incarnation no longer counts,
+// and that the end of its entries doesn't reduce the load of the new one.
 func TestForget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -116,7 +118,7 @@
 	s.UpdateSum(now, []wire.UpstreamTally{{Upstream: "u", Requests: 2}, {Upstream: "v", Requests: 1}})
 	s.Forget("u")
 	is.Equal(s.Load(now, "u"), upstreamload.Load{})
-	// What a box tells after that counts again.
+	// Later reports count again.
 	s.Update(now, "b1", []wire.UpstreamTally{{Upstream: "u", Requests: 3}})
 	s.Update(now, "b1", nil)
 	is.Equal(len(s.Without(now, "b2")), 0)
