--- a/moveturns/moveturns.go
+++ b/moveturns/moveturns.go
@@ -1,8 +1,7 @@
-// Package moveturns keeps the turns at which boxes move runs off upstreams that
-// leave. A copy takes the links of both its ends, and copies on one link go one
-// after another, so that a turn holds an upstream that leaves and the one that
-// the run goes to: no copy waits behind another. A turn is soft state: it
-// lapses, and a box that cannot reach the keeper goes without.
+// Package moveturns schedules turns, which are permissions to move a run off an upstream
+// that is leaving. Copies on one link run one after another, so that a turn locks both
+// its source and its target until it is released or expires. A box that cannot reach the
+// owner of the turns moves its runs without one.
 package moveturns
 
 import (
@@ -13,125 +12,124 @@
 	"time"
 )
 
-// turnMost is how long a box may keep a turn: a move takes 0.2 s within a hall
-// and 0.4 s between halls. One whose holder died must not cost the others the
-// whole notice of 1.5 s.
-const turnMost = 800 * time.Millisecond
+// defaultMaxHold is how long a box may hold a turn. A move takes up to 0.4 s. A holder
+// that died must not block the others for the whole notice of 1.5 s.
+const defaultMaxHold = 800 * time.Millisecond
 
-// Request is what a box asks for. Values are immutable.
+// Request is a box's request for a turn. Values are immutable.
 type Request struct {
 	Box     string
-	Source  string        // upstream that leaves
-	Targets []string      // upstreams that the run may go to, the best first
-	Tokens  int           // of memory that moves: the smallest goes first
-	MaxHold time.Duration // how long the turn may be kept; 0 for as long as a move takes
+	Source  string        // upstream that is leaving
+	Targets []string      // upstreams that the run may move to, best first
+	Tokens  int           // memory to copy; the smallest goes first
+	MaxHold time.Duration // how long the turn may be held; 0 for defaultMaxHold
 }
 
 type turn struct {
 	box    string
 	target string
-	lapse  *time.Timer
+	expiry *time.Timer
 }
 
 type waiter struct {
-	ask     Request
-	granted chan string // the target
+	req     Request
+	granted chan string // receives the target
 }
 
 // Scheduler is safe for use by several goroutines.
 type Scheduler struct {
 	mu      sync.Mutex
 	held    map[string]*turn // by source
-	waiting []*waiter        // the smallest first
+	waiting []*waiter        // smallest first
 }
 
-// New returns a keeper that no box holds a turn of.
+// New returns a scheduler without any turns held.
 func New() *Scheduler { return &Scheduler{held: map[string]*turn{}} }
 
-// Take waits until ctx ends for a turn, and returns the target that it holds.
-// It reports false if there was none in time. A box that asks again for a source
-// has given its turn back.
-func (t *Scheduler) Take(ctx context.Context, ask Request) (target string, ok bool) {
-	w := &waiter{ask: ask, granted: make(chan string, 1)}
-	t.mu.Lock()
-	t.drop(ask.Source, ask.Box)
-	at, _ := slices.BinarySearchFunc(t.waiting, w, func(a, b *waiter) int { return a.ask.Tokens - b.ask.Tokens })
-	t.waiting = slices.Insert(t.waiting, at, w)
-	t.grant()
-	t.mu.Unlock()
+// Take waits for a turn until ctx ends, and returns the target that the turn locks. It
+// reports false if there was none in time. A box's new request for a source releases its
+// turn there.
+func (s *Scheduler) Take(ctx context.Context, req Request) (target string, ok bool) {
+	w := &waiter{req: req, granted: make(chan string, 1)}
+	s.mu.Lock()
+	s.drop(req.Source, req.Box)
+	at, _ := slices.BinarySearchFunc(s.waiting, w, func(a, b *waiter) int { return a.req.Tokens - b.req.Tokens })
+	s.waiting = slices.Insert(s.waiting, at, w)
+	s.grant()
+	s.mu.Unlock()
 	select {
 	case target = <-w.granted:
 		return target, true
 	case <-ctx.Done():
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.waiting = slices.DeleteFunc(t.waiting, func(o *waiter) bool { return o == w })
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.waiting = slices.DeleteFunc(s.waiting, func(o *waiter) bool { return o == w })
 	select {
-	case target = <-w.granted: // in the same moment
+	case target = <-w.granted: // granted as ctx ended
 		return target, true
 	default:
 		return "", false
 	}
 }
 
-// Release ends a box's turn.
-func (t *Scheduler) Release(source, box string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.drop(source, box)
-	t.grant()
+// Release ends a box's turn at a source.
+func (s *Scheduler) Release(source, box string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.drop(source, box)
+	s.grant()
 }
 
-func (t *Scheduler) drop(source, box string) {
-	if held, ok := t.held[source]; ok && held.box == box {
-		held.lapse.Stop()
-		delete(t.held, source)
+func (s *Scheduler) drop(source, box string) {
+	if held, ok := s.held[source]; ok && held.box == box {
+		held.expiry.Stop()
+		delete(s.held, source)
 	}
 }
 
-// Forget ends the turns that an upstream has a part in, as it has started again: the
-// copies that they were for are no more.
-func (t *Scheduler) Forget(upstream string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for source, held := range t.held {
+// Forget ends all turns from and to an upstream that has restarted: their copies have
+// failed.
+func (s *Scheduler) Forget(upstream string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for source, held := range s.held {
 		if source == upstream || held.target == upstream {
-			held.lapse.Stop()
-			delete(t.held, source)
+			held.expiry.Stop()
+			delete(s.held, source)
 		}
 	}
-	t.grant()
+	s.grant()
 }
 
-// grant gives turns to those who wait, as far as both links are free.
-func (t *Scheduler) grant() {
+// grant gives turns to waiting requests if both their source and a target are free.
+func (s *Scheduler) grant() {
 	receiving := map[string]bool{}
-	for _, held := range t.held {
+	for _, held := range s.held {
 		receiving[held.target] = true
 	}
-	t.waiting = slices.DeleteFunc(t.waiting, func(w *waiter) bool {
-		free := slices.IndexFunc(w.ask.Targets, func(target string) bool { return !receiving[target] })
-		if t.held[w.ask.Source] != nil || free < 0 {
+	s.waiting = slices.DeleteFunc(s.waiting, func(w *waiter) bool {
+		free := slices.IndexFunc(w.req.Targets, func(target string) bool { return !receiving[target] })
+		if s.held[w.req.Source] != nil || free < 0 {
 			return false
 		}
-		target := w.ask.Targets[free]
+		target := w.req.Targets[free]
 		receiving[target] = true
-		t.hold(w.ask, target)
+		s.hold(w.req, target)
 		w.granted <- target
 		return true
 	})
 }
 
-func (t *Scheduler) hold(ask Request, target string) {
-	held := &turn{box: ask.Box, target: target}
-	held.lapse = time.AfterFunc(cmp.Or(ask.MaxHold, turnMost), func() {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		if t.held[ask.Source] == held {
-			delete(t.held, ask.Source)
-			t.grant()
+func (s *Scheduler) hold(req Request, target string) {
+	held := &turn{box: req.Box, target: target}
+	held.expiry = time.AfterFunc(cmp.Or(req.MaxHold, defaultMaxHold), func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.held[req.Source] == held {
+			delete(s.held, req.Source)
+			s.grant()
 		}
 	})
-	t.held[ask.Source] = held
+	s.held[req.Source] = held
 }
