--- a/ratelimit/ratelimit.go
+++ b/ratelimit/ratelimit.go
@@ -1,5 +1,5 @@
-// Package ratelimit gives out how many requests a second limited upstreams take. For
-// each it keeps one time, when the next request may go.
+// Package ratelimit limits the requests per second to upstreams. For each it stores only
+// the time at which the next request may be sent.
 package ratelimit
 
 import (
@@ -11,47 +11,48 @@
 )
 
 const (
-	// partKept is how long a part's time may lie back. Many boxes have parts, and one
-	// request saved up at each would be hundreds at once after a rest.
-	partKept = 250 * time.Millisecond
-	// firstFor is how long the most urgent requests are waited for after the last of them.
-	firstFor = 2 * time.Second
-	// keptFor is how long an upstream is remembered that nobody asks for.
-	keptFor = time.Minute
+	// maxIdleUncoordinated is how far back the next time of an uncoordinated rate may be. With
+	// hundreds of boxes, even one saved request at each would be too large a burst.
+	maxIdleUncoordinated = 250 * time.Millisecond
+	// urgencyWindow is how long capacity is left free for the most urgent requests after the
+	// last of them.
+	urgencyWindow = 2 * time.Second
+	// retention is how long an upstream without requests is kept.
+	retention = time.Minute
 )
 
-// Rate is how much is given out. Values are immutable.
+// Rate is the rate that is allowed. Values are immutable.
 type Rate struct {
 	PerSecond     float64 // above 0
-	Burst         float64 // requests of a rest that may go at once, beside the next
-	Uncoordinated bool    // of what others give out too, without a word to each other; nothing of it is saved
+	Burst         float64 // requests saved while idle that may be sent at once, besides the next
+	Uncoordinated bool    // one box's share of a rate, spent without coordination; nothing is saved
 }
 
-// each returns the time that each request takes.
-func (r Rate) each() time.Duration { return time.Duration(float64(time.Second) / r.PerSecond) }
+// interval returns the time between two requests.
+func (r Rate) interval() time.Duration { return time.Duration(float64(time.Second) / r.PerSecond) }
 
-// Request is a request that wants to go. Values are immutable.
+// Request is a request to send to an upstream. Values are immutable.
 type Request struct {
 	Rate    Rate
-	Urgency int           // 0 goes first
-	Wait    time.Duration // how far ahead its time may be
+	Urgency int           // 0 is the most urgent
+	Wait    time.Duration // the longest acceptable delay
 }
 
-// Decision is the answer to one that asks. Values are immutable.
+// Decision is the result of a request. Values are immutable.
 type Decision struct {
 	Granted bool
-	Delay   time.Duration // until it may go; if not granted, until one may that asks then
+	Delay   time.Duration // until it may be sent; if not granted, until a new attempt may succeed
 }
 
-// upstream is what is known of one.
+// upstream is the state of one upstream.
 type upstream struct {
-	next  time.Time // the next request may go
-	rate  Rate
-	asked time.Time
-	given int
+	next    time.Time // when the next request may be sent
+	rate    Rate
+	used    time.Time
+	granted int
 
-	first   int // the highest urgency of late
-	firstAt time.Time
+	urgency   int // the most urgent recently seen
+	urgencyAt time.Time
 }
 
 // Limiter is safe for use by several goroutines.
@@ -62,126 +63,125 @@
 	swept  time.Time
 }
 
-// New returns an allowance of which nothing is saved up.
+// New returns a limiter without saved requests.
 func New(random *rand.Rand) *Limiter {
 	return &Limiter{random: random, list: map[string]*upstream{}}
 }
 
-// Take gives a request its time at an upstream, if that is at most its wait ahead. Only
-// the most urgent of late have a time ahead; the rest leave one for the next of these:
-// where each time is a third of a second, 94 of 114 urgent requests found one before,
-// though they asked for half of what there is (TestAllLimited).
-func (a *Limiter) Take(now time.Time, id string, ask Request) Decision {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	u := a.of(now, id, ask.Rate)
-	if ask.Urgency <= u.first || now.Sub(u.firstAt) > firstFor {
-		u.first, u.firstAt = ask.Urgency, now
+// Take grants a request a time at an upstream if that is within its wait. Only the most
+// urgent recent requests may reserve a time ahead. Others are sent only at once, and leave
+// one request's time free, so that urgent requests are not crowded out by them.
+func (l *Limiter) Take(now time.Time, id string, req Request) Decision {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u := l.of(now, id, req.Rate)
+	if req.Urgency <= u.urgency || now.Sub(u.urgencyAt) > urgencyWindow {
+		u.urgency, u.urgencyAt = req.Urgency, now
 	}
-	in, wait := max(u.next.Sub(now), 0), ask.Wait
-	if ask.Urgency > u.first {
-		leave := time.Duration(min(ask.Rate.Burst, 1) * float64(ask.Rate.each()))
-		in, wait = max(u.next.Add(leave).Sub(now), 0), 0
+	delay, wait := max(u.next.Sub(now), 0), req.Wait
+	if req.Urgency > u.urgency {
+		reserve := time.Duration(min(req.Rate.Burst, 1) * float64(req.Rate.interval()))
+		delay, wait = max(u.next.Add(reserve).Sub(now), 0), 0
 	}
-	if in > wait {
-		return Decision{Delay: in}
+	if delay > wait {
+		return Decision{Delay: delay}
 	}
-	u.goes(ask.Rate)
-	return Decision{Granted: true, Delay: in}
+	u.take(req.Rate)
+	return Decision{Granted: true, Delay: delay}
 }
 
-// Force gives a request its time now that cannot be held back: those that follow wait
-// for it.
-func (a *Limiter) Force(now time.Time, id string, r Rate) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.of(now, id, r).goes(r)
+// Force records a request that is sent regardless of the limit: later requests wait
+// correspondingly longer.
+func (l *Limiter) Force(now time.Time, id string, r Rate) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.of(now, id, r).take(r)
 }
 
-// goes takes the time that a request has.
-func (u *upstream) goes(r Rate) {
-	u.next = u.next.Add(r.each())
-	u.given++
+// take uses up the time of one request.
+func (u *upstream) take(r Rate) {
+	u.next = u.next.Add(r.interval())
+	u.granted++
 }
 
-// Granted returns how many requests have gone to an upstream since it was first asked for.
-func (a *Limiter) Granted(id string) int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if u, ok := a.list[id]; ok {
-		return u.given
+// Granted returns the number of requests granted at an upstream since it was first used.
+func (l *Limiter) Granted(id string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if u, ok := l.list[id]; ok {
+		return u.granted
 	}
 	return 0
 }
 
-// Free tells whether a request may go to an upstream now.
-func (a *Limiter) Free(now time.Time, id string, r Rate) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return !a.of(now, id, r).next.After(now)
+// Free reports whether a request may be sent to an upstream now.
+func (l *Limiter) Free(now time.Time, id string, r Rate) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return !l.of(now, id, r).next.After(now)
 }
 
-// of returns what is known of an upstream by now. Who is new to it gives the first
-// request its time by chance: of many who begin at once none knows of the others.
-func (a *Limiter) of(now time.Time, id string, r Rate) *upstream {
-	a.sweep(now)
-	u, ok := a.list[id]
+// of returns the state of an upstream as of now. Its first time is random: several boxes
+// may start with an upstream at once.
+func (l *Limiter) of(now time.Time, id string, r Rate) *upstream {
+	l.sweep(now)
+	u, ok := l.list[id]
 	if !ok {
-		u = &upstream{rate: r, next: a.drawn(now, r)}
-		a.list[id] = u
+		u = &upstream{rate: r, next: l.randomNext(now, r)}
+		l.list[id] = u
 	}
-	u.asked = now
+	u.used = now
 	if u.rate != r {
 		if ahead := u.next.Sub(now); ahead > 0 {
 			u.next = now.Add(time.Duration(float64(ahead) * u.rate.PerSecond / r.PerSecond))
 		}
 		u.rate = r
 	}
-	switch back := now.Sub(u.next); {
-	case r.Uncoordinated && back > partKept:
-		u.next = a.drawn(now, r)
-	case !r.Uncoordinated && back > time.Duration(r.Burst*float64(r.each())):
-		u.next = now.Add(-time.Duration(r.Burst * float64(r.each())))
+	switch idle := now.Sub(u.next); {
+	case r.Uncoordinated && idle > maxIdleUncoordinated:
+		u.next = l.randomNext(now, r)
+	case !r.Uncoordinated && idle > time.Duration(r.Burst*float64(r.interval())):
+		u.next = now.Add(-time.Duration(r.Burst * float64(r.interval())))
 	}
 	return u
 }
 
-// Retain forgets the upstreams that are kept elsewhere: what was saved up here goes there
-// meanwhile.
-func (a *Limiter) Retain(here func(id string) bool) {
-	for _, id := range a.known() {
-		if !here(id) {
-			a.forget(id)
+// Retain removes the upstreams that this limiter no longer owns, as their saved requests
+// are spent by another one.
+func (l *Limiter) Retain(owned func(id string) bool) {
+	for _, id := range l.known() {
+		if !owned(id) {
+			l.forget(id)
 		}
 	}
 }
 
-func (a *Limiter) known() []string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return slices.Collect(maps.Keys(a.list))
+func (l *Limiter) known() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Collect(maps.Keys(l.list))
 }
 
-func (a *Limiter) forget(id string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.list, id)
+func (l *Limiter) forget(id string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.list, id)
 }
 
-// drawn returns a time within that of the next request.
-func (a *Limiter) drawn(now time.Time, r Rate) time.Time {
-	return now.Add(time.Duration(a.random.Float64() * float64(r.each())))
+// randomNext returns a random time within one interval.
+func (l *Limiter) randomNext(now time.Time, r Rate) time.Time {
+	return now.Add(time.Duration(l.random.Float64() * float64(r.interval())))
 }
 
-// sweep forgets upstreams that nobody asks for any more.
-func (a *Limiter) sweep(now time.Time) {
-	if now.Sub(a.swept) < keptFor {
+// sweep removes upstreams without recent requests.
+func (l *Limiter) sweep(now time.Time) {
+	if now.Sub(l.swept) < retention {
 		return
 	}
-	a.swept = now
-	for id, u := range a.list {
-		if now.Sub(u.asked) > keptFor && now.After(u.next) {
-			delete(a.list, id)
+	l.swept = now
+	for id, u := range l.list {
+		if now.Sub(u.used) > retention && now.After(u.next) {
+			delete(l.list, id)
 		}
 	}
 }
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -8,105 +8,107 @@
 	"github.com/matryer/is"
 )
 
-func begun() *Limiter { return New(rand.New(rand.NewPCG(1, 1))) }
+// fresh returns a limiter without state.
+func fresh() *Limiter { return New(rand.New(rand.NewPCG(1, 1))) }
 
-// rested returns an allowance that has rested since it was first asked for something.
-func rested(now time.Time, r Rate) *Limiter {
-	a := begun()
-	a.Free(now.Add(-time.Minute/2), "u", r)
-	return a
+// idle returns a limiter that has been idle since its first use.
+func idle(now time.Time, r Rate) *Limiter {
+	l := fresh()
+	l.Free(now.Add(-time.Minute/2), "u", r)
+	return l
 }
 
-// TestTake shows how many of those who ask in one moment may go, and when the next may.
+// TestTake checks how many of several simultaneous requests are granted, and the delay of
+// the last.
 func TestTake(t *testing.T) {
 	two := Rate{PerSecond: 2, Burst: 1}
 	tests := map[string]struct {
-		rate  Rate
-		begun bool // and not rested
-		waits time.Duration
-		asks  int
-		goes  int
-		in    time.Duration // of the last
+		rate     Rate
+		fresh    bool // rather than idle
+		wait     time.Duration
+		requests int
+		granted  int
+		delay    time.Duration // of the last
 	}{
-		"after a rest: the next, and what is saved": {two, false, 0, 4, 2, 500 * time.Millisecond},
-		"nothing is saved":                          {Rate{PerSecond: 2}, false, 0, 4, 1, 500 * time.Millisecond},
-		"those who wait have times ahead":           {two, false, time.Second, 6, 4, 1500 * time.Millisecond},
-		"at first nothing is saved up":              {two, true, 0, 4, 0, 260 * time.Millisecond},
-		"a part saves nothing":                      {Rate{PerSecond: 2, Uncoordinated: true}, false, 0, 4, 0, 386 * time.Millisecond},
+		"after idling: the next one and the burst": {two, false, 0, 4, 2, 500 * time.Millisecond},
+		"without a burst":                          {Rate{PerSecond: 2}, false, 0, 4, 1, 500 * time.Millisecond},
+		"requests that wait get times ahead":       {two, false, time.Second, 6, 4, 1500 * time.Millisecond},
+		"a fresh limiter has no burst":             {two, true, 0, 4, 0, 260 * time.Millisecond},
+		"an uncoordinated rate has no burst":       {Rate{PerSecond: 2, Uncoordinated: true}, false, 0, 4, 0, 386 * time.Millisecond},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			a := rested(now, tt.rate)
-			if tt.begun {
-				a = begun()
+			l := idle(now, tt.rate)
+			if tt.fresh {
+				l = fresh()
 			}
-			goes := 0
+			granted := 0
 			var last Decision
-			for range tt.asks {
-				last = a.Take(now, "u", Request{Rate: tt.rate, Wait: tt.waits})
+			for range tt.requests {
+				last = l.Take(now, "u", Request{Rate: tt.rate, Wait: tt.wait})
 				if last.Granted {
-					goes++
+					granted++
 				}
 			}
-			is.Equal(goes, tt.goes)
-			if tt.begun || tt.rate.Uncoordinated {
-				is.True(!last.Granted && last.Delay > 0 && last.Delay <= tt.rate.each()) // by chance
+			is.Equal(granted, tt.granted)
+			if tt.fresh || tt.rate.Uncoordinated {
+				is.True(!last.Granted && last.Delay > 0 && last.Delay <= tt.rate.interval()) // random
 				return
 			}
-			is.Equal(last.Delay, tt.in)
+			is.Equal(last.Delay, tt.delay)
 		})
 	}
 }
 
-// TestUrgent shows what the rest leave to the most urgent of late.
+// TestUrgent checks that less urgent requests leave a time free for urgent ones.
 func TestUrgent(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	rate := Rate{PerSecond: 2, Burst: 1}
-	a := rested(now, rate)
-	first, rest := Request{Rate: rate, Wait: time.Second}, Request{Rate: rate, Urgency: 5, Wait: time.Second}
-	is.True(a.Take(now, "u", rest).Granted) // nobody more urgent was met
-	is.True(a.Take(now, "u", first).Granted)
-	is.True(!a.Take(now, "u", rest).Granted)
-	is.Equal(a.Take(now, "u", first), Decision{Granted: true, Delay: 500 * time.Millisecond})
-	now = now.Add(1400 * time.Millisecond) // one may go, and is left
-	is.True(!a.Take(now, "u", rest).Granted)
-	now = now.Add(firstFor)
-	is.True(a.Take(now, "u", rest).Granted) // nobody more urgent came
+	l := idle(now, rate)
+	urgent, other := Request{Rate: rate, Wait: time.Second}, Request{Rate: rate, Urgency: 5, Wait: time.Second}
+	is.True(l.Take(now, "u", other).Granted) // none more urgent was seen
+	is.True(l.Take(now, "u", urgent).Granted)
+	is.True(!l.Take(now, "u", other).Granted)
+	is.Equal(l.Take(now, "u", urgent), Decision{Granted: true, Delay: 500 * time.Millisecond})
+	now = now.Add(1400 * time.Millisecond) // one is free, and left to an urgent one
+	is.True(!l.Take(now, "u", other).Granted)
+	now = now.Add(urgencyWindow)
+	is.True(l.Take(now, "u", other).Granted) // none more urgent came
 }
 
-// TestRateChanges shows that a wait is as long as by the rate of now, and that what was
-// pressed in is waited for.
+// TestRateChanges checks that pending delays follow a changed rate, and that forced
+// requests count.
 func TestRateChanges(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	slow, fast := Rate{PerSecond: 1}, Rate{PerSecond: 10}
-	a := rested(now, slow)
+	l := idle(now, slow)
 	for range 4 {
-		a.Force(now, "u", slow)
+		l.Force(now, "u", slow)
 	}
-	is.True(!a.Free(now, "u", slow))
-	is.Equal(a.Take(now, "u", Request{Rate: slow}).Delay, 4*time.Second)
-	is.Equal(a.Take(now, "u", Request{Rate: fast}).Delay, 400*time.Millisecond)
-	is.Equal(a.Granted("u"), 4)
+	is.True(!l.Free(now, "u", slow))
+	is.Equal(l.Take(now, "u", Request{Rate: slow}).Delay, 4*time.Second)
+	is.Equal(l.Take(now, "u", Request{Rate: fast}).Delay, 400*time.Millisecond)
+	is.Equal(l.Granted("u"), 4)
 }
 
-// TestForgotten keeps upstreams no longer than somebody asks for them.
+// TestForgotten checks that unused upstreams are removed.
 func TestForgotten(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	a := begun()
-	a.Free(now, "gone", Rate{PerSecond: 1})
-	a.Free(now.Add(2*keptFor), "u", Rate{PerSecond: 1})
-	a.Free(now.Add(4*keptFor), "u", Rate{PerSecond: 1})
-	is.Equal(len(a.list), 1)
+	l := fresh()
+	l.Free(now, "unused", Rate{PerSecond: 1})
+	l.Free(now.Add(2*retention), "u", Rate{PerSecond: 1})
+	l.Free(now.Add(4*retention), "u", Rate{PerSecond: 1})
+	is.Equal(len(l.list), 1)
 }
 
-// BenchmarkTake is what an ask takes of its keeper, beside the call, with 2,200 upstreams.
+// BenchmarkTake measures one request at the limiter of 2,200 upstreams.
 func BenchmarkTake(b *testing.B) {
-	a := begun()
+	l := fresh()
 	now := time.Now()
 	ids := make([]string, 2200)
 	for i := range ids {
@@ -114,32 +116,32 @@
 	}
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		a.Take(now, ids[i%len(ids)], Request{Rate: Rate{PerSecond: 16, Burst: 2}})
+		l.Take(now, ids[i%len(ids)], Request{Rate: Rate{PerSecond: 16, Burst: 2}})
 	}
 }
 
-// TestKeep shows that nothing is saved up of what is kept elsewhere for a while.
-func TestKeep(t *testing.T) {
+// TestRetain checks that nothing is saved for upstreams that another limiter owned.
+func TestRetain(t *testing.T) {
 	tests := map[string]struct {
-		here bool
-		goes int
+		owned   bool
+		granted int
 	}{
-		"kept here":      {here: true, goes: 2},
-		"kept elsewhere": {},
+		"owned":           {owned: true, granted: 2},
+		"owned elsewhere": {},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
 			rate := Rate{PerSecond: 2, Burst: 1}
-			a := rested(now, rate)
-			a.Retain(func(string) bool { return tt.here })
-			goes := 0
+			l := idle(now, rate)
+			l.Retain(func(string) bool { return tt.owned })
+			granted := 0
 			for range 4 {
-				if a.Take(now, "u", Request{Rate: rate}).Granted {
-					goes++
+				if l.Take(now, "u", Request{Rate: rate}).Granted {
+					granted++
 				}
 			}
-			is.New(t).Equal(goes, tt.goes)
+			is.New(t).Equal(granted, tt.granted)
 		})
 	}
 }
