--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue holds requests that wait for room and says which should go
-// next: by priority class, then by response ratio (wait over expected cost:
-// small requests go early, none starves), weighed by each organisation's
-// recent use against its fair share.
+// Package queue holds requests that wait for capacity and determines their order: by
+// priority class, then by response ratio, which is the wait over the expected cost.
+// Small requests go early, but none starves. The ratio is divided by the organisation's
+// recent usage relative to the mean.
 package queue
 
 import (
@@ -11,87 +11,87 @@
 )
 
 const (
-	// ageClass is the wait that lifts a request by one priority class.
-	ageClass = 120 * time.Second
-	// halfLife is how fast an organisation's use is forgotten.
+	// ageingInterval is the wait that raises a request by one priority class.
+	ageingInterval = 120 * time.Second
+	// halfLife is the half-life of an organisation's recorded usage.
 	halfLife = 30 * time.Second
-	// fairnessMost bounds by how much use can hold an organisation back.
-	fairnessMost = 8.0
-	// patience is added to each wait, so that among the newly come the cheap
-	// go first.
-	patience = 2 * time.Second
+	// maxFairnessFactor bounds the effect of an organisation's usage in either direction.
+	maxFairnessFactor = 8.0
+	// waitOffset is added to each wait, so that cheap requests go first among new arrivals.
+	waitOffset = 2 * time.Second
 )
 
-// Item is a request that waits.
+// Item is a waiting request.
 type Item struct {
 	ID           string
 	Organisation string
 	Weight       int
 	Priority     int
-	Cost         float64 // expected memory times time, token-seconds
+	Cost         float64 // expected memory times duration, in token-seconds
 	Arrived      time.Time
 	Deadline     time.Time
 	Value        any
 }
 
-type use struct {
-	cost   float64 // decayed token-seconds granted, over the weight
+// usage is what an organisation was granted recently.
+type usage struct {
+	cost   float64 // decayed token-seconds divided by the weight
 	weight int
 	at     time.Time
 }
 
 // Queue is not safe for use by several goroutines.
 type Queue struct {
-	most  int
-	items map[string]*Item
-	uses  map[string]*use
+	maxItems int
+	items    map[string]*Item
+	usages   map[string]*usage
 }
 
-// New returns an empty queue for at most so many requests.
-func New(most int) *Queue {
-	return &Queue{most: most, items: map[string]*Item{}, uses: map[string]*use{}}
+// New returns an empty queue for at most maxItems requests.
+func New(maxItems int) *Queue {
+	return &Queue{maxItems: maxItems, items: map[string]*Item{}, usages: map[string]*usage{}}
 }
 
-// Len returns how many wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Push adds a request; false if the queue is full.
+// Push adds a request. It reports false if the queue is full.
 func (q *Queue) Push(it Item) bool {
-	if len(q.items) >= q.most {
+	if len(q.items) >= q.maxItems {
 		return false
 	}
 	q.items[it.ID] = &it
 	return true
 }
 
-// Remove takes a request out; false if it was not there.
+// Remove removes a request and reports whether it was queued.
 func (q *Queue) Remove(id string) bool {
 	_, ok := q.items[id]
 	delete(q.items, id)
 	return ok
 }
 
-// Granted takes a request out and charges its organisation.
+// Granted removes a request and charges its cost to its organisation.
 func (q *Queue) Granted(now time.Time, it Item) {
 	delete(q.items, it.ID)
-	u := q.useOf(now, it.Organisation, it.Weight)
+	u := q.usageOf(now, it.Organisation, it.Weight)
 	u.cost += it.Cost / float64(max(it.Weight, 1))
 }
 
-// Expired takes out and returns what waited beyond its deadline.
+// Expired removes and returns the requests past their deadlines, ordered by ID.
 func (q *Queue) Expired(now time.Time) []Item {
-	var late []Item
+	var expired []Item
 	for id, it := range q.items {
 		if now.After(it.Deadline) {
-			late = append(late, *it)
+			expired = append(expired, *it)
 			delete(q.items, id)
 		}
 	}
-	sort.Slice(late, func(i, j int) bool { return late[i].ID < late[j].ID })
-	return late
+	sort.Slice(expired, func(i, j int) bool { return expired[i].ID < expired[j].ID })
+	return expired
 }
 
-// Cost returns the summed cost of what waits in this priority class or above.
+// Cost returns the total cost of the waiting requests in a priority class and above.
 func (q *Queue) Cost(priority int) float64 {
 	sum := 0.0
 	for _, it := range q.items {
@@ -102,21 +102,21 @@
 	return sum
 }
 
-// Order returns what waits, the one to go next first.
+// Order returns the waiting requests in the order in which they should be granted.
 func (q *Queue) Order(now time.Time) []Item {
 	type ranked struct {
 		item  *Item
 		class float64
 		ratio float64
 	}
-	mean := q.meanUse(now)
+	mean := q.meanUsage(now)
 	all := make([]ranked, 0, len(q.items))
 	for _, it := range q.items {
 		wait := now.Sub(it.Arrived)
 		all = append(all, ranked{
 			item:  it,
-			class: float64(it.Priority) + math.Floor(float64(wait)/float64(ageClass)),
-			ratio: (wait + patience).Seconds() / (it.Cost + 1) / q.held(now, it, mean),
+			class: float64(it.Priority) + math.Floor(float64(wait)/float64(ageingInterval)),
+			ratio: (wait + waitOffset).Seconds() / (it.Cost + 1) / q.fairnessFactor(now, it, mean),
 		})
 	}
 	sort.Slice(all, func(i, j int) bool {
@@ -136,34 +136,36 @@
 	return items
 }
 
-// held returns by how much an organisation is held back: its use over the
-// mean use, both over weights, within bounds.
-func (q *Queue) held(now time.Time, it *Item, mean float64) float64 {
+// fairnessFactor returns an organisation's usage over the mean usage, both divided by
+// weight, within bounds.
+func (q *Queue) fairnessFactor(now time.Time, it *Item, mean float64) float64 {
 	if mean <= 0 {
 		return 1
 	}
-	u := q.useOf(now, it.Organisation, it.Weight)
-	return math.Min(math.Max(u.cost/mean, 1/fairnessMost), fairnessMost)
+	u := q.usageOf(now, it.Organisation, it.Weight)
+	return math.Min(math.Max(u.cost/mean, 1/maxFairnessFactor), maxFairnessFactor)
 }
 
-func (q *Queue) meanUse(now time.Time) float64 {
-	names := make([]string, 0, len(q.uses))
-	for name := range q.uses {
+// meanUsage returns the mean usage of all organisations.
+func (q *Queue) meanUsage(now time.Time) float64 {
+	names := make([]string, 0, len(q.usages))
+	for name := range q.usages {
 		names = append(names, name)
 	}
-	sort.Strings(names) // sums of floats depend on their order
+	sort.Strings(names) // floating-point sums depend on the order
 	sum := 0.0
 	for _, name := range names {
-		sum += q.useOf(now, name, q.uses[name].weight).cost
+		sum += q.usageOf(now, name, q.usages[name].weight).cost
 	}
 	return sum / float64(max(len(names), 1))
 }
 
-func (q *Queue) useOf(now time.Time, organisation string, weight int) *use {
-	u, ok := q.uses[organisation]
+// usageOf returns an organisation's usage, decayed to now.
+func (q *Queue) usageOf(now time.Time, organisation string, weight int) *usage {
+	u, ok := q.usages[organisation]
 	if !ok {
-		u = &use{at: now}
-		q.uses[organisation] = u
+		u = &usage{at: now}
+		q.usages[organisation] = u
 	}
 	u.cost *= math.Exp2(-now.Sub(u.at).Seconds() / halfLife.Seconds())
 	u.at, u.weight = now, weight
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -20,10 +20,11 @@
 	return it
 }
 
+// TestOrder checks which of two requests goes first.
 func TestOrder(t *testing.T) {
 	tests := map[string]struct {
 		items []queue.Item
-		used  map[string]float64 // cost granted before, by organisation
+		usage map[string]float64 // cost granted before, by organisation
 		at    time.Duration
 		first string
 	}{
@@ -31,14 +32,14 @@
 		"ageing":        {items: []queue.Item{item("a", nil), item("b", func(i *queue.Item) { i.Priority = 1; i.Arrived = start.Add(4 * time.Minute) })}, at: 4 * time.Minute, first: "a"},
 		"cheap first":   {items: []queue.Item{item("a", nil), item("b", func(i *queue.Item) { i.Cost = 10 })}, first: "b"},
 		"longest wait":  {items: []queue.Item{item("a", func(i *queue.Item) { i.Arrived = start.Add(time.Minute) }), item("b", nil)}, at: 2 * time.Minute, first: "b"},
-		"fair share":    {items: []queue.Item{item("a", nil), item("b", func(i *queue.Item) { i.Organisation = "p" })}, used: map[string]float64{"o": 1000, "p": 10}, first: "b"},
-		"heavier share": {items: []queue.Item{item("a", func(i *queue.Item) { i.Weight = 100 }), item("b", func(i *queue.Item) { i.Organisation = "p" })}, used: map[string]float64{"o": 1000, "p": 50}, first: "a"},
+		"fair share":    {items: []queue.Item{item("a", nil), item("b", func(i *queue.Item) { i.Organisation = "p" })}, usage: map[string]float64{"o": 1000, "p": 10}, first: "b"},
+		"heavier share": {items: []queue.Item{item("a", func(i *queue.Item) { i.Weight = 100 }), item("b", func(i *queue.Item) { i.Organisation = "p" })}, usage: map[string]float64{"o": 1000, "p": 50}, first: "a"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			q := queue.New(10)
-			for organisation, cost := range tt.used {
+			for organisation, cost := range tt.usage {
 				weight := 1
 				if name == "heavier share" && organisation == "o" {
 					weight = 100
@@ -53,6 +54,7 @@
 	}
 }
 
+// TestBounds checks the maximal length and the deadlines.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	q := queue.New(1)
@@ -64,6 +66,7 @@
 	is.True(!q.Remove("a"))
 }
 
+// BenchmarkOrder measures ordering by the number of waiting requests.
 func BenchmarkOrder(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n, " waiting"), func(b *testing.B) {
