--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,7 +1,7 @@
-// Package quota limits each organisation's requests a second and tokens in
-// flight. Boxes share a limit by demand, from each other's digests; a box
-// that hears nothing falls back to an even share, so that parted boxes
-// together never pass the limit by more than what was shared out before.
+// Package quota limits each organisation's requests per second and tokens in flight.
+// Boxes divide a limit by demand, which they learn from each other's digests. A box that
+// receives no digests falls back to an even share, so that partitioned boxes together
+// exceed the limit by no more than what was already spent.
 package quota
 
 import (
@@ -12,34 +12,37 @@
 )
 
 const (
-	// stale is how long an entry of a peer's digest counts. A digest is bounded,
-	// so with many organisations an entry comes again only after a while.
-	stale = 20 * time.Second
-	// silent is how long a peer without any digest counts as heard.
-	silent = 5 * time.Second
-	// floor is the part of an even share that a box keeps without demand, so
-	// that a first request need not wait for a digest.
-	floor = 0.25
-	// demandSpan is the span over which own demand is averaged.
+	// entryMaxAge is how long an entry of a peer's digest counts. Digests are bounded, so
+	// that with many organisations an entry is repeated only after several digests.
+	entryMaxAge = 20 * time.Second
+	// peerTimeout is how long a peer counts as reachable after its last digest.
+	peerTimeout = 5 * time.Second
+	// minShare is the part of an even share that a box keeps without demand, so that its
+	// first requests are admitted before its peers know of them.
+	minShare = 0.25
+	// demandSpan is the duration over which this box's demand is averaged.
 	demandSpan = 2 * time.Second
 )
 
 // Use is an organisation's demand at one box.
 type Use struct {
-	Rate   float64 // requests a second
-	Tokens int     // promised memory in flight
+	Rate   float64 // requests per second
+	Tokens int     // reserved memory in flight
 }
 
+// entry is an organisation's demand at a peer.
 type entry struct {
 	use Use
 	at  time.Time
 }
 
+// peerUse is the state of a peer's digests.
 type peerUse struct {
 	at      time.Time
 	entries map[string]entry
 }
 
+// account is an organisation's state at this box.
 type account struct {
 	limiter *rate.Limiter
 	tokens  int
@@ -55,19 +58,19 @@
 	peers    map[string]*peerUse
 }
 
-// New returns a quota for a box that is one of so many.
+// New returns a quota for one of the given number of boxes.
 func New(boxes int) *Quota {
 	return &Quota{boxes: max(boxes, 1), accounts: map[string]*account{}, peers: map[string]*peerUse{}}
 }
 
-// SetBoxes tells how many boxes there are, the parted ones too.
+// SetBoxes sets the number of boxes, including unreachable ones.
 func (q *Quota) SetBoxes(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.boxes = max(n, 1)
 }
 
-// Update takes a peer's digest: the entries that it tells anew.
+// Update merges a peer's digest, which may hold only some organisations.
 func (q *Quota) Update(now time.Time, box string, uses map[string]Use) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -82,8 +85,8 @@
 	}
 }
 
-// Allow asks to let one request in; when it may not, it returns how long
-// until it might. A limit of zero is none.
+// Allow reports whether a request may be admitted now and, if not, how long to wait. A
+// limit of zero means no limit.
 func (q *Quota) Allow(now time.Time, organisation string, perSecond float64) (ok bool, wait time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -103,8 +106,8 @@
 	return true, 0
 }
 
-// Reserve asks to hold so much memory in flight; Return gives it back. A
-// limit of zero is none.
+// Reserve reserves memory in flight until Release, and reports whether it is within the
+// limit. A limit of zero means no limit.
 func (q *Quota) Reserve(now time.Time, organisation string, tokens, limit int) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -117,7 +120,7 @@
 	return true
 }
 
-// Release gives promised memory back.
+// Release releases reserved memory.
 func (q *Quota) Release(organisation string, tokens int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -126,7 +129,7 @@
 	}
 }
 
-// Uses returns the digest for peers.
+// Uses returns this box's digest for its peers.
 func (q *Quota) Uses(now time.Time) map[string]Use {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -140,30 +143,31 @@
 	return uses
 }
 
-// share returns the part of a limit that this box may spend. Known peers get
-// their part by demand; each peer that is silent keeps its even share.
+// share returns the share of a limit that this box may spend. Reachable boxes divide
+// their shares by demand; unreachable ones keep an even share.
 func (q *Quota) share(now time.Time, organisation string, of func(Use) float64, own float64) float64 {
-	heard, others := 1, 0.0
+	reachable, others := 1, 0.0
 	for _, p := range q.peers {
-		if now.Sub(p.at) > silent {
+		if now.Sub(p.at) > peerTimeout {
 			continue
 		}
-		heard++
-		if e := p.entries[organisation]; now.Sub(e.at) <= stale {
+		reachable++
+		if e := p.entries[organisation]; now.Sub(e.at) <= entryMaxAge {
 			others += of(e.use)
 		}
 	}
 	even := 1 / float64(q.boxes)
-	known := min(float64(heard)*even, 1)
+	known := min(float64(reachable)*even, 1)
 	byDemand := known
 	if own+others > 0 {
 		byDemand = known * own / (own + others)
 	}
-	// Each box keeps a floor, and only the rest goes by demand: the parts add
-	// up to one when all boxes see the same demand.
-	return floor*even + (1-floor)*byDemand
+	// Only what exceeds the minimum shares is divided by demand: the shares add up to one
+	// if all boxes know the same demand.
+	return minShare*even + (1-minShare)*byDemand
 }
 
+// account returns an organisation's account, with its demand decayed to now.
 func (q *Quota) account(now time.Time, organisation string) *account {
 	a, ok := q.accounts[organisation]
 	if !ok {
@@ -171,8 +175,8 @@
 		a.limiter.SetBurstAt(now, 1)
 		q.accounts[organisation] = a
 	}
-	passed := now.Sub(a.at)
-	a.demand *= max(0, 1-passed.Seconds()/demandSpan.Seconds())
+	elapsed := now.Sub(a.at)
+	a.demand *= max(0, 1-elapsed.Seconds()/demandSpan.Seconds())
 	a.at = now
 	return a
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// boxes is a set of boxes that tell each other of demand, or do not.
+// boxes is a set of boxes that may exchange digests.
 type boxes []*quota.Quota
 
 func newBoxes(n int) boxes {
@@ -25,7 +25,8 @@
 	return b
 }
 
-func (b boxes) tell(now time.Time) {
+// exchange sends each box's digest to all others.
+func (b boxes) exchange(now time.Time) {
 	for i, from := range b {
 		uses := from.Uses(now)
 		for j, to := range b {
@@ -36,17 +37,17 @@
 	}
 }
 
-// offered sends so many requests a second to each box for a while and returns
-// how many were let in, a second.
-func (b boxes) offered(rates []int, told bool, limit float64) float64 {
+// admittedRate sends requests at a rate per box and returns the total rate of admitted
+// requests.
+func (b boxes) admittedRate(rates []int, connected bool, limit float64) float64 {
 	const seconds = 30
 	admitted := 0
 	now := start
 	for range seconds * 100 {
 		now = now.Add(10 * time.Millisecond)
 		tick := int(now.Sub(start) / (10 * time.Millisecond))
-		if told && tick%100 == 0 {
-			b.tell(now)
+		if connected && tick%100 == 0 {
+			b.exchange(now)
 		}
 		for i, rate := range rates {
 			if rate == 0 || tick%(100/rate) != 0 {
@@ -60,33 +61,33 @@
 	return float64(admitted) / (seconds - 10)
 }
 
-// TestRequest holds the sum over boxes against the limit.
-func TestRequest(t *testing.T) {
+// TestAllow checks that all boxes together admit about as much as the limit.
+func TestAllow(t *testing.T) {
 	tests := map[string]struct {
-		rates       []int // offered to each box, a second
-		told        bool
-		least, most float64 // of the limit of 20 a second
+		rates            []int   // requests per second, by box
+		connected        bool    // the boxes exchange digests
+		minRate, maxRate float64 // of a limit of 20 requests per second
 	}{
-		"even":            {rates: []int{10, 10, 10, 10}, told: true, least: 16, most: 22},
-		"all at one box":  {rates: []int{50, 0, 0, 0}, told: true, least: 14, most: 22},
-		"uneven":          {rates: []int{50, 10, 0, 0}, told: true, least: 14, most: 22},
-		"parted, even":    {rates: []int{10, 10, 10, 10}, least: 16, most: 22},
-		"parted, one box": {rates: []int{50, 0, 0, 0}, least: 3, most: 6},
-		"below the limit": {rates: []int{2, 2, 2, 2}, told: true, least: 7.5, most: 8.5},
+		"even":                        {rates: []int{10, 10, 10, 10}, connected: true, minRate: 16, maxRate: 22},
+		"all at one box":              {rates: []int{50, 0, 0, 0}, connected: true, minRate: 14, maxRate: 22},
+		"uneven":                      {rates: []int{50, 10, 0, 0}, connected: true, minRate: 14, maxRate: 22},
+		"partitioned, even":           {rates: []int{10, 10, 10, 10}, minRate: 16, maxRate: 22},
+		"partitioned, all at one box": {rates: []int{50, 0, 0, 0}, minRate: 3, maxRate: 6},
+		"below the limit":             {rates: []int{2, 2, 2, 2}, connected: true, minRate: 7.5, maxRate: 8.5},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got := newBoxes(4).offered(tt.rates, tt.told, 20)
-			is.True(got >= tt.least)
-			is.True(got <= tt.most)
+			got := newBoxes(4).admittedRate(tt.rates, tt.connected, 20)
+			is.True(got >= tt.minRate)
+			is.True(got <= tt.maxRate)
 		})
 	}
 }
 
-// TestPromiseNeverOver promises and returns memory at random, with digests now
-// and then: what is in flight never passes the limit by more than a part.
-func TestPromiseNeverOver(t *testing.T) {
+// TestReserveWithinLimit reserves and releases memory at random, with occasional digests,
+// and checks that the total in flight stays within twice the limit.
+func TestReserveWithinLimit(t *testing.T) {
 	const limit, n = 1000, 4
 	rapid.Check(t, func(rt *rapid.T) {
 		b := newBoxes(n)
@@ -101,17 +102,17 @@
 			sum += tokens
 		}
 		if sum > 2*limit {
-			rt.Fatalf("%d in flight of %d", sum, limit)
+			rt.Fatalf("%d tokens in flight, limit %d", sum, limit)
 		}
 	})
 }
 
-// step tells, returns or promises at one box.
+// step sends digests, or releases or reserves memory at one box.
 func (b boxes) step(rt *rapid.T, now time.Time, held [][]int, limit int) {
 	i := rapid.IntRange(0, len(b)-1).Draw(rt, "box")
 	switch rapid.IntRange(0, 3).Draw(rt, "does") {
 	case 0:
-		b.tell(now)
+		b.exchange(now)
 	case 1:
 		if len(held[i]) > 0 {
 			b[i].Release("o", held[i][0])
@@ -125,7 +126,8 @@
 	}
 }
 
-func BenchmarkRequest(b *testing.B) {
+// BenchmarkAllow measures a decision by the number of peers.
+func BenchmarkAllow(b *testing.B) {
 	for _, peers := range []int{6, 50, 350} {
 		b.Run(fmt.Sprint(peers, " peers"), func(b *testing.B) {
 			q := quota.New(peers + 1)
