--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,9 +1,8 @@
-// Package admission decides when a request may go to an engine, and to which.
-// An engine that is full preempts what runs there, and reads prompts one after
-// another, so that requests wait here, where the order can still be chosen, and
-// not in an engine. One box keeps the queue of a service for all, as long as it
-// is reached; its state is soft: what runs is told by the boxes, and who waits
-// asks again.
+// Package admission decides when a request may be sent to an engine, and to which one.
+// Requests wait here, where their order can still change, rather than in engines: a full
+// engine preempts running requests, and engines read prompts one after another. One box
+// owns the queue of a service for all boxes. Its state is soft: the load comes from the
+// boxes' reports, and boxes repeat their calls for waiting requests.
 package admission
 
 import (
@@ -26,95 +25,95 @@
 )
 
 const (
-	// roundEvery is how often it is looked for room while requests wait: news of
-	// ends comes four times a second from each box.
-	roundEvery = 10 * time.Millisecond
-	// looksMost bounds the work of one round: so many that find no room end it.
-	looksMost = 8
-	// decidePart of its aim is within what a request is refused that cannot be in
-	// time, so that it may be so when it has come back. Later it waits on: its answer
-	// is late either way, and a late one is worth more to its caller than none.
-	decidePart = 0.2
-	// patiencePart is the part of its caller's patience within which a request has to
-	// have room: the rest is for its prompt to be read.
-	patiencePart = 0.8
-	// judgeEvery is how often it is looked whether those who wait still have a chance:
-	// some times within what the shortest aims leave to decide in.
-	judgeEvery = 50 * time.Millisecond
-	// noAim stands for the aim of a request that has none.
-	noAim = time.Hour
+	// roundInterval is how often the queue is checked for free capacity while requests wait.
+	roundInterval = 10 * time.Millisecond
+	// maxFailedAttempts bounds the work of a round, which ends after this number of requests
+	// without a suitable upstream.
+	maxFailedAttempts = 8
+	// rejectFraction of its aim is the time within which a request that would miss its aim
+	// is rejected, so that a retry may still be useful. After that it keeps waiting: a late
+	// answer is better than none.
+	rejectFraction = 0.2
+	// patienceFraction of the caller's patience is the time within which a request has to be
+	// admitted. The rest is left for reading its prompt.
+	patienceFraction = 0.8
+	// reviewInterval is how often waiting requests are checked for whether they can still be
+	// served: several times within the shortest period in which they may be rejected.
+	reviewInterval = 50 * time.Millisecond
+	// unlimited is the remaining time of a request without an aim or patience.
+	unlimited = time.Hour
 )
 
-// Request is a request that wants room. Values are immutable.
+// Request is a request for capacity at an engine. Values are immutable.
 type Request struct {
 	ID           string
 	Box          string
 	Hall         string // of the box
 	Service      route.Service
-	Urgency      int // 0 goes first
+	Urgency      int // 0 is the most urgent
 	Prompt       int // tokens
 	Answer       int // expected tokens
 	Arrived      time.Time
-	Aim          time.Duration // for the first event; 0 for none
-	Gap          time.Duration // longest pause of a stream in time; 0 for any
+	Aim          time.Duration // deadline of the first event after Arrived; 0 for none
+	Gap          time.Duration // longest acceptable pause between events; 0 for any
 	Deadline     time.Duration // since the request arrived; 0 for none
-	Patience     time.Duration // the caller leaves so long after the request arrived; 0 if it does not
-	Organisation string        // whose it is; empty where the route is open to all
-	Key          uint64        // what the tries of one request have in common
+	Patience     time.Duration // the caller disconnects this long after Arrived; 0 for never
+	Organisation string        // empty if the route is open to all
+	Key          uint64        // identifies all attempts of one request
 	Avoid        []string
-	Regions      []string // the only ones that it may go to; none for any
+	Regions      []string // allowed regions; empty for any
 }
 
-// Grant is room at an upstream.
+// Grant is the capacity that a request was granted at an upstream.
 type Grant struct {
 	Upstream fleet.Upstream
-	Load     float64 // part of its memory that is in use then
-	Cost     float64 // requests that are made late by it, as far as is known
+	Load     float64 // share of its memory in use
+	Cost     float64 // expected number of requests that miss their deadlines because of it
 
-	running upstreamload.Load // before
+	running upstreamload.Load // load before the grant
 }
 
-// ranking lists the upstreams of a service, the best first.
-type ranking interface {
+// ranker ranks the upstreams of a service, best first.
+type ranker interface {
 	Ranked(now time.Time, w picker.Want) []picker.Choice
-	// SampledFrom returns the number of upstreams of a service of which a sample is ranked;
-	// 0 where all are.
+	// SampledFrom returns the number of a service's upstreams if only a sample of them is
+	// ranked, and 0 if all are.
 	SampledFrom(s route.Service) int
-	// Sent notes that a request goes to an upstream.
+	// Sent records that a request is sent to an upstream.
 	Sent(now time.Time, s route.Service, u fleet.Upstream)
-	// Assigned notes that this box has decided so.
+	// Assigned records that this box assigned a request to an upstream.
 	Assigned(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load)
-	// Leaving returns what runs at the upstreams of a service that leave.
+	// Leaving returns the load of the upstreams of a service that are leaving.
 	Leaving(now time.Time, service string) upstreamload.Load
 }
 
-// loads takes what is promised.
-type loads interface {
+// reserver records reservations until they appear in the boxes' reports.
+type reserver interface {
 	Reserve(now time.Time, box, upstream string, l upstreamload.Load)
 }
 
-// reading tells how long engines take to read prompts.
-type reading interface {
+// prefillEstimator estimates how long engines take to read prompts.
+type prefillEstimator interface {
 	Time(tokens int) time.Duration
 }
 
-// Shares tells how organisations fare that compete for room.
+// Shares accounts for the capacity that competing organisations are granted.
 type Shares interface {
 	Assigned(now time.Time, p shares.Party, work float64)
 	Refused(now time.Time, p shares.Party, work float64)
-	// Waited notes that a request found no room at once.
+	// Waited records that a request was not admitted at once.
 	Waited(now time.Time)
-	// Weigh works the shares out, from the work that waits too.
-	Weigh(now time.Time, waits map[shares.Party]float64)
+	// Weigh recomputes the shares, including the work that is waiting.
+	Weigh(now time.Time, waiting map[shares.Party]float64)
 	Standing(p shares.Party) shares.Standing
 }
 
 type waiter struct {
-	ask      Request
-	returns  bool            // it was refused before, and came back
-	held     bool            // there is room, but where it would be late or make others so
+	req      Request
+	retried  bool            // an earlier attempt was rejected
+	held     bool            // deferred: the free upstreams would make it or others late
 	standing shares.Standing // of its organisation
-	settled  chan outcome
+	result   chan outcome
 }
 
 type outcome struct {
@@ -124,88 +123,88 @@
 
 // Admission is safe for use by several goroutines.
 type Admission struct {
-	ranking ranking
-	loads   loads
-	reading reading
-	shares  Shares // nil: they do not count
+	ranking ranker
+	loads   reserver
+	prefill prefillEstimator
+	shares  Shares // nil: no fair shares
 	log     *logrus.Entry
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	waiting []*waiter
-	next    *time.Timer // the next round; nil while nobody waits
-	judged  time.Time   // all who wait were, last
-	allAt   time.Time   // the next round that weighs all of many upstreams
-	weighed time.Time   // shares were
-	returns returns
-	demand  *demand   // of newcomers
-	waited  time.Time // one that holds memory for long last found no room at once
-	wait    *forecast
+	mu              sync.Mutex
+	random          *rand.Rand
+	waiting         []*waiter
+	timer           *time.Timer // starts the next round; nil if none is scheduled
+	reviewedAt      time.Time   // last review
+	fullRoundAt     time.Time   // earliest next round that ranks all of many upstreams
+	sharesUpdatedAt time.Time   // last update of the shares
+	rejections      rejections
+	demand          *demand   // of new requests
+	lastWaitAt      time.Time // when a long request last was not admitted at once
+	forecast        *forecast
 }
 
-// New returns an empty queue. Shares are nil where they do not count.
-func New(r ranking, l loads, p reading, s Shares, random *rand.Rand, log *logrus.Entry) *Admission {
-	return &Admission{ranking: r, loads: l, reading: p, shares: s, random: random, log: log, returns: returns{}, demand: newDemand(), wait: newForecast()}
+// New returns an empty queue. Shares may be nil.
+func New(r ranker, l reserver, p prefillEstimator, s Shares, random *rand.Rand, log *logrus.Entry) *Admission {
+	return &Admission{ranking: r, loads: l, prefill: p, shares: s, random: random, log: log, rejections: rejections{}, demand: newDemand(), forecast: newForecast()}
 }
 
-// short tells whether a request holds memory for not much longer than its
-// prompt takes to be read.
-func (a *Admission) short(ask Request) bool {
-	return time.Duration(ask.Answer)*stepGuess <= a.reading.Time(ask.Prompt)
+// short reports whether a request's answer takes no longer than its prompt, so that it
+// holds memory only briefly.
+func (a *Admission) short(req Request) bool {
+	return time.Duration(req.Answer)*defaultStep <= a.prefill.Time(req.Prompt)
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (a *Admission) Waiting() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.waiting)
 }
 
-// Take waits until ctx ends for room. It reports false if there was none yet:
-// who waits on asks again. The error is a refusal.Refusal.
-func (a *Admission) Take(ctx context.Context, ask Request) (g Grant, ok bool, err error) {
-	w := &waiter{ask: ask, settled: make(chan outcome, 1)}
+// Take waits for capacity until ctx ends. It reports false if there was none yet, in which
+// case the caller may call it again. The error is a refusal.Refusal.
+func (a *Admission) Take(ctx context.Context, req Request) (g Grant, ok bool, err error) {
+	w := &waiter{req: req, result: make(chan outcome, 1)}
 	a.mu.Lock()
-	a.enter(time.Now(), w)
+	a.enqueue(time.Now(), w)
 	a.mu.Unlock()
 	select {
-	case o := <-w.settled:
+	case o := <-w.result:
 		return o.grant, o.err == nil, o.err
 	case <-ctx.Done():
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.drop(w)
+	a.remove(w)
 	select {
-	case o := <-w.settled: // in the same moment
+	case o := <-w.result: // granted as ctx ended
 		return o.grant, o.err == nil, o.err
 	default:
 		return Grant{}, false, nil
 	}
 }
 
-// enter takes a request in. One that finds no room, and has no chance by the
-// forecast, is refused at once.
-func (a *Admission) enter(now time.Time, w *waiter) {
-	if memory := w.ask.Service.Engine.Memory; memory > 0 && w.ask.Prompt > memory {
-		a.line(now, w).Info("too_large")
-		w.settled <- outcome{err: refusal.New(refusal.TooLarge, "the prompt is larger than an engine's memory")}
+// enqueue adds a request. It is rejected at once if there is no capacity and it can't be
+// served in time by the forecast.
+func (a *Admission) enqueue(now time.Time, w *waiter) {
+	if memory := w.req.Service.Engine.Memory; memory > 0 && w.req.Prompt > memory {
+		a.logEntry(now, w).Info("too_large")
+		w.result <- outcome{err: refusal.New(refusal.TooLarge, "the prompt is larger than an engine's memory")}
 		return
 	}
-	r := a.sampled(w.ask.Service)
-	if len(a.ranked(now, r, w.ask)) == 0 {
+	r := a.sampled(w.req.Service)
+	if len(a.ranked(now, r, w.req)) == 0 {
 		r = newRound(false)
 	}
-	if len(a.ranked(now, r, w.ask)) == 0 {
-		w.settled <- outcome{err: noUpstream(w.ask)}
+	if len(a.ranked(now, r, w.req)) == 0 {
+		w.result <- outcome{err: noUpstream(w.req)}
 		return
 	}
-	w.returns = a.returns.has(w.ask.Key)
-	if a.undecided(now, w) {
-		a.demand.came(now, w.ask)
+	w.retried = a.rejections.has(w.req.Key)
+	if a.rejectable(now, w) {
+		a.demand.arrived(now, w.req)
 	}
 	a.waiting = append(a.waiting, w)
-	a.weigh(now, w)
+	a.updateShares(now, w)
 	a.grant(now, r)
 	if r.sampled && slices.Contains(a.waiting, w) {
 		r = a.nextRound(now)
@@ -214,112 +213,112 @@
 	if !slices.Contains(a.waiting, w) || w.held {
 		return
 	}
-	if !a.short(w.ask) {
-		a.waited = now
+	if !a.short(w.req) {
+		a.lastWaitAt = now
 	}
 	if a.shares != nil {
 		a.shares.Waited(now)
 	}
-	if !r.sampled && a.hopeless(now, r, w, a.ahead(now, w)) {
-		a.drop(w)
+	if !r.sampled && a.rejectIfHopeless(now, r, w, a.tokensAhead(now, w)) {
+		a.remove(w)
 	}
 }
 
-// rank is that of a request among those that wait.
-func (a *Admission) rank(ask Request) rank { return rank{ask.Urgency, a.short(ask)} }
+// rank returns a request's rank in the queue.
+func (a *Admission) rank(req Request) rank { return rank{req.Urgency, a.short(req)} }
 
-// noUpstream refuses a request that no upstream can serve: all left, or their
-// halls were evacuated.
-func noUpstream(ask Request) error {
-	return refusal.New(refusal.NoUpstream, "no upstream of "+ask.Service.Name).WithRetryAfter(comeLeast)
+// noUpstream returns the refusal of a request that no upstream can serve, as all have left
+// or are in evacuated halls.
+func noUpstream(req Request) error {
+	return refusal.New(refusal.NoUpstream, "no upstream of "+req.Service.Name).WithRetryAfter(minRetryAfter)
 }
 
-func (a *Admission) drop(w *waiter) {
+func (a *Admission) remove(w *waiter) {
 	a.waiting = slices.DeleteFunc(a.waiting, func(o *waiter) bool { return o == w })
 }
 
-// grant gives room to those who wait, in their order, as far as there is any, and
-// ends the waits that are in vain.
+// grant assigns upstreams to waiting requests in order, as far as there is capacity, and
+// rejects requests that can't be served.
 func (a *Admission) grant(now time.Time, r round) {
-	a.weigh(now, nil)
-	all := r
+	a.updateShares(now, nil)
+	initial := r
 	slices.SortStableFunc(a.waiting, func(x, y *waiter) int { return a.compare(now, x, y) })
-	looks := 0
+	failed := 0
 	a.waiting = slices.DeleteFunc(a.waiting, func(w *waiter) bool {
-		if looks >= looksMost {
+		if failed >= maxFailedAttempts {
 			w.held = false
 			return false
 		}
-		if !r.sampled && len(a.ranked(now, r, w.ask)) == 0 {
-			a.line(now, w).Info("no_upstream")
-			w.settled <- outcome{err: noUpstream(w.ask)}
+		if !r.sampled && len(a.ranked(now, r, w.req)) == 0 {
+			a.logEntry(now, w).Info("no_upstream")
+			w.result <- outcome{err: noUpstream(w.req)}
 			return true
 		}
-		g, ok := a.room(now, r, w.ask)
-		w.held = ok && a.waits(now, r, w.ask, g)
+		g, ok := a.bestUpstream(now, r, w.req)
+		w.held = ok && a.shouldHold(now, r, w.req, g)
 		switch {
 		case w.held:
 			return false
 		case ok:
-			a.give(now, w, g)
+			a.assign(now, w, g)
 			r.clear()
-			r.sampled = a.ranking.SampledFrom(w.ask.Service) > 0 // all are ranked for one of those who wait
+			r.sampled = a.ranking.SampledFrom(w.req.Service) > 0 // a full ranking serves only one request per round
 			return true
 		}
-		looks++
-		if a.overdue(now, w.ask) {
-			a.reserve(now, r, w.ask)
+		failed++
+		if a.overdue(now, w.req) {
+			a.reserve(now, r, w.req)
 		}
 		return false
 	})
-	if !all.sampled {
-		a.judge(now, all)
+	if !initial.sampled {
+		a.review(now, initial)
 	}
-	if len(a.waiting) > 0 && a.next == nil {
-		a.next = time.AfterFunc(roundEvery, func() {
+	if len(a.waiting) > 0 && a.timer == nil {
+		a.timer = time.AfterFunc(roundInterval, func() {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.next = nil
+			a.timer = nil
 			now := time.Now()
 			a.grant(now, a.nextRound(now))
 		})
 	}
 }
 
-func (a *Admission) give(now time.Time, w *waiter, g Grant) {
-	a.returns.came(w.ask.Key)
-	a.wait.gave(now, a.rank(w.ask), w.ask.Prompt)
-	a.ranking.Sent(now, w.ask.Service, g.Upstream)
-	a.ranking.Assigned(now, g.Upstream, a.need(w.ask), g.running)
-	a.loads.Reserve(now, w.ask.Box, g.Upstream.ID, loadOf(w.ask))
+// assign grants a request an upstream.
+func (a *Admission) assign(now time.Time, w *waiter, g Grant) {
+	a.rejections.remove(w.req.Key)
+	a.forecast.granted(now, a.rank(w.req), w.req.Prompt)
+	a.ranking.Sent(now, w.req.Service, g.Upstream)
+	a.ranking.Assigned(now, g.Upstream, a.need(w.req), g.running)
+	a.loads.Reserve(now, w.req.Box, g.Upstream.ID, loadOf(w.req))
 	if a.shares != nil {
-		a.shares.Assigned(now, w.ask.party(), a.Work(w.ask))
+		a.shares.Assigned(now, w.req.party(), a.Work(w.req))
 	}
-	a.line(now, w).WithFields(logrus.Fields{"upstream": g.Upstream.ID, "load": g.Load, "cost": g.Cost}).Info("admitted")
-	w.settled <- outcome{grant: g}
+	a.logEntry(now, w).WithFields(logrus.Fields{"upstream": g.Upstream.ID, "load": g.Load, "cost": g.Cost}).Info("admitted")
+	w.result <- outcome{grant: g}
 }
 
-func loadOf(ask Request) upstreamload.Load {
-	return upstreamload.Load{Requests: 1, Tokens: ask.Prompt, Coming: ask.Answer, Prefill: ask.Prompt}
+func loadOf(req Request) upstreamload.Load {
+	return upstreamload.Load{Requests: 1, Tokens: req.Prompt, Coming: req.Answer, Prefill: req.Prompt}
 }
 
-// compare orders those who wait: what may wait on first goes last, the urgent
-// before the others but for the starved, what holds memory for a moment before what
-// holds it for long, those who ask for less than their share before others, and then what has the
-// least time left, whether it has come back or not.
+// compare orders waiting requests: late requests that can wait longer go last, and those of
+// starved organisations first. The others are ordered by urgency, short requests before
+// long ones, by fair shares and by the time left.
 func (a *Admission) compare(now time.Time, x, y *waiter) int {
 	return cmp.Or(
-		first(!a.outlasts(now, x.ask), !a.outlasts(now, y.ask)),
-		first(x.standing.Starved, y.standing.Starved),
-		cmp.Compare(x.ask.Urgency, y.ask.Urgency),
-		first(a.short(x.ask), a.short(y.ask)),
-		cmp.Compare(a.turn(now, x), a.turn(now, y)),
-		cmp.Compare(a.due(now, x.ask), a.due(now, y.ask)),
+		trueFirst(!a.canWaitLonger(now, x.req), !a.canWaitLonger(now, y.req)),
+		trueFirst(x.standing.Starved, y.standing.Starved),
+		cmp.Compare(x.req.Urgency, y.req.Urgency),
+		trueFirst(a.short(x.req), a.short(y.req)),
+		cmp.Compare(a.fairnessClass(now, x), a.fairnessClass(now, y)),
+		cmp.Compare(a.maxWait(now, x.req), a.maxWait(now, y.req)),
 	)
 }
 
-// first orders what is before what is not.
-func first(x, y bool) int {
+// trueFirst orders true before false.
+func trueFirst(x, y bool) int {
 	switch {
 	case x == y:
 		return 0
@@ -329,18 +328,18 @@
 	return 1
 }
 
-// line begins the log line of a decision.
-func (a *Admission) line(now time.Time, w *waiter) *logrus.Entry {
-	line := a.log
+// logEntry returns a log entry with the fields of a decision.
+func (a *Admission) logEntry(now time.Time, w *waiter) *logrus.Entry {
+	entry := a.log
 	if a.shares != nil {
 		s := w.standing
-		line = line.WithFields(logrus.Fields{
-			"organisation": w.ask.Organisation, "share": int(s.Share), "given_work": int(s.Given), "owed": int(s.Owed()), "over": s.Over, "starved": s.Starved,
+		entry = entry.WithFields(logrus.Fields{
+			"organisation": w.req.Organisation, "share": int(s.Share), "given_work": int(s.Given), "owed": int(s.Owed()), "over": s.Over, "starved": s.Starved,
 		})
 	}
-	return line.WithFields(logrus.Fields{
-		"request": w.ask.ID, "for": w.ask.Box, "urgency": w.ask.Urgency, "prompt": w.ask.Prompt, "answer": w.ask.Answer,
-		"waited_ms": now.Sub(w.ask.Arrived).Milliseconds(), "left_ms": a.left(now, w.ask).Milliseconds(), "returns": w.returns,
-		"waiting": len(a.waiting), "read_ms": a.reading.Time(w.ask.Prompt).Milliseconds(),
+	return entry.WithFields(logrus.Fields{
+		"request": w.req.ID, "for": w.req.Box, "urgency": w.req.Urgency, "prompt": w.req.Prompt, "answer": w.req.Answer,
+		"waited_ms": now.Sub(w.req.Arrived).Milliseconds(), "left_ms": a.timeLeft(now, w.req).Milliseconds(), "returns": w.retried,
+		"waiting": len(a.waiting), "read_ms": a.prefill.Time(w.req.Prompt).Milliseconds(),
 	})
 }
--- a/admission/demand.go
+++ b/admission/demand.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// demand is what newcomers ask for. A box asks anew while a request waits, which
-// counts once.
+// demand is the rate of prompt tokens of new requests. A request counts once, although its
+// box repeats the call while it waits.
 type demand struct {
-	flow
-	known  map[string]time.Time // requests that were counted, and when
-	pruned time.Time
+	tokenRate
+	seen     map[string]time.Time // when each request was counted, by ID
+	prunedAt time.Time
 }
 
 func newDemand() *demand {
-	return &demand{flow: flow{span: demandSpan}, known: map[string]time.Time{}}
+	return &demand{tokenRate: tokenRate{window: demandWindow}, seen: map[string]time.Time{}}
 }
 
-// came notes a request that has come just now.
-func (d *demand) came(now time.Time, ask Request) {
+// arrived counts a new request.
+func (d *demand) arrived(now time.Time, req Request) {
 	d.prune(now)
-	if _, counted := d.known[ask.ID]; counted {
+	if _, counted := d.seen[req.ID]; counted {
 		return
 	}
-	d.known[ask.ID] = now
-	d.passed(now, ask.Prompt)
+	d.seen[req.ID] = now
+	d.add(now, req.Prompt)
 }
 
-// prune forgets requests that are asked for no more as newcomers.
+// prune drops old requests that are no longer repeated.
 func (d *demand) prune(now time.Time) {
-	if now.Sub(d.pruned) < demandSpan {
+	if now.Sub(d.prunedAt) < demandWindow {
 		return
 	}
-	d.pruned = now
-	for id, at := range d.known {
-		if now.Sub(at) > keptFor {
-			delete(d.known, id)
+	d.prunedAt = now
+	for id, at := range d.seen {
+		if now.Sub(at) > retention {
+			delete(d.seen, id)
 		}
 	}
 }
--- a/admission/forecast.go
+++ b/admission/forecast.go
@@ -3,15 +3,14 @@
 import "time"
 
 const (
-	// briefSpan and longSpan are over what the room that was given is averaged; the
-	// higher rate counts. The brief one follows a crowd that has just come, the long
-	// one spans the 3 to 4 s in which engines are away by turns, where the brief one
-	// dips.
-	briefSpan = time.Second
-	longSpan  = 4 * time.Second
+	// shortWindow and longWindow are the periods over which granted capacity is averaged; the
+	// higher rate counts. The short one follows a burst, the long one bridges the 3 to 4 s
+	// during which engines are being replaced.
+	shortWindow = time.Second
+	longWindow  = 4 * time.Second
 )
 
-// rank is what goes before what, apart from the time that is left.
+// rank is a request's class in the order of the queue, apart from the time left.
 type rank struct {
 	urgency int
 	short   bool
@@ -21,58 +20,56 @@
 	return r.urgency < o.urgency || r.urgency == o.urgency && r.short && !o.short
 }
 
-// given is the room that one rank was given.
-type given struct{ brief, long flow }
+// rankRates are the rates at which one rank was granted capacity.
+type rankRates struct{ short, long tokenRate }
 
-// forecast tells how long a request will wait: what goes before it, by the rate
-// at which room is given to its rank and those behind it, as whatever is more
-// urgent goes on coming.
-//
-// The pieces of room that engines have, and the time to read what is in line there,
-// say too little under a lasting shortage: what has been given says more.
+// forecast estimates how long a request will wait: the prompt tokens ahead of it, divided
+// by the rate at which its rank and those behind it are granted capacity. More urgent
+// requests are assumed to keep arriving. Past grants predict waits better than the free
+// memory of engines, which says little during a lasting shortage.
 type forecast struct {
-	given map[rank]*given
-	began time.Time // room was given for the first time
+	rates     map[rank]*rankRates
+	startedAt time.Time // the first grant
 }
 
 func newForecast() *forecast {
-	return &forecast{given: map[rank]*given{}}
+	return &forecast{rates: map[rank]*rankRates{}}
 }
 
-// gave notes that a request of a rank had room.
-func (f *forecast) gave(now time.Time, r rank, tokens int) {
-	if f.began.IsZero() {
-		f.began = now
+// granted records that a request of a rank was admitted.
+func (f *forecast) granted(now time.Time, r rank, tokens int) {
+	if f.startedAt.IsZero() {
+		f.startedAt = now
 	}
-	g, ok := f.given[r]
+	g, ok := f.rates[r]
 	if !ok {
-		g = &given{brief: flow{span: briefSpan}, long: flow{span: longSpan}}
-		f.given[r] = g
+		g = &rankRates{short: tokenRate{window: shortWindow}, long: tokenRate{window: longWindow}}
+		f.rates[r] = g
 	}
-	g.brief.passed(now, tokens)
-	g.long.passed(now, tokens)
+	g.short.add(now, tokens)
+	g.long.add(now, tokens)
 }
 
-// rate returns the tokens that a rank and those behind it are given in a second.
+// rate returns the tokens per second granted to a rank and those behind it.
 func (f *forecast) rate(now time.Time, r rank) float64 {
-	brief, long := 0.0, 0.0
-	for o, g := range f.given {
+	short, long := 0.0, 0.0
+	for o, g := range f.rates {
 		if !o.before(r) {
-			brief += g.brief.rate(now)
+			short += g.short.rate(now)
 			long += g.long.rate(now)
 		}
 	}
-	return max(brief, long)
+	return max(short, long)
 }
 
-// young tells whether too little was given yet to go by.
-func (f *forecast) young(now time.Time) bool {
-	return f.began.IsZero() || now.Sub(f.began) < longSpan
+// warmingUp reports whether there are too few grants for a forecast yet.
+func (f *forecast) warmingUp(now time.Time) bool {
+	return f.startedAt.IsZero() || now.Sub(f.startedAt) < longWindow
 }
 
-// expects returns how long a request waits behind so many tokens, where its rank is
-// given leaves tokens a second at least, and it has a part of that.
-func (f *forecast) expects(now time.Time, r rank, tokens int, leaves, part float64) time.Duration {
-	rate := part * max(f.rate(now, r), leaves)
-	return min(seconds(float64(tokens)/max(rate, 1)), comeMost)
+// wait returns the expected wait behind the given tokens. Freed is the minimal rate of its
+// rank in tokens per second, and share the request's share of the rate.
+func (f *forecast) wait(now time.Time, r rank, tokens int, freed, share float64) time.Duration {
+	rate := share * max(f.rate(now, r), freed)
+	return min(seconds(float64(tokens)/max(rate, 1)), maxRetryAfter)
 }
--- a/admission/hold.go
+++ b/admission/hold.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	// costly is from how many requests made late on a place is one to wait for a
-	// better one: below, the wait may cost more than the pause.
-	costly = 0.2
-	// holdPart is the part of the time in which its prompt has to be begun that a long
-	// answer waits for a better place at most; the rest is left for lines at engines.
-	holdPart = 0.4
+	// costThreshold is the expected number of late requests from which it is better to wait
+	// for another engine than to accept the cost.
+	costThreshold = 0.2
+	// holdFraction of the time in which its prompt has to be started is the longest that a
+	// long request waits for a better engine.
+	holdFraction = 0.4
 )
 
-// waits tells whether a request is held though it has room: it would be late there by
-// a pause, or make others so, and an engine that has no room now would keep its pause.
-func (a *Admission) waits(now time.Time, r round, ask Request, g Grant) bool {
-	if g.Cost < costly || ask.Aim == 0 || a.short(ask) {
+// shouldHold reports whether to hold a request although there is capacity: it or others
+// would be late there, and another engine that has no capacity now is fast enough.
+func (a *Admission) shouldHold(now time.Time, r round, req Request, g Grant) bool {
+	if g.Cost < costThreshold || req.Aim == 0 || a.short(req) {
 		return false
 	}
-	left := a.left(now, ask)
-	if left < time.Duration((1-holdPart)*float64(left+now.Sub(ask.Arrived))) {
+	left := a.timeLeft(now, req)
+	if left < time.Duration((1-holdFraction)*float64(left+now.Sub(req.Arrived))) {
 		return false
 	}
-	return anyCheap(a.ranked(now, r, ask))
+	return hasCheap(a.ranked(now, r, req))
 }
 
-// anyCheap tells whether an engine is cheap that takes new work.
-func anyCheap(ranked []picker.Choice) bool {
+// hasCheap reports whether an engine that accepts new requests has a low cost.
+func hasCheap(ranked []picker.Choice) bool {
 	for _, c := range ranked {
-		if c.Cost < costly && !c.Held {
+		if c.Cost < costThreshold && !c.Held {
 			return true
 		}
 	}
--- a/admission/round.go
+++ b/admission/round.go
@@ -9,37 +9,37 @@
 	"petrelstep/route"
 )
 
-// round is what is looked up once for all that wait; it holds until room is given.
+// round caches what is computed once for all waiting requests. It is valid until a
+// request is admitted.
 type round struct {
-	ranked  map[string][]picker.Choice // upstreams in their order, by whom they are for
-	leaving map[string]int             // tokens that run at those that leave, by service
+	ranked  map[string][]picker.Choice // ranked upstreams, by the requests' requirements
+	leaving map[string]int             // tokens at leaving upstreams, by service
 
-	reserved map[string]bool // upstreams that are kept for who is overdue, in this round
-	sampled  bool            // of many upstreams a sample is ranked
+	reserved map[string]bool // upstreams reserved for overdue requests in this round
+	sampled  bool            // only a sample of many upstreams is ranked
 }
 
-// allEvery is for how long the next round that weighs all of many upstreams is put off, for
-// each that was weighed: such rounds take a tenth of a processor, however many there are.
-const allEvery = 10 * time.Microsecond
+// fullRoundDelay is the delay of the next full round for each upstream that a full round
+// ranked. It bounds full rounds to a tenth of a processor.
+const fullRoundDelay = 10 * time.Microsecond
 
 func newRound(sampled bool) round {
 	return round{ranked: map[string][]picker.Choice{}, leaving: map[string]int{}, reserved: map[string]bool{}, sampled: sampled}
 }
 
-// sampled returns a round that ranks samples where upstreams are many: what is idle is
-// found so at a cost that does not grow with them. Who finds nothing waits for a round
-// that weighs all.
+// sampled returns a round that ranks samples of many upstreams, which finds idle ones at a
+// constant cost. Requests that find none wait for a full round.
 func (a *Admission) sampled(service route.Service) round {
 	return newRound(a.ranking.SampledFrom(service) > 0)
 }
 
-// nextRound returns the next round of those who wait: one that weighs all, if that is due.
+// nextRound returns the next round, a full one if that is due.
 func (a *Admission) nextRound(now time.Time) round {
-	many := 0
+	sampledFrom := 0
 	for _, w := range a.waiting {
-		many = max(many, a.ranking.SampledFrom(w.ask.Service))
+		sampledFrom = max(sampledFrom, a.ranking.SampledFrom(w.req.Service))
 	}
-	return newRound(many > 0 && now.Before(a.allAt))
+	return newRound(sampledFrom > 0 && now.Before(a.fullRoundAt))
 }
 
 func (r round) clear() {
@@ -47,7 +47,7 @@
 	clear(r.leaving)
 }
 
-// leaving returns the tokens that run at the upstreams of a service that leave.
+// leaving returns the tokens in use at the leaving upstreams of a service.
 func (a *Admission) leaving(now time.Time, r round, service string) int {
 	tokens, ok := r.leaving[service]
 	if !ok {
@@ -57,28 +57,29 @@
 	return tokens
 }
 
-// ranked returns the upstreams that a request may go to, the emptiest first.
-func (a *Admission) ranked(now time.Time, r round, ask Request) []picker.Choice {
-	need := a.need(ask)
-	key := strings.Join(append([]string{strconv.FormatBool(r.sampled), ask.Service.Name, ask.Hall, strings.Join(ask.Regions, ","), need.String()}, ask.Avoid...), "/")
+// ranked returns the upstreams for a request, best first.
+func (a *Admission) ranked(now time.Time, r round, req Request) []picker.Choice {
+	need := a.need(req)
+	key := strings.Join(append([]string{strconv.FormatBool(r.sampled), req.Service.Name, req.Hall, strings.Join(req.Regions, ","), need.String()}, req.Avoid...), "/")
 	list, ok := r.ranked[key]
 	if !ok {
 		list = a.ranking.Ranked(now, picker.Want{
-			Service: ask.Service, Tokens: ask.Prompt + ask.Answer, Hall: ask.Hall, Need: need, Avoid: ask.Avoid, Regions: ask.Regions, All: !r.sampled, Sample: r.sampled,
+			Service: req.Service, Tokens: req.Prompt + req.Answer, Hall: req.Hall, Need: need, Avoid: req.Avoid, Regions: req.Regions, All: !r.sampled, Sample: r.sampled,
 		})
 		r.ranked[key] = list
-		a.putOff(now, r, len(list))
+		a.delayFullRound(now, r, len(list))
 	}
 	return list
 }
 
-// putOff puts the next round off that weighs all, by what this one weighed.
-func (a *Admission) putOff(now time.Time, r round, upstreams int) {
+// delayFullRound delays the next full round by the number of upstreams that this one
+// ranked.
+func (a *Admission) delayFullRound(now time.Time, r round, upstreams int) {
 	if r.sampled {
 		return
 	}
-	if a.allAt.Before(now) {
-		a.allAt = now
+	if a.fullRoundAt.Before(now) {
+		a.fullRoundAt = now
 	}
-	a.allAt = a.allAt.Add(time.Duration(upstreams) * allEvery)
+	a.fullRoundAt = a.fullRoundAt.Add(time.Duration(upstreams) * fullRoundDelay)
 }
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -6,52 +6,49 @@
 	"petrelstep/balance/shares"
 )
 
-// weighEvery is how often shares are worked out while requests wait: an engine frees
-// room for one request in about as long.
-const weighEvery = 50 * time.Millisecond
+// sharesInterval is how often shares are recomputed while requests wait.
+const sharesInterval = 50 * time.Millisecond
 
-// party is whose shares a request counts for.
-func (a Request) party() shares.Party {
-	return shares.Party{Organisation: a.Organisation, Rank: a.Urgency}
+// party returns the party whose share a request counts against.
+func (r Request) party() shares.Party {
+	return shares.Party{Organisation: r.Organisation, Rank: r.Urgency}
 }
 
-// Work is the memory that a request is expected to hold times how long it does, in
-// token-seconds.
-func (a *Admission) Work(ask Request) float64 {
-	holds := a.reading.Time(ask.Prompt) + time.Duration(ask.Answer)*stepGuess
-	return float64(ask.Prompt+ask.Answer) * holds.Seconds()
+// Work returns a request's expected memory multiplied by its duration, in token-seconds.
+func (a *Admission) Work(req Request) float64 {
+	duration := a.prefill.Time(req.Prompt) + time.Duration(req.Answer)*defaultStep
+	return float64(req.Prompt+req.Answer) * duration.Seconds()
 }
 
-// weigh works out the shares from time to time, and notes how the organisations of
-// those who wait fare. While none waits but the one that has come, they do not count.
-func (a *Admission) weigh(now time.Time, came *waiter) {
-	if a.shares == nil || came != nil && len(a.waiting) == 1 {
+// updateShares recomputes the shares if that is due, and updates the standings of waiting
+// requests. It does nothing if only the request that has just arrived is waiting.
+func (a *Admission) updateShares(now time.Time, arrived *waiter) {
+	if a.shares == nil || arrived != nil && len(a.waiting) == 1 {
 		return
 	}
-	if now.Sub(a.weighed) < weighEvery {
-		if came != nil {
-			came.standing = a.shares.Standing(came.ask.party())
+	if now.Sub(a.sharesUpdatedAt) < sharesInterval {
+		if arrived != nil {
+			arrived.standing = a.shares.Standing(arrived.req.party())
 		}
 		return
 	}
-	a.weighed = now
-	waits := map[shares.Party]float64{}
+	a.sharesUpdatedAt = now
+	waitingWork := map[shares.Party]float64{}
 	for _, w := range a.waiting {
-		waits[w.ask.party()] += a.Work(w.ask)
+		waitingWork[w.req.party()] += a.Work(w.req)
 	}
-	a.shares.Weigh(now, waits)
+	a.shares.Weigh(now, waitingWork)
 	for _, w := range a.waiting {
-		w.standing = a.shares.Standing(w.ask.party())
+		w.standing = a.shares.Standing(w.req.party())
 	}
 }
 
-// turn orders requests by how their organisations fare: those who ask for no more than
-// their share first, as what they do not take is the others', then those who have not
-// been given theirs yet. One whose caller is about to leave gives way to nobody, nor does
-// one that holds memory for a moment: it takes what is too small for others.
-func (a *Admission) turn(now time.Time, w *waiter) int {
+// fairnessClass returns the class by which requests are ordered for fairness: first those
+// of organisations within their share, then of those that have not received their share
+// yet, then of others. Short and overdue requests are always in the first class.
+func (a *Admission) fairnessClass(now time.Time, w *waiter) int {
 	switch {
-	case !w.standing.Bound || a.short(w.ask) || a.overdue(now, w.ask):
+	case !w.standing.Bound || a.short(w.req) || a.overdue(now, w.req):
 		return 0
 	case !w.standing.Over:
 		return 1
@@ -59,23 +56,23 @@
 	return 2
 }
 
-// goOn is the part of what others take that they are expected to go on taking while a
-// request waits: a crowd ends as suddenly as it came. With none of it, of 1,460 drafts
-// 193 were let wait and late then, and 165 sent off; with all of it 32 and 353.
-const goOn = 0.5
+// continuingFraction of the others' current usage is expected to continue while a request
+// waits, as bursts end suddenly. Lower values let more requests wait in vain, higher ones
+// reject more.
+const continuingFraction = 0.5
 
-// part returns what part of its rank's room a request may count on to be in time. One
-// that may also be late has what comes after the crowd.
-func (a *Admission) part(now time.Time, w *waiter) float64 {
-	if !a.undecided(now, w) || w.standing.Starved || a.turn(now, w) == 0 {
+// shareOfRate returns the share of its rank's rate that a request may count on to be in
+// time. A request that may be late also gets what is free after the burst.
+func (a *Admission) shareOfRate(now time.Time, w *waiter) float64 {
+	if !a.rejectable(now, w) || w.standing.Starved || a.fairnessClass(now, w) == 0 {
 		return 1
 	}
-	return 1 - goOn*(1-w.standing.Part)
+	return 1 - continuingFraction*(1-w.standing.Part)
 }
 
-// refused notes that an organisation's request was refused for the first time.
-func (a *Admission) refused(now time.Time, w *waiter) {
-	if a.shares != nil && !w.returns {
-		a.shares.Refused(now, w.ask.party(), a.Work(w.ask))
+// recordRefusal records the first refusal of an organisation's request.
+func (a *Admission) recordRefusal(now time.Time, w *waiter) {
+	if a.shares != nil && !w.retried {
+		a.shares.Refused(now, w.req.party(), a.Work(w.req))
 	}
 }
