--- a/admission/largefleet_test.go
+++ b/admission/largefleet_test.go
@@ -27,7 +27,7 @@
 	ranked int
 }
 
-// Ranked implements admission's ranking.
+// Ranked implements admission's interface ranker.
 func (c *countingRanker) Ranked(now time.Time, w picker.Want) []picker.Choice {
 	list := c.Picker.Ranked(now, w)
 	c.ranked += len(list)
--- a/peerstate/peerstate.go
+++ b/peerstate/peerstate.go
@@ -58,43 +58,43 @@
 }
 
 // Update replaces the report of another box.
-func (p *Totals[T]) Update(now time.Time, box string, list map[string]T) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.drop(box)
-	if len(p.others) == 0 || now.Before(p.oldest) {
-		p.oldest = now
+func (t *Totals[T]) Update(now time.Time, box string, list map[string]T) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.drop(box)
+	if len(t.others) == 0 || now.Before(t.oldest) {
+		t.oldest = now
 	}
-	p.others[box] = report[T]{now, list}
+	t.others[box] = report[T]{now, list}
 	for upstream, v := range list {
-		t := p.totals[upstream]
-		p.totals[upstream] = total[T]{t.sum.Plus(v), t.boxes + 1}
+		old := t.totals[upstream]
+		t.totals[upstream] = total[T]{old.sum.Plus(v), old.boxes + 1}
 	}
 }
 
 // SetCoverage records, before a box's report is updated, whether the box reports to this
 // box only, and how many other boxes the report includes.
-func (p *Totals[T]) SetCoverage(box string, exclusive bool, c Coverage) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.exclusive[box], p.coverage[box] = exclusive, c
+func (t *Totals[T]) SetCoverage(box string, exclusive bool, c Coverage) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.exclusive[box], t.coverage[box] = exclusive, c
 	if !exclusive {
-		delete(p.exclusive, box)
+		delete(t.exclusive, box)
 	}
 	if c.Boxes == 0 {
-		delete(p.coverage, box)
+		delete(t.coverage, box)
 	}
 }
 
 // AddExclusive adds the reports of boxes that report to this box only to a list for the
 // hubs that don't receive them. It returns the number of those boxes.
-func (p *Totals[T]) AddExclusive(now time.Time, list map[string]T) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.expire(now)
+func (t *Totals[T]) AddExclusive(now time.Time, list map[string]T) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
 	boxes := 0
-	for box := range p.exclusive {
-		o, ok := p.others[box]
+	for box := range t.exclusive {
+		o, ok := t.others[box]
 		if !ok {
 			continue
 		}
@@ -107,59 +107,59 @@
 }
 
 // drop subtracts a box's report from the totals.
-func (p *Totals[T]) drop(box string) {
-	for upstream, v := range p.others[box].list {
-		t := p.totals[upstream]
-		if t.boxes == 1 {
-			delete(p.totals, upstream) // together with any rounding error
+func (t *Totals[T]) drop(box string) {
+	for upstream, v := range t.others[box].list {
+		old := t.totals[upstream]
+		if old.boxes == 1 {
+			delete(t.totals, upstream) // together with any rounding error
 			continue
 		}
-		p.totals[upstream] = total[T]{t.sum.Minus(v), t.boxes - 1}
+		t.totals[upstream] = total[T]{old.sum.Minus(v), old.boxes - 1}
 	}
-	delete(p.others, box)
+	delete(t.others, box)
 }
 
 // expire drops reports that are no longer fresh. It scans them only when one may have
 // expired.
-func (p *Totals[T]) expire(now time.Time) {
-	if now.Sub(p.oldest) <= maxAge {
+func (t *Totals[T]) expire(now time.Time) {
+	if now.Sub(t.oldest) <= maxAge {
 		return
 	}
-	p.oldest = now
-	for box, o := range p.others {
+	t.oldest = now
+	for box, o := range t.others {
 		switch {
 		case !o.fresh(now):
-			p.drop(box)
-			delete(p.exclusive, box)
-			delete(p.coverage, box)
-		case o.at.Before(p.oldest):
-			p.oldest = o.at
+			t.drop(box)
+			delete(t.exclusive, box)
+			delete(t.coverage, box)
+		case o.at.Before(t.oldest):
+			t.oldest = o.at
 		}
 	}
 }
 
 // UpdateSum replaces a hub's sum of all other boxes' reports.
-func (p *Totals[T]) UpdateSum(now time.Time, list map[string]T) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.sum = report[T]{now, list}
+func (t *Totals[T]) UpdateSum(now time.Time, list map[string]T) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sum = report[T]{now, list}
 }
 
 // SumAge returns the time since a hub last sent the sum.
-func (p *Totals[T]) SumAge(now time.Time) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return now.Sub(p.sum.at)
+func (t *Totals[T]) SumAge(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return now.Sub(t.sum.at)
 }
 
 // Boxes returns the number of other boxes with a fresh report, direct or through a hub.
-func (p *Totals[T]) Boxes(now time.Time) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.expire(now)
-	boxes := len(p.others)
-	for box, c := range p.coverage {
-		if _, reported := p.others[box]; reported {
+func (t *Totals[T]) Boxes(now time.Time) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	boxes := len(t.others)
+	for box, c := range t.coverage {
+		if _, reported := t.others[box]; reported {
 			boxes += c.Boxes
 		}
 	}
@@ -167,11 +167,11 @@
 }
 
 // RecentBoxes returns the number of boxes that reported to this one within a duration.
-func (p *Totals[T]) RecentBoxes(now time.Time, within time.Duration) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *Totals[T]) RecentBoxes(now time.Time, within time.Duration) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	boxes := 0
-	for _, o := range p.others {
+	for _, o := range t.others {
 		if now.Sub(o.at) <= within {
 			boxes++
 		}
@@ -180,12 +180,12 @@
 }
 
 // RecentExclusive returns how many of these boxes report to this one only.
-func (p *Totals[T]) RecentExclusive(now time.Time, within time.Duration) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *Totals[T]) RecentExclusive(now time.Time, within time.Duration) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	boxes := 0
-	for box := range p.exclusive {
-		if o, ok := p.others[box]; ok && now.Sub(o.at) <= within {
+	for box := range t.exclusive {
+		if o, ok := t.others[box]; ok && now.Sub(o.at) <= within {
 			boxes++
 		}
 	}
@@ -194,12 +194,12 @@
 
 // RecentIndirect returns the number of boxes that had recently reported to the boxes
 // that reported to this one within a duration.
-func (p *Totals[T]) RecentIndirect(now time.Time, within time.Duration) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (t *Totals[T]) RecentIndirect(now time.Time, within time.Duration) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	boxes := 0
-	for box, c := range p.coverage {
-		if o, ok := p.others[box]; ok && now.Sub(o.at) <= within {
+	for box, c := range t.coverage {
+		if o, ok := t.others[box]; ok && now.Sub(o.at) <= within {
 			boxes += c.Recent
 		}
 	}
@@ -208,67 +208,67 @@
 
 // Older increases the age of all reports by the time that this box's machine was
 // suspended, which the monotonic clock doesn't count.
-func (p *Totals[T]) Older(by time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for box, r := range p.others {
+func (t *Totals[T]) Older(by time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for box, r := range t.others {
 		r.at = r.at.Add(-by)
-		p.others[box] = r
+		t.others[box] = r
 	}
-	p.oldest, p.sum.at = p.oldest.Add(-by), p.sum.at.Add(-by)
+	t.oldest, t.sum.at = t.oldest.Add(-by), t.sum.at.Add(-by)
 }
 
 // Forget drops all reports on an upstream.
-func (p *Totals[T]) Forget(upstream string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, o := range p.others {
+func (t *Totals[T]) Forget(upstream string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, o := range t.others {
 		delete(o.list, upstream)
 	}
-	delete(p.totals, upstream)
-	delete(p.sum.list, upstream)
+	delete(t.totals, upstream)
+	delete(t.sum.list, upstream)
 }
 
 // Of returns the other boxes' total at an upstream: a hub's sum if it is fresh, or else
 // the sum of their reports.
-func (p *Totals[T]) Of(now time.Time, upstream string) T {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.sum.fresh(now) {
-		return p.sum.list[upstream]
+func (t *Totals[T]) Of(now time.Time, upstream string) T {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.sum.fresh(now) {
+		return t.sum.list[upstream]
 	}
-	p.expire(now)
-	return p.totals[upstream].sum
+	t.expire(now)
+	return t.totals[upstream].sum
 }
 
 // AddExcept adds the reports of all boxes except one to a list that is sent to that box.
-func (p *Totals[T]) AddExcept(now time.Time, box string, list map[string]T) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.expire(now)
-	own := p.others[box].list
-	for upstream, t := range p.totals {
+func (t *Totals[T]) AddExcept(now time.Time, box string, list map[string]T) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	own := t.others[box].list
+	for upstream, entry := range t.totals {
 		v, reported := own[upstream]
 		switch {
 		case !reported:
-			list[upstream] = list[upstream].Plus(t.sum)
-		case t.boxes > 1:
-			list[upstream] = list[upstream].Plus(t.sum.Minus(v))
+			list[upstream] = list[upstream].Plus(entry.sum)
+		case entry.boxes > 1:
+			list[upstream] = list[upstream].Plus(entry.sum.Minus(v))
 		}
 	}
 }
 
 // All returns a copy of the other boxes' totals by upstream.
-func (p *Totals[T]) All(now time.Time) map[string]T {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.sum.fresh(now) && len(p.sum.list) > 0 {
-		return maps.Clone(p.sum.list)
+func (t *Totals[T]) All(now time.Time) map[string]T {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.sum.fresh(now) && len(t.sum.list) > 0 {
+		return maps.Clone(t.sum.list)
 	}
-	p.expire(now)
-	all := make(map[string]T, len(p.totals))
-	for upstream, t := range p.totals {
-		all[upstream] = t.sum
+	t.expire(now)
+	all := make(map[string]T, len(t.totals))
+	for upstream, entry := range t.totals {
+		all[upstream] = entry.sum
 	}
 	return all
 }
--- a/upstreamload/upstreamload.go
+++ b/upstreamload/upstreamload.go
@@ -14,7 +14,7 @@
 
 const (
 	// reservationMinAge is the age below which a report may not yet include the reserved
-	// request: the grant has to reach the box and the report has to come back.
+	// request: first the grant has to reach the box, then the report this one.
 	reservationMinAge = 100 * time.Millisecond
 	// reservationMaxAge is when a reservation expires without a report of its box: three
 	// gossip intervals.
@@ -27,8 +27,8 @@
 // Load is the load of one upstream.
 type Load struct {
 	Requests int
-	Tokens   int // memory in use
-	Coming   int // memory that running requests are expected to need in addition
+	Tokens   int // tokens of memory in use
+	Coming   int // tokens that running requests are expected to add to it
 	Prefill  int // tokens of prompts without a first event yet
 	Paced    int // streams with a known pace
 	PaceUs   int // sum of their times between events, in microseconds
