--- a/quota/quota.go
+++ b/quota/quota.go
@@ -20,8 +20,8 @@
 	// minShare is the part of an even share that a box keeps without demand, so that its
 	// first requests are admitted before its peers know of them.
 	minShare = 0.25
-	// demandSpan is the duration over which this box's demand is averaged.
-	demandSpan = 2 * time.Second
+	// demandWindow is the duration over which this box's demand is averaged.
+	demandWindow = 2 * time.Second
 )
 
 // Use is an organisation's demand at one box.
@@ -91,7 +91,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	a := q.account(now, organisation)
-	a.demand += 1 / demandSpan.Seconds()
+	a.demand += 1 / demandWindow.Seconds()
 	if perSecond <= 0 {
 		return true, 0
 	}
@@ -176,7 +176,7 @@
 		q.accounts[organisation] = a
 	}
 	elapsed := now.Sub(a.at)
-	a.demand *= max(0, 1-elapsed.Seconds()/demandSpan.Seconds())
+	a.demand *= max(0, 1-elapsed.Seconds()/demandWindow.Seconds())
 	a.at = now
 	return a
 }
