--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -136,11 +136,11 @@
 }
 
 func (b byTurns) Take(ctx context.Context, ask evacuate.Ask) (string, func()) {
-	target, ok := b.turns.Take(ctx, moveturns.Ask{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
+	target, ok := b.turns.Take(ctx, moveturns.Request{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
 	if !ok {
 		return ask.Targets[0], func() {}
 	}
-	return target, func() { b.turns.GiveBack(ask.Source.ID, b.box) }
+	return target, func() { b.turns.Release(ask.Source.ID, b.box) }
 }
 
 var leaving = fleet.Upstream{ID: "old", Service: "llm", Address: "10.0.0.1:1", Hall: "leith"}
@@ -167,7 +167,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	b := &box{runs: runs.New(), tally: upstreamload.New()}
-	chooser := picker.New(picker.Parts{Fleet: f, Tally: b.tally, Reliability: reliability.New(), Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
+	chooser := picker.New(picker.Parts{Fleet: f, Loads: b.tally, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	service := route.Service{Name: "llm", Engine: &route.Engine{Slots: 48, Memory: 34000, Moves: true, EventTokens: 4}}
 	b.Evacuator = evacuate.New(evacuate.Parts{
 		Runs: b.runs, Chooser: chooser, Mover: mover, Turns: t, Tally: b.tally,
--- a/peerstate/peerstate.go
+++ b/peerstate/peerstate.go
@@ -1,5 +1,5 @@
-// Package peerstate keeps what other boxes last told, by upstream: each box's own
-// word, or the sum of all others that a hub tells.
+// Package peerstate holds the last reports of other boxes by upstream: each box's own
+// report, or the sum of all others that a hub sends.
 package peerstate
 
 import (
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// freshFor is how long a box's word counts: some of its periods of gossip,
-// after which it is taken to be gone, and what it told of with it.
-const freshFor = 3 * time.Second
+// maxAge is how long a box's report counts, several gossip intervals. A box that is
+// silent for longer is considered down, and its report is dropped.
+const maxAge = 3 * time.Second
 
-// Sum is what can be added up.
+// Sum is a value that can be added and subtracted.
 type Sum[T any] interface {
 	// Plus returns the sum of both.
 	Plus(other T) T
@@ -20,80 +20,81 @@
 	Minus(other T) T
 }
 
-type word[T any] struct {
+// report is what one box, or a hub for all others, sent last.
+type report[T any] struct {
 	at   time.Time
 	list map[string]T
 }
 
-func (w word[T]) fresh(now time.Time) bool { return now.Sub(w.at) <= freshFor }
+func (r report[T]) fresh(now time.Time) bool { return now.Sub(r.at) <= maxAge }
 
-// total is the sum of what boxes told of one upstream.
+// total is the sum of all reports on one upstream.
 type total[T any] struct {
 	sum   T
-	boxes int // that told of it
+	boxes int // number of reports in sum
 }
 
-// Cover is how many boxes a word holds besides the one that tells it.
-type Cover struct {
-	Boxes int
-	Near  int // of these, that had just told it
+// Coverage is the number of boxes that a report includes besides its sender.
+type Coverage struct {
+	Boxes  int
+	Recent int // of these, the boxes that the sender heard from recently
 }
 
-// Totals is safe for use by several goroutines. It keeps the sum of all words as they come
-// and lapse, so that what is asked of it costs the same however many boxes tell.
+// Totals is safe for use by several goroutines. It maintains running sums, so that the
+// cost of reading an upstream's total does not grow with the number of boxes.
 type Totals[T Sum[T]] struct {
-	mu     sync.Mutex
-	others map[string]word[T]
-	totals map[string]total[T] // of others, by upstream
-	oldest time.Time           // no word of others is older
-	sum    word[T]             // of all other boxes, as a hub tells it
-	only   map[string]bool     // boxes that tell this one alone, by name
-	covers map[string]Cover    // whom else the words of others hold, by name
+	mu        sync.Mutex
+	others    map[string]report[T]
+	totals    map[string]total[T] // sum of others, by upstream
+	oldest    time.Time           // no report in others is older
+	sum       report[T]           // of all other boxes, as sent by a hub
+	exclusive map[string]bool     // boxes that report to this box only, by name
+	coverage  map[string]Coverage // of the reports in others, by box
 }
 
-// New returns an empty book.
+// New returns totals without any report.
 func New[T Sum[T]]() *Totals[T] {
-	return &Totals[T]{others: map[string]word[T]{}, totals: map[string]total[T]{}, only: map[string]bool{}, covers: map[string]Cover{}}
+	return &Totals[T]{others: map[string]report[T]{}, totals: map[string]total[T]{}, exclusive: map[string]bool{}, coverage: map[string]Coverage{}}
 }
 
-// Told takes another box's word.
-func (b *Totals[T]) Told(now time.Time, box string, list map[string]T) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.drop(box)
-	if len(b.others) == 0 || now.Before(b.oldest) {
-		b.oldest = now
+// Update replaces the report of another box.
+func (t *Totals[T]) Update(now time.Time, box string, list map[string]T) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.drop(box)
+	if len(t.others) == 0 || now.Before(t.oldest) {
+		t.oldest = now
 	}
-	b.others[box] = word[T]{now, list}
+	t.others[box] = report[T]{now, list}
 	for upstream, v := range list {
-		t := b.totals[upstream]
-		b.totals[upstream] = total[T]{t.sum.Plus(v), t.boxes + 1}
+		old := t.totals[upstream]
+		t.totals[upstream] = total[T]{old.sum.Plus(v), old.boxes + 1}
 	}
 }
 
-// Covers notes, before a box's word is taken, whether the box tells this one alone,
-// and whom besides it the word holds.
-func (b *Totals[T]) Covers(box string, only bool, c Cover) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.only[box], b.covers[box] = only, c
-	if !only {
-		delete(b.only, box)
+// SetCoverage records, before a box's report is updated, whether the box reports to this
+// box only, and how many other boxes the report includes.
+func (t *Totals[T]) SetCoverage(box string, exclusive bool, c Coverage) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.exclusive[box], t.coverage[box] = exclusive, c
+	if !exclusive {
+		delete(t.exclusive, box)
 	}
 	if c.Boxes == 0 {
-		delete(b.covers, box)
+		delete(t.coverage, box)
 	}
 }
 
-// Part adds what the boxes told that tell this one alone to a list, for those that
-// do not hear them, and returns how many such boxes there are.
-func (b *Totals[T]) Part(now time.Time, list map[string]T) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lapse(now)
+// AddExclusive adds the reports of boxes that report to this box only to a list for the
+// hubs that don't receive them. It returns the number of those boxes.
+func (t *Totals[T]) AddExclusive(now time.Time, list map[string]T) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
 	boxes := 0
-	for box := range b.only {
-		o, ok := b.others[box]
+	for box := range t.exclusive {
+		o, ok := t.others[box]
 		if !ok {
 			continue
 		}
@@ -105,72 +106,72 @@
 	return boxes
 }
 
-// drop takes a box's word off the totals.
-func (b *Totals[T]) drop(box string) {
-	for upstream, v := range b.others[box].list {
-		t := b.totals[upstream]
-		if t.boxes == 1 {
-			delete(b.totals, upstream) // and what rounding has left
+// drop subtracts a box's report from the totals.
+func (t *Totals[T]) drop(box string) {
+	for upstream, v := range t.others[box].list {
+		old := t.totals[upstream]
+		if old.boxes == 1 {
+			delete(t.totals, upstream) // together with any rounding error
 			continue
 		}
-		b.totals[upstream] = total[T]{t.sum.Minus(v), t.boxes - 1}
+		t.totals[upstream] = total[T]{old.sum.Minus(v), old.boxes - 1}
 	}
-	delete(b.others, box)
+	delete(t.others, box)
 }
 
-// lapse drops the words that are no longer fresh. It looks at all of them only
-// when one may have lapsed.
-func (b *Totals[T]) lapse(now time.Time) {
-	if now.Sub(b.oldest) <= freshFor {
+// expire drops reports that are no longer fresh. It scans them only when one may have
+// expired.
+func (t *Totals[T]) expire(now time.Time) {
+	if now.Sub(t.oldest) <= maxAge {
 		return
 	}
-	b.oldest = now
-	for box, o := range b.others {
+	t.oldest = now
+	for box, o := range t.others {
 		switch {
 		case !o.fresh(now):
-			b.drop(box)
-			delete(b.only, box)
-			delete(b.covers, box)
-		case o.at.Before(b.oldest):
-			b.oldest = o.at
+			t.drop(box)
+			delete(t.exclusive, box)
+			delete(t.coverage, box)
+		case o.at.Before(t.oldest):
+			t.oldest = o.at
 		}
 	}
 }
 
-// ToldSum takes a hub's word of what all other boxes have.
-func (b *Totals[T]) ToldSum(now time.Time, list map[string]T) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sum = word[T]{now, list}
+// UpdateSum replaces a hub's sum of all other boxes' reports.
+func (t *Totals[T]) UpdateSum(now time.Time, list map[string]T) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.sum = report[T]{now, list}
 }
 
-// SumAge returns how long ago a hub last told the sum.
-func (b *Totals[T]) SumAge(now time.Time) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return now.Sub(b.sum.at)
+// SumAge returns the time since a hub last sent the sum.
+func (t *Totals[T]) SumAge(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return now.Sub(t.sum.at)
 }
 
-// Boxes returns how many other boxes have told of late, by themselves or by others.
-func (b *Totals[T]) Boxes(now time.Time) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lapse(now)
-	boxes := len(b.others)
-	for box, c := range b.covers {
-		if _, told := b.others[box]; told {
+// Boxes returns the number of other boxes with a fresh report, direct or through a hub.
+func (t *Totals[T]) Boxes(now time.Time) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	boxes := len(t.others)
+	for box, c := range t.coverage {
+		if _, reported := t.others[box]; reported {
 			boxes += c.Boxes
 		}
 	}
 	return boxes
 }
 
-// Heard returns how many other boxes have told this one within a time.
-func (b *Totals[T]) Heard(now time.Time, within time.Duration) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecentBoxes returns the number of boxes that reported to this one within a duration.
+func (t *Totals[T]) RecentBoxes(now time.Time, within time.Duration) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	boxes := 0
-	for _, o := range b.others {
+	for _, o := range t.others {
 		if now.Sub(o.at) <= within {
 			boxes++
 		}
@@ -178,96 +179,96 @@
 	return boxes
 }
 
-// HeardAlone returns how many of them tell this one alone.
-func (b *Totals[T]) HeardAlone(now time.Time, within time.Duration) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecentExclusive returns how many of these boxes report to this one only.
+func (t *Totals[T]) RecentExclusive(now time.Time, within time.Duration) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	boxes := 0
-	for box := range b.only {
-		if o, ok := b.others[box]; ok && now.Sub(o.at) <= within {
+	for box := range t.exclusive {
+		if o, ok := t.others[box]; ok && now.Sub(o.at) <= within {
 			boxes++
 		}
 	}
 	return boxes
 }
 
-// HeardBehind returns how many boxes had just told others that told this one within a
-// time.
-func (b *Totals[T]) HeardBehind(now time.Time, within time.Duration) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// RecentIndirect returns the number of boxes that had recently reported to the boxes
+// that reported to this one within a duration.
+func (t *Totals[T]) RecentIndirect(now time.Time, within time.Duration) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	boxes := 0
-	for box, c := range b.covers {
-		if o, ok := b.others[box]; ok && now.Sub(o.at) <= within {
-			boxes += c.Near
+	for box, c := range t.coverage {
+		if o, ok := t.others[box]; ok && now.Sub(o.at) <= within {
+			boxes += c.Recent
 		}
 	}
 	return boxes
 }
 
-// Older makes all words older: this box's machine was suspended, which the steady clock
-// leaves out.
-func (b *Totals[T]) Older(by time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for box, w := range b.others {
-		w.at = w.at.Add(-by)
-		b.others[box] = w
+// Older increases the age of all reports by the time that this box's machine was
+// suspended, which the monotonic clock doesn't count.
+func (t *Totals[T]) Older(by time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for box, r := range t.others {
+		r.at = r.at.Add(-by)
+		t.others[box] = r
 	}
-	b.oldest, b.sum.at = b.oldest.Add(-by), b.sum.at.Add(-by)
+	t.oldest, t.sum.at = t.oldest.Add(-by), t.sum.at.Add(-by)
 }
 
-// Forget drops what was told of an upstream.
-func (b *Totals[T]) Forget(upstream string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, o := range b.others {
+// Forget drops all reports on an upstream.
+func (t *Totals[T]) Forget(upstream string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, o := range t.others {
 		delete(o.list, upstream)
 	}
-	delete(b.totals, upstream)
-	delete(b.sum.list, upstream)
+	delete(t.totals, upstream)
+	delete(t.sum.list, upstream)
 }
 
-// Of returns what the others have at an upstream: by the sum that a hub tells,
-// or by what they tell themselves.
-func (b *Totals[T]) Of(now time.Time, upstream string) T {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.sum.fresh(now) {
-		return b.sum.list[upstream]
+// Of returns the other boxes' total at an upstream: a hub's sum if it is fresh, or else
+// the sum of their reports.
+func (t *Totals[T]) Of(now time.Time, upstream string) T {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.sum.fresh(now) {
+		return t.sum.list[upstream]
 	}
-	b.lapse(now)
-	return b.totals[upstream].sum
+	t.expire(now)
+	return t.totals[upstream].sum
 }
 
-// Without adds what all boxes but one told to a list, for that one.
-func (b *Totals[T]) Without(now time.Time, box string, list map[string]T) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lapse(now)
-	own := b.others[box].list
-	for upstream, t := range b.totals {
-		v, told := own[upstream]
+// AddExcept adds the reports of all boxes except one to a list that is sent to that box.
+func (t *Totals[T]) AddExcept(now time.Time, box string, list map[string]T) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	own := t.others[box].list
+	for upstream, entry := range t.totals {
+		v, reported := own[upstream]
 		switch {
-		case !told:
-			list[upstream] = list[upstream].Plus(t.sum)
-		case t.boxes > 1:
-			list[upstream] = list[upstream].Plus(t.sum.Minus(v))
+		case !reported:
+			list[upstream] = list[upstream].Plus(entry.sum)
+		case entry.boxes > 1:
+			list[upstream] = list[upstream].Plus(entry.sum.Minus(v))
 		}
 	}
 }
 
-// All returns a copy of what the others have, by upstream.
-func (b *Totals[T]) All(now time.Time) map[string]T {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.sum.fresh(now) && len(b.sum.list) > 0 {
-		return maps.Clone(b.sum.list)
+// All returns a copy of the other boxes' totals by upstream.
+func (t *Totals[T]) All(now time.Time) map[string]T {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.sum.fresh(now) && len(t.sum.list) > 0 {
+		return maps.Clone(t.sum.list)
 	}
-	b.lapse(now)
-	all := make(map[string]T, len(b.totals))
-	for upstream, t := range b.totals {
-		all[upstream] = t.sum
+	t.expire(now)
+	all := make(map[string]T, len(t.totals))
+	for upstream, entry := range t.totals {
+		all[upstream] = entry.sum
 	}
 	return all
 }
