--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -428,7 +428,7 @@
 			var refused refusal.Refusal
 			is.True(errors.As(err, &refused))
 			is.Equal(refused.Reason(), refusal.WaitTooLong)
-			is.Equal(refused.Ending(), refusal.NotRun)
+			is.Equal(refused.Outcome(), refusal.NotRun)
 			back := refused.RetryAfter()
 			is.True(back >= 500*time.Millisecond && back <= 13*time.Second) // a third of its time
 			times[back] = true
--- a/balance/places/line_test.go
+++ b/balance/places/line_test.go
@@ -83,7 +83,7 @@
 				if tt.refused != "" {
 					is.True(errors.As(err, &refused))
 					is.Equal(refused.Reason(), tt.refused)
-					is.Equal(refused.Ending(), refusal.NotRun)
+					is.Equal(refused.Outcome(), refusal.NotRun)
 					is.True(refused.RetryAfter() > 0)
 					is.Equal(took, time.Duration(0)) // told at once
 					return
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -158,12 +158,12 @@
 }
 
 func worseOf(last, now refusal.Refusal) refusal.Refusal {
-	switch last.Ending() {
+	switch last.Outcome() {
 	case refusal.Unknown:
-		return now.WithEnding(refusal.Unknown)
+		return now.WithOutcome(refusal.Unknown)
 	case refusal.Failed:
-		if now.Ending() == refusal.NotRun {
-			return now.WithEnding(refusal.Failed)
+		if now.Outcome() == refusal.NotRun {
+			return now.WithOutcome(refusal.Failed)
 		}
 	}
 	return now
--- a/dispatch/failed.go
+++ b/dispatch/failed.go
@@ -42,9 +42,9 @@
 	answer, err := d.Engines.Cancel(ctx, t.address, t.attempt)
 	switch {
 	case err != nil || answer.State == wire.CancelAnswerStateUnknown:
-		return r.WithEnding(refusal.Unknown), again
+		return r.WithOutcome(refusal.Unknown), again
 	case answer.State == wire.CancelAnswerStateNeverStarted:
-		return r.WithEnding(refusal.NotRun), again
+		return r.WithOutcome(refusal.NotRun), again
 	}
-	return r.WithEnding(refusal.Failed), again
+	return r.WithOutcome(refusal.Failed), again
 }
--- a/edge/limits_strikes_test.go
+++ b/edge/limits_strikes_test.go
@@ -403,7 +403,7 @@
 			if a.urgent {
 				c.urgentServed++
 			}
-		case a.refused.Ending() == refusal.NotRun && a.refused.RetryAfter() > 0:
+		case a.refused.Outcome() == refusal.NotRun && a.refused.RetryAfter() > 0:
 			c.refused++
 			c.slowestRefusal = max(c.slowestRefusal, a.took)
 		}
--- a/front/front.go
+++ b/front/front.go
@@ -152,9 +152,9 @@
 // refuse answers, counts and logs a refusal.
 func (f *Front) refuse(w http.ResponseWriter, r *http.Request, id string, refused refusal.Refusal) {
 	f.Metrics.Refused(refused.Reason())
-	f.Metrics.Ended(refused.Ending())
+	f.Metrics.Ended(refused.Outcome())
 	f.Log.WithFields(logrus.Fields{
-		"request": short(id), "path": pathOf(r), "ending": refused.Ending(), "reason": refused.Reason(),
+		"request": short(id), "path": pathOf(r), "ending": refused.Outcome(), "reason": refused.Reason(),
 		"retry_after_ms": refused.RetryAfter().Milliseconds(),
 	}).Info("refused")
 	refused.WithRequest(id).Write(w)
--- a/front/generation.go
+++ b/front/generation.go
@@ -115,7 +115,7 @@
 	out.end(end)
 	running.End(err != io.EOF)
 	f.Metrics.Streamed(out.sent, out.first.Seconds(), out.longest.Seconds(), out.stall.Seconds())
-	f.Metrics.Ended(refusal.Ending(end.Ending))
+	f.Metrics.Ended(refusal.Outcome(end.Ending))
 	if end.Reason != "" {
 		f.Metrics.Refused(refusal.Reason(end.Reason))
 	}
@@ -225,7 +225,7 @@
 		if engine.KindOf(err) == engine.Gone {
 			return refusal.New(refusal.GenerationLost, "the engine no longer has it").WithRetryAfter(comeAgain)
 		}
-		return refusal.New(refusal.UpstreamLost, "the engine does not answer").WithEnding(refusal.Unknown).WithRetryAfter(comeAgain)
+		return refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(comeAgain)
 	}
 	f.Metrics.Retried(metrics.RetryResume)
 	running := f.Dispatcher.TakenUp(claims, g)
@@ -253,7 +253,7 @@
 	}
 	answer, err := f.Engines.Cancel(r.Context(), claims.Address, claims.Attempt)
 	if err != nil {
-		return id, refusal.New(refusal.UpstreamLost, "the engine does not answer").WithEnding(refusal.Unknown).WithRetryAfter(comeAgain)
+		return id, refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(comeAgain)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	return id, json.NewEncoder(w).Encode(answer)
--- a/front/service.go
+++ b/front/service.go
@@ -90,7 +90,7 @@
 	if service.NotSent(last) {
 		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(comeAgain)
 	}
-	return refusal.New(refusal.UpstreamLost, "the service gave no answer").WithEnding(refusal.Unknown).WithRetryAfter(comeAgain)
+	return refusal.New(refusal.UpstreamLost, "the service gave no answer").WithOutcome(refusal.Unknown).WithRetryAfter(comeAgain)
 }
 
 // once carries out a call without a key: elsewhere only while no byte of it
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -120,7 +120,7 @@
 	switch record.State {
 	case wire.LedgerRecordStateDone:
 		if record.Status == 0 {
-			return nil, false, refusal.New(refusal.AnswerNotKept, "it ran; its answer was too large to keep").WithEnding(refusal.Unknown)
+			return nil, false, refusal.New(refusal.AnswerNotKept, "it ran; its answer was too large to keep").WithOutcome(refusal.Unknown)
 		}
 		return &record, false, nil
 	case wire.LedgerRecordStateNotRun:
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -215,7 +215,7 @@
 }
 
 // Ended counts a request's ending.
-func (m *Metrics) Ended(e refusal.Ending) {
+func (m *Metrics) Ended(e refusal.Outcome) {
 	m.endings.Add(context.Background(), 1, metric.WithAttributes(attribute.String("ending", string(e))))
 }
 
--- a/refusal/reason.go
+++ b/refusal/reason.go
@@ -51,20 +51,20 @@
 	InternalUnexpected Reason = "internal"
 )
 
-// Ending is what finally became of a request.
-type Ending string
+// Outcome is what finally became of a request.
+type Outcome string
 
-// The endings. NotRun is certain; Unknown may have run.
+// The outcomes. NotRun is certain; Unknown may have run.
 const (
-	Done    Ending = "done"
-	NotRun  Ending = "not_run"
-	Failed  Ending = "failed"
-	Unknown Ending = "unknown"
+	Done    Outcome = "done"
+	NotRun  Outcome = "not_run"
+	Failed  Outcome = "failed"
+	Unknown Outcome = "unknown"
 )
 
 type meaning struct {
-	ending Ending
-	status int
+	outcome Outcome
+	status  int
 }
 
 var meanings = map[Reason]meaning{
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -14,7 +14,7 @@
 // Refusal is the typed error that ends a request. Values are immutable.
 type Refusal struct {
 	reason  Reason
-	ending  Ending
+	outcome Outcome
 	detail  string
 	places  []string
 	after   time.Duration
@@ -22,17 +22,17 @@
 	version int
 }
 
-// New returns the refusal for a reason with the ending usual for it.
+// New returns the refusal for a reason with its default outcome.
 func New(reason Reason, detail string) Refusal {
 	m, ok := meanings[reason]
 	if !ok {
 		m = meanings[InternalUnexpected]
 	}
-	return Refusal{reason: reason, ending: m.ending, detail: detail}
+	return Refusal{reason: reason, outcome: m.outcome, detail: detail}
 }
 
-// WithEnding returns a copy that ends otherwise than is usual for its reason.
-func (r Refusal) WithEnding(e Ending) Refusal { r.ending = e; return r }
+// WithOutcome returns a copy with an outcome other than the default of its reason.
+func (r Refusal) WithOutcome(o Outcome) Refusal { r.outcome = o; return r }
 
 // WithRetryAfter returns a copy that says when to come back.
 func (r Refusal) WithRetryAfter(d time.Duration) Refusal { r.after = d; return r }
@@ -49,14 +49,14 @@
 // Reason returns why.
 func (r Refusal) Reason() Reason { return r.reason }
 
-// Ending returns what the caller may conclude.
-func (r Refusal) Ending() Ending { return r.ending }
+// Outcome returns what is known of whether the request has run.
+func (r Refusal) Outcome() Outcome { return r.outcome }
 
 // RetryAfter returns when to come back; zero says nothing.
 func (r Refusal) RetryAfter() time.Duration { return r.after }
 
 // Error implements error.
-func (r Refusal) Error() string { return string(r.ending) + "/" + string(r.reason) + ": " + r.detail }
+func (r Refusal) Error() string { return string(r.outcome) + "/" + string(r.reason) + ": " + r.detail }
 
 // Status returns the HTTP status.
 func (r Refusal) Status() int {
@@ -69,7 +69,7 @@
 // Body returns the wire form.
 func (r Refusal) Body() wire.RefusalBody {
 	return wire.RefusalBody{
-		Ending:       wire.RefusalBodyEnding(r.ending),
+		Ending:       wire.RefusalBodyEnding(r.outcome),
 		Reason:       string(r.reason),
 		Detail:       r.detail,
 		Places:       r.places,
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -152,7 +152,7 @@
 					is.Equal(c.refused == nil, tt.served)
 					if !tt.served {
 						is.Equal(c.refused.Reason(), refusal.UpstreamResting)
-						is.Equal(c.refused.Ending(), refusal.NotRun)
+						is.Equal(c.refused.Outcome(), refusal.NotRun)
 						is.True(c.refused.RetryAfter() >= tt.rest)
 						is.Equal(len(w.sender.sends), 0)
 					}
--- a/relay/limited_test.go
+++ b/relay/limited_test.go
@@ -104,7 +104,7 @@
 	is.True(tt.took == 0 || time.Since(began) == tt.took)
 	if tt.want != "" {
 		is.Equal(c.refused.Reason(), tt.want)
-		is.Equal(c.refused.Ending(), refusal.NotRun)
+		is.Equal(c.refused.Outcome(), refusal.NotRun)
 		is.True(c.refused.RetryAfter() >= tt.in["plain0"])
 		is.Equal(time.Since(began), 0*time.Second)
 		return
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -180,7 +180,7 @@
 // truthful returns a refusal that does not promise that a request has not run where an
 // earlier try of it may have.
 func (j *job) truthful(refused refusal.Refusal) refusal.Refusal {
-	if !j.ran.Load() || refused.Ending() != refusal.NotRun {
+	if !j.ran.Load() || refused.Outcome() != refusal.NotRun {
 		return refused
 	}
 	return refusal.New(refusal.NoAnswer, "sent before; then "+refused.Error()).WithRetryAfter(refused.RetryAfter())
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -98,7 +98,7 @@
 		before int            // ends before it comes
 		during int            // ends that are heard of while it runs
 		want   refusal.Reason // empty for served
-		ending refusal.Ending
+		ending refusal.Outcome
 		sends  int
 	}{
 		"a whole answer is refused at once":       {path: "/once/", reply: answers, before: 3, want: refusal.Quarantined, ending: refusal.NotRun},
@@ -128,7 +128,7 @@
 					return
 				}
 				is.Equal(c.refused.Reason(), tt.want)
-				is.Equal(c.refused.Ending(), tt.ending)
+				is.Equal(c.refused.Outcome(), tt.ending)
 			})
 		})
 	}
@@ -195,7 +195,7 @@
 				w := newWorld(t, reply{err: errReset}, reply{err: errReset, notSent: true})
 				c := w.serve(t.Context(), path)
 				is.True(len(w.sender.sends) > 1)
-				is.Equal(c.refused.Ending(), refusal.Unknown)
+				is.Equal(c.refused.Outcome(), refusal.Unknown)
 			})
 		})
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -519,9 +519,9 @@
 		refused = refusal.New(refusal.InternalUnexpected, err.Error())
 	}
 	r.Metrics.Refused(refused.Reason())
-	r.Metrics.Ended(refused.Ending())
+	r.Metrics.Ended(refused.Outcome())
 	log.WithFields(logrus.Fields{
-		"reason": refused.Reason(), "ending": refused.Ending(), "retry_after_ms": refused.RetryAfter().Milliseconds(),
+		"reason": refused.Reason(), "ending": refused.Outcome(), "retry_after_ms": refused.RetryAfter().Milliseconds(),
 		"took_ms": time.Since(req.Arrived).Milliseconds(), "detail": refused.Error(),
 	}).Info("refused")
 	c.Refuse(refused)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -334,7 +334,7 @@
 					return
 				}
 				is.Equal(c.refused.Reason(), tt.want)
-				is.Equal(c.refused.Ending(), refusal.NotRun)
+				is.Equal(c.refused.Outcome(), refusal.NotRun)
 				is.Equal(len(w.sender.sends), 0) // not run is true
 				is.Equal(c.refused.RetryAfter() > 0, tt.again)
 			})
@@ -352,7 +352,7 @@
 	sends  int
 	status int            // of an upstream's answer that is passed on
 	want   refusal.Reason // else
-	ending refusal.Ending
+	ending refusal.Outcome
 }
 
 // TestWhole is the fault matrix of requests whose answers are no streams.
@@ -415,7 +415,7 @@
 	}
 	if tt.want != "" {
 		is.Equal(c.refused.Reason(), tt.want)
-		is.Equal(c.refused.Ending(), tt.ending)
+		is.Equal(c.refused.Outcome(), tt.ending)
 	} else {
 		last := tt.script[min(tt.sends, len(tt.script))-1]
 		is.Equal(c.body.String(), last.body+last.rest)
