--- a/edge/engines_test.go
+++ b/edge/engines_test.go
@@ -162,7 +162,7 @@
 		s.arrivals = append(s.arrivals, arrival{time.Now(), send.Request.Content, s.box.Name(), e.id})
 		rest := e.rest
 		s.mu.Unlock()
-		return &exchange.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Framed: true, Rest: rest, Body: portalBody{}}, nil
+		return &exchange.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Framed: true, Backoff: rest, Body: portalBody{}}, nil
 	}
 	e.runs[send.Request] = true
 	s.arrivals = append(s.arrivals, arrival{time.Now(), send.Request.Content, s.box.Name(), e.id})
@@ -173,7 +173,7 @@
 		defer s.mu.Unlock()
 		delete(e.runs, send.Request)
 	}
-	return &exchange.Answer{Status: http.StatusOK, Whole: true, Framed: true, Limit: said, Body: &engineBody{ctx: ctx, made: send.After + 1, engine: e, ended: ended, leave: leave, world: s.engines, of: send.Request}}, nil
+	return &exchange.Answer{Status: http.StatusOK, Sealed: true, Framed: true, Limit: said, Body: &engineBody{ctx: ctx, made: send.After + 1, engine: e, ended: ended, leave: leave, world: s.engines, of: send.Request}}, nil
 }
 
 // engineBody is what an engine makes.
@@ -290,7 +290,7 @@
 	lastRequest.Unlock()
 	a := &asker{}
 	e.relay.Serve(ctx, &exchange.Request{
-		ID: id, Arrived: time.Now(), Host: "h", Path: path, Key: "key", Wait: 6 * time.Second, Prompt: 2000, Most: 16,
+		ID: id, Arrived: time.Now(), Host: "h", Path: path, Key: "key", Wait: 6 * time.Second, Prompt: 2000, MaxTokens: 16,
 		After: exchange.NoEvent, Content: content(name),
 	}, a)
 	return a
--- a/edge/limits_engines_test.go
+++ b/edge/limits_engines_test.go
@@ -21,7 +21,7 @@
 	defer w.mu.Unlock()
 	for _, e := range w.lives {
 		if e.number <= count {
-			e.said = exchange.Limit{Said: exchange.LimitNamed, PerSecond: perSecond}
+			e.said = exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: perSecond}
 			ids = append(ids, e.id)
 		}
 	}
--- a/edge/limits_strikes_test.go
+++ b/edge/limits_strikes_test.go
@@ -194,7 +194,7 @@
 // make sense of.
 func TestLimitsChange(t *testing.T) {
 	named := func(n float64) exchange.Limit {
-		return exchange.Limit{Said: exchange.LimitNamed, PerSecond: n}
+		return exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: n}
 	}
 	tests := map[string]struct {
 		says func(u *portalUpstream, second int) // each second
@@ -239,9 +239,9 @@
 
 func unreadableFrom(second, from int) exchange.Limit {
 	if second >= from {
-		return exchange.Limit{Said: exchange.LimitUnreadable}
+		return exchange.Limit{Kind: exchange.LimitInvalid}
 	}
-	return exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}
+	return exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: 2}
 }
 
 // TestLimitEnds shows how long after the end of its need an upstream gets its full load
@@ -329,7 +329,7 @@
 				c := w.crowd
 				at := c.all[len(c.all)-1]
 				u, _ := at.fleet.Get("e1")
-				at.limits.Heard(time.Now(), time.Now(), u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}, true)
+				at.limits.Heard(time.Now(), time.Now(), u, exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: 2}, true)
 				tt.meanwhile(ctx, t, c, at)
 				t.Log("all know it after", c.until(t, "knows the limit", contact, func(e *Edge) bool { return len(e.limits.All()) == 1 }))
 				time.Sleep(time.Second)
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -97,7 +97,7 @@
 		if u.usual == 0 {
 			u.usual = u.rate(time.Now().Add(-8 * time.Second))
 		}
-		u.said, u.named = exchange.Limit{Said: exchange.LimitNamed, PerSecond: perSecond}, time.Now()
+		u.said, u.named = exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: perSecond}, time.Now()
 	}
 }
 
@@ -125,11 +125,11 @@
 	if u.omits > 0 && len(u.arrivals)%u.omits == 0 {
 		said = exchange.Limit{}
 	}
-	if _, ok := u.told[s.box]; !ok && said.Said == exchange.LimitNamed {
+	if _, ok := u.told[s.box]; !ok && said.Kind == exchange.LimitAnnounced {
 		u.told[s.box] = time.Now()
 	}
 	s.mu.Unlock()
-	return &exchange.Answer{Status: http.StatusOK, Whole: true, Framed: true, Limit: said, Body: portalBody{}}, nil
+	return &exchange.Answer{Status: http.StatusOK, Sealed: true, Framed: true, Limit: said, Body: portalBody{}}, nil
 }
 
 // portalBody is a short answer.
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -9,30 +9,30 @@
 	"petrelstep/fingerprint"
 )
 
-// Part is one part of a prompt, in order. Parts are shared between requests;
+// Segment is one part of a prompt, in order. Parts are shared between requests;
 // the last is a request's own.
-type Part struct {
+type Segment struct {
 	ID     string
 	Tokens int
 }
 
 // Request is one try of a caller. Values are immutable.
 type Request struct {
-	ID      string
-	Arrived time.Time
-	Host    string
-	Path    string
-	Key     string // of the caller's organisation; empty without one
-	Wait    time.Duration
-	Model   string
-	Prompt  int // tokens
-	Most    int // most tokens of the answer; 0 where it is not told
-	Hint    int // the caller's guess of the answer's tokens; 0 for none
-	Parts   []Part
-	After   int                     // last event that the caller has of an earlier try; NoEvent for none
-	Regions []string                // where it may be served; none for anywhere
-	Content fingerprint.Fingerprint // of its method, target and whole body
-	Message any                     // what only the adapters of callers and upstreams read
+	ID        string
+	Arrived   time.Time
+	Host      string
+	Path      string
+	Key       string // of the caller's organisation; empty without one
+	Wait      time.Duration
+	Model     string
+	Prompt    int // tokens
+	MaxTokens int // most tokens of the answer; 0 where it is not told
+	Hint      int // the caller's guess of the answer's tokens; 0 for none
+	Segments  []Segment
+	After     int                     // last event that the caller has of an earlier try; NoEvent for none
+	Regions   []string                // where it may be served; none for anywhere
+	Content   fingerprint.Fingerprint // of its method, target and whole body
+	Message   any                     // what only the adapters of callers and upstreams read
 }
 
 // NoEvent stands for the time before a stream's first event.
@@ -60,29 +60,29 @@
 type Answer struct {
 	Status  int
 	NotRun  bool // the upstream states that it did not run the request
-	Whole   bool // it carries the upstream's seal
+	Sealed  bool // it carries the upstream's seal
 	Framed  bool // its end is told apart from a broken connection
 	Limit   Limit
-	Leaves  bool          // the upstream says that it leaves
-	Rest    time.Duration // for so long it wants nothing from this box; 0 if it does not say so
+	Leaving bool          // the upstream says that it leaves
+	Backoff time.Duration // for so long it wants nothing from this box; 0 if it does not say so
 	Message any           // what only the adapters read
 	Body    Body
 }
 
 // Limit is what an upstream says in an answer of how many requests it takes.
 type Limit struct {
-	Said      LimitSaid
+	Kind      LimitKind
 	PerSecond float64 // from all boxes together, where it names a limit; 0 or more
 }
 
-// LimitSaid tells what an answer says of a limit.
-type LimitSaid int
+// LimitKind tells what an answer says of a limit.
+type LimitKind int
 
 // What an answer says of a limit.
 const (
-	NoLimit         LimitSaid = iota // nothing
-	LimitNamed                       // how many requests a second
-	LimitUnreadable                  // something that is no limit
+	NoLimit        LimitKind = iota // nothing
+	LimitAnnounced                  // how many requests a second
+	LimitInvalid                    // something that is no limit
 )
 
 // Body reads what follows an answer's head.
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -53,7 +53,7 @@
 		u := fleet.Upstream{ID: "u", Service: "s", State: fleet.Open}
 		f := fleet.New(time.Second)
 		f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
-		says, h := exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}, &heard{}
+		says, h := exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: 2}, &heard{}
 		w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &reports{limit: says}, h, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 		w.Look(t.Context(), time.Now())
 		is.Equal(h.said, says)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -130,7 +130,7 @@
 }
 
 // left returns how many tokens of the answer are expected once so many were made.
-func (j *job) left(made int) int { return j.lengths.Left(j.kind(), made, j.req.Most) }
+func (j *job) left(made int) int { return j.lengths.Left(j.kind(), made, j.req.MaxTokens) }
 
 // Serve answers a request.
 func (r *Relay) Serve(ctx context.Context, req *exchange.Request, c exchange.Caller) {
@@ -390,7 +390,7 @@
 // mark is what a request's tries have in common: who asks for what.
 func (j *job) mark() uint64 {
 	hash := fnv.New64a()
-	fmt.Fprint(hash, j.organisation, j.req.Host, j.req.Path, j.req.Prompt, j.req.Most, j.req.Hint, j.req.Parts)
+	fmt.Fprint(hash, j.organisation, j.req.Host, j.req.Path, j.req.Prompt, j.req.MaxTokens, j.req.Hint, j.req.Segments)
 	return hash.Sum64()
 }
 
@@ -475,10 +475,10 @@
 func (r *Relay) headCame(j *job, u fleet.Upstream, sent time.Time, answer *exchange.Answer) {
 	if answer.Status != http.StatusMisdirectedRequest { // that is another upstream's
 		now := time.Now()
-		r.Limits.Heard(now, sent, u, answer.Limit, answer.Whole && !answer.NotRun)
+		r.Limits.Heard(now, sent, u, answer.Limit, answer.Sealed && !answer.NotRun)
 		r.heardLeaving(now, j, u, answer)
-		if answer.Rest > 0 {
-			r.Rest.Asked(now, u, answer.Rest)
+		if answer.Backoff > 0 {
+			r.Rest.Asked(now, u, answer.Backoff)
 		} else {
 			r.Rest.Answered(now, sent, u)
 		}
@@ -490,7 +490,7 @@
 
 // heardLeaving takes an upstream's word that it leaves.
 func (r *Relay) heardLeaving(now time.Time, j *job, u fleet.Upstream, answer *exchange.Answer) {
-	if !answer.Leaves {
+	if !answer.Leaving {
 		return
 	}
 	if !r.Fleet.Leaving(u.ID) {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -63,7 +63,7 @@
 	if r.limit == 0 {
 		return exchange.Limit{}
 	}
-	return exchange.Limit{Said: exchange.LimitNamed, PerSecond: r.limit}
+	return exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: r.limit}
 }
 
 // sender answers the sends of a test, in order; past the script, it is the
@@ -95,7 +95,7 @@
 		r.status = http.StatusOK
 	}
 	return &exchange.Answer{
-		Status: r.status, NotRun: r.notRun, Whole: !r.unsealed, Framed: !r.unframed, Limit: r.says(), Leaves: r.leaves, Rest: r.asks, Body: &bodyOf{ctx: ctx, reply: r},
+		Status: r.status, NotRun: r.notRun, Sealed: !r.unsealed, Framed: !r.unframed, Limit: r.says(), Leaving: r.leaves, Backoff: r.asks, Body: &bodyOf{ctx: ctx, reply: r},
 	}, nil
 }
 
--- a/relay/slow_test.go
+++ b/relay/slow_test.go
@@ -31,7 +31,7 @@
 
 func (f *flood) Send(ctx context.Context, _ exchange.Send) (*exchange.Answer, error) {
 	f.sends.Add(1)
-	return &exchange.Answer{Status: http.StatusOK, Whole: true, Framed: true, Message: http.Header{}, Body: &floodBody{ctx: ctx, left: f.events}}, nil
+	return &exchange.Answer{Status: http.StatusOK, Sealed: true, Framed: true, Message: http.Header{}, Body: &floodBody{ctx: ctx, left: f.events}}, nil
 }
 
 type floodBody struct {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -90,7 +90,7 @@
 			return err // nobody may take it
 		}
 		o := outcome{sent: s, err: err}
-		if err == nil && s.answer.Status == http.StatusOK && s.answer.Whole {
+		if err == nil && s.answer.Status == http.StatusOK && s.answer.Sealed {
 			r.opened(f, s)
 			return nil
 		}
@@ -98,7 +98,7 @@
 			s.close()
 			o = outcome{err: &SealError{}}
 		}
-		if o.err == nil && s.answer.Rest == 0 {
+		if o.err == nil && s.answer.Backoff == 0 {
 			r.record(s.upstream, true)
 		}
 		if r.again(ctx, j, o) || o.err != nil && j.route.Resumable && r.mayResume(ctx, j) {
@@ -323,7 +323,7 @@
 	if err != nil {
 		return err
 	}
-	if s.answer.Status != http.StatusOK || !s.answer.Whole {
+	if s.answer.Status != http.StatusOK || !s.answer.Sealed {
 		s.close()
 		return &exchange.FailedError{Err: &SealError{}}
 	}
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -219,9 +219,9 @@
 	}
 	body, rest, err := s.answer.Body.All(wholeMost)
 	s.hung.Stop()
-	bad := err != nil || s.answer.Status == http.StatusOK && !s.answer.Whole
+	bad := err != nil || s.answer.Status == http.StatusOK && !s.answer.Sealed
 	failed := bad || s.answer.NotRun || s.answer.Status >= http.StatusInternalServerError
-	if !errors.Is(ctx.Err(), context.Canceled) && s.answer.Rest == 0 { // a rest is asked of this box alone
+	if !errors.Is(ctx.Err(), context.Canceled) && s.answer.Backoff == 0 { // a rest is asked of this box alone
 		r.record(u, failed)
 	}
 	if bad {
--- a/upstreamlimits/upstreamlimits.go
+++ b/upstreamlimits/upstreamlimits.go
@@ -145,13 +145,13 @@
 	have, known := l.list[u.ID]
 	switch {
 	case known && u.Born < have.born: // it has started again since
-	case said.Said == exchange.LimitNamed:
+	case said.Kind == exchange.LimitAnnounced:
 		have = l.of(u.ID, u.Born)
 		if !have.holds {
 			have.period++
 		}
 		l.named(now, u.ID, have, said.PerSecond, now, fromAnswer)
-	case said.Said == exchange.LimitUnreadable:
+	case said.Kind == exchange.LimitInvalid:
 		l.unreadable(now, u)
 	case known && have.holds && whole && sent.After(have.at):
 		l.ended(now, u.ID, have, now, fromAnswer)
--- a/upstreamlimits/upstreamlimits_test.go
+++ b/upstreamlimits/upstreamlimits_test.go
@@ -26,7 +26,7 @@
 }
 
 func named(perSecond float64) exchange.Limit {
-	return exchange.Limit{Said: exchange.LimitNamed, PerSecond: perSecond}
+	return exchange.Limit{Kind: exchange.LimitAnnounced, PerSecond: perSecond}
 }
 
 // head is what a box got of an answer, some ms after the first.
@@ -39,7 +39,7 @@
 
 // TestHeard shows what ends a limit, and what does not.
 func TestHeard(t *testing.T) {
-	none, unreadable := exchange.Limit{}, exchange.Limit{Said: exchange.LimitUnreadable}
+	none, unreadable := exchange.Limit{}, exchange.Limit{Kind: exchange.LimitInvalid}
 	tests := map[string]struct {
 		heads []head
 		holds float64 // 0 for none
