--- a/edge/edge.go
+++ b/edge/edge.go
@@ -402,7 +402,7 @@
 		e.rest.Forget(u.ID)
 		warm.Forget(u.ID)
 		e.turns.Forget(u.ID)
-		cut, copies := e.runs.Restarted(u)
+		cut, copies := e.runs.UpstreamRestarted(u)
 		e.metrics.Restarted()
 		e.log.WithFields(logrus.Fields{
 			"upstream": u.ID, "service": u.Service, "born": u.Born, "state": u.State, "source": source, "cut": cut, "copies": copies,
--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -136,7 +136,7 @@
 		if gaveUp[r] {
 			continue
 		}
-		if time.Duration(r.Remaining())*cmp.Or(e.Tally.Pace(), paceGuess) >= finishing {
+		if time.Duration(r.RemainingEvents())*cmp.Or(e.Tally.Pace(), paceGuess) >= finishing {
 			return r
 		}
 		if last == nil {
@@ -154,7 +154,7 @@
 	avoid := []string{u.ID}
 	err := ErrNoRoom
 	for tries := 0; tries < targetsMost && errors.Is(err, ErrNoRoom); tries++ {
-		ranked := e.Chooser.Ranked(time.Now(), picker.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.Gap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
+		ranked := e.Chooser.Ranked(time.Now(), picker.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.MaxGap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
 		ranked = slices.DeleteFunc(ranked, func(c picker.Choice) bool { return c.Held })
 		if len(ranked) == 0 {
 			break
@@ -198,7 +198,7 @@
 
 // moveTo copies a run while it goes on, then stops it with the rest.
 func (e *Evacuator) moveTo(ctx context.Context, run *runs.Run, source, target fleet.Upstream) error {
-	entry := e.Tally.Begin(target.ID, upstreamload.Load{Requests: 1, Tokens: run.Tokens(), Coming: run.Left()})
+	entry := e.Tally.Begin(target.ID, upstreamload.Load{Requests: 1, Tokens: run.Tokens(), Coming: run.RemainingTokens()})
 	defer entry.End()
 	copying, cancel := context.WithTimeout(ctx, copyTime)
 	first, err := e.Mover.Move(copying, source.Address, run.Request.ID, target.Address, false)
@@ -211,8 +211,8 @@
 		return ErrNoRoom
 	}
 	handoff := runs.Handoff{Copy: first.Copy, Target: target, Source: source, OK: true}
-	run.Copied(handoff)
-	if !run.Stopping() {
+	run.SetCopy(handoff)
+	if !run.BeginStop() {
 		e.release(first.Copy)
 		return ErrNoRun
 	}
@@ -227,7 +227,7 @@
 		return e.notFound(ctx, run, first.Copy)
 	}
 	handoff.OK = err == nil || errors.Is(err, ErrNoRoom) && last.Copy.ID != ""
-	run.Stopped(handoff)
+	run.ResolveStop(handoff)
 	return err
 }
 
@@ -235,7 +235,7 @@
 // ended meanwhile, or it is preempted: its stream goes on once it is read anew, it
 // can be moved then, and until then its copy is what is left of it.
 func (e *Evacuator) notFound(ctx context.Context, run *runs.Run, c exchange.Copy) error {
-	run.GoesOn()
+	run.CancelStop()
 	sleep(ctx, again)
 	if !run.Ended() {
 		return ErrBusy
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -207,9 +207,9 @@
 		end()
 		return
 	}
-	h, ok := r.Await(ctx)
+	h, ok := r.AwaitHandoff(ctx)
 	result.Store(r.Request.ID, ok)
-	r.Moved(h.Target)
+	r.MovedTo(h.Target)
 	end()
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -421,7 +421,7 @@
 	entry := r.Tally.Begin(u.ID, load)
 	sending, cancel := context.WithCancelCause(ctx)
 	forget := r.Quarantine.Sent(j.print, func() { cancel(&QuarantinedError{}) })
-	unsent := r.Runs.Sent(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
+	unsent := r.Runs.TrackSend(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
 	leave := func() {
 		forget()
 		unsent()
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -700,10 +700,10 @@
 	handoff := runs.Handoff{Copy: exchange.Copy{Holder: source.Address, ID: "c1"}, Target: target, Source: source, OK: true}
 	stop := func(h runs.Handoff) func(*runs.Run) {
 		return func(r *runs.Run) {
-			r.Stopping()
+			r.BeginStop()
 			go func() {
 				time.Sleep(20 * time.Millisecond) // the stream closes before the stop is answered
-				r.Stopped(h)
+				r.ResolveStop(h)
 			}()
 		}
 	}
@@ -713,7 +713,7 @@
 		"it ended by itself":                            {during: stop(runs.Handoff{}), body: "0;1;"},
 		"the target refuses, it goes on at the source":  {during: stop(handoff), ends: io.ErrUnexpectedEOF, next: []reply{{status: 503, notRun: true}, {events: []int{2}}}, body: "0;1;2;", asked: []string{"llm3", "llm0"}},
 		"both refuse":                                   {during: stop(handoff), ends: io.ErrUnexpectedEOF, next: []reply{{status: 503, notRun: true}}, body: "0;1;", abort: true, asked: []string{"llm3", "llm0"}},
-		"lost after its first copy":                     {during: func(r *runs.Run) { r.Copied(handoff) }, ends: errReset, next: []reply{{events: []int{2}}}, body: "0;1;2;", asked: []string{"llm3"}},
+		"lost after its first copy":                     {during: func(r *runs.Run) { r.SetCopy(handoff) }, ends: errReset, next: []reply{{events: []int{2}}}, body: "0;1;2;", asked: []string{"llm3"}},
 		"the stop failed, it is lost":                   {during: stop(runs.Handoff{}), ends: errReset, body: "0;1;", abort: true},
 		"the target's hall was evacuated just now":      {during: stop(handoff), closed: time.Second, ends: io.ErrUnexpectedEOF, next: []reply{{events: []int{2}}}, body: "0;1;2;", asked: []string{"llm3"}},
 		"the target's hall was evacuated some time ago": {during: stop(handoff), closed: 3 * time.Second, ends: io.ErrUnexpectedEOF, next: []reply{{events: []int{2}}}, body: "0;1;2;", asked: []string{"llm0"}},
@@ -898,7 +898,7 @@
 	w.fleet.OnRestart(func(u fleet.Upstream, _ string) {
 		w.failed.Forget(u.ID)
 		w.tally.Forget(u.ID)
-		w.runs.Restarted(u)
+		w.runs.UpstreamRestarted(u)
 	})
 	say := func(id string, born int64) {
 		u, _ := w.fleet.Get(id)
@@ -916,7 +916,7 @@
 		for _, run := range w.runs.At(at) {
 			if r.copied != "" {
 				target, _ := w.fleet.Get(r.copied)
-				run.Copied(runs.Handoff{Copy: exchange.Copy{ID: "c1"}, Target: target, OK: true})
+				run.SetCopy(runs.Handoff{Copy: exchange.Copy{ID: "c1"}, Target: target, OK: true})
 			}
 		}
 		if r.also != "" {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -118,7 +118,7 @@
 	r.Budget.Succeeded()
 	f.sent = s
 	f.run = runs.NewRun(f.job.req, s.upstream, f.job.eventTokens(), f.job.left, s.began)
-	f.run.Gap = f.job.route.Gap
+	f.run.MaxGap = f.job.route.Gap
 }
 
 // notStream passes on an upstream's answer that is no stream.
@@ -269,7 +269,7 @@
 
 // goOn goes on with a run that was moved. moved is false if it was not.
 func (r *Relay) goOn(ctx context.Context, f *flow) (goneOn, moved bool) {
-	h, ok := f.run.Await(ctx)
+	h, ok := f.run.AwaitHandoff(ctx)
 	if !ok {
 		return false, false
 	}
@@ -292,7 +292,7 @@
 		if err == nil && s.answer.Status == http.StatusOK {
 			f.sent, f.moved = s, true
 			f.moves++
-			f.run.Moved(at)
+			f.run.MovedTo(at)
 			r.Metrics.Retried(metrics.RetryMoved)
 			log.Info("went_on")
 			return true, true
@@ -328,7 +328,7 @@
 		return &exchange.FailedError{Err: &SealError{}}
 	}
 	f.sent = s
-	f.run.Moved(s.upstream)
+	f.run.MovedTo(s.upstream)
 	f.job.log.WithFields(logrus.Fields{"upstream": s.upstream.ID, "after": f.last}).Info("resumed")
 	return nil
 }
--- a/runs/runs.go
+++ b/runs/runs.go
@@ -24,25 +24,25 @@
 
 // Run is one stream that is passed on. It is safe for use by several goroutines.
 type Run struct {
-	Request *exchange.Request
-	Began   time.Time
-	Gap     time.Duration // longest pause in time; 0 for any. Set before it is added
+	Request   *exchange.Request
+	StartedAt time.Time
+	MaxGap    time.Duration // longest pause in time; 0 for any. Set before it is added
 
-	mu       sync.Mutex
-	upstream fleet.Upstream
-	events   int
-	tokens   int // of memory
-	perEvent int
-	left     func(made int) int // expected tokens to come
-	pending  chan Handoff
-	copied   *Handoff
-	ended    bool
+	mu        sync.Mutex
+	upstream  fleet.Upstream
+	events    int
+	tokens    int // of memory
+	perEvent  int
+	remaining func(made int) int // expected tokens to come
+	pending   chan Handoff
+	copied    *Handoff
+	ended     bool
 }
 
 // NewRun returns a run at an upstream; an event holds so many tokens, and left
 // tells how many are expected to come once so many were made.
 func NewRun(r *exchange.Request, u fleet.Upstream, perEvent int, left func(made int) int, now time.Time) *Run {
-	return &Run{Request: r, Began: now, upstream: u, tokens: r.Prompt, perEvent: max(perEvent, 1), left: left}
+	return &Run{Request: r, StartedAt: now, upstream: u, tokens: r.Prompt, perEvent: max(perEvent, 1), remaining: left}
 }
 
 // Upstream returns where it runs.
@@ -74,27 +74,27 @@
 	return r.tokens
 }
 
-// Left returns the expected tokens to come.
-func (r *Run) Left() int {
+// RemainingTokens returns the expected tokens to come.
+func (r *Run) RemainingTokens() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.left(r.events * r.perEvent)
+	return r.remaining(r.events * r.perEvent)
 }
 
-// Remaining returns the expected events to come.
-func (r *Run) Remaining() int { return max(r.Left()/r.perEvent, 1) }
+// RemainingEvents returns the expected events to come.
+func (r *Run) RemainingEvents() int { return max(r.RemainingTokens()/r.perEvent, 1) }
 
-// Copied notes a copy made while it runs: should its upstream be lost, it goes
+// SetCopy notes a copy made while it runs: should its upstream be lost, it goes
 // on from there.
-func (r *Run) Copied(h Handoff) {
+func (r *Run) SetCopy(h Handoff) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.copied = &h
 }
 
-// Stopping notes that it is being stopped, so that its stream's end is not
+// BeginStop notes that it is being stopped, so that its stream's end is not
 // taken for the end of the answer. It reports false if it has ended.
-func (r *Run) Stopping() bool {
+func (r *Run) BeginStop() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.ended || r.pending != nil {
@@ -104,14 +104,14 @@
 	return true
 }
 
-// Stopped tells how the stop that Stopping announced went. The first word counts.
-func (r *Run) Stopped(h Handoff) {
+// ResolveStop tells how the stop that Stopping announced went. The first word counts.
+func (r *Run) ResolveStop(h Handoff) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopped(h)
+	r.resolveStop(h)
 }
 
-func (r *Run) stopped(h Handoff) {
+func (r *Run) resolveStop(h Handoff) {
 	if r.pending == nil {
 		return
 	}
@@ -121,13 +121,13 @@
 	}
 }
 
-// restarted forgets a copy at an upstream that has started again, and ends a stop
+// upstreamRestarted forgets a copy at an upstream that has started again, and ends a stop
 // that it can no longer answer. It reports whether a copy was forgotten.
-func (r *Run) restarted(u fleet.Upstream) bool {
+func (r *Run) upstreamRestarted(u fleet.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.upstream.ID == u.ID && r.upstream.Born < u.Born {
-		r.stopped(Handoff{})
+		r.resolveStop(Handoff{})
 	}
 	if r.copied == nil || r.copied.Target.ID != u.ID || r.copied.Target.Born >= u.Born {
 		return false
@@ -136,10 +136,10 @@
 	return true
 }
 
-// GoesOn notes that the stop that Stopping announced came to nothing: the run may
+// CancelStop notes that the stop that Stopping announced came to nothing: the run may
 // be stopped again.
-func (r *Run) GoesOn() {
-	r.Stopped(Handoff{})
+func (r *Run) CancelStop() {
+	r.ResolveStop(Handoff{})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pending = nil
@@ -159,9 +159,9 @@
 	return r.pending != nil
 }
 
-// Await returns where it goes on after its stream has closed: as its stop
+// AwaitHandoff returns where it goes on after its stream has closed: as its stop
 // tells, or from a copy made before. It reports false if there is no such place.
-func (r *Run) Await(ctx context.Context) (Handoff, bool) {
+func (r *Run) AwaitHandoff(ctx context.Context) (Handoff, bool) {
 	r.mu.Lock()
 	pending, copied := r.pending, r.copied
 	r.mu.Unlock()
@@ -180,8 +180,8 @@
 	return *copied, true
 }
 
-// Moved notes that it goes on elsewhere.
-func (r *Run) Moved(u fleet.Upstream) {
+// MovedTo notes that it goes on elsewhere.
+func (r *Run) MovedTo(u fleet.Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.upstream, r.pending, r.copied = u, nil, nil
@@ -218,9 +218,9 @@
 	}
 }
 
-// Sent notes a request at an upstream until end is called; cut breaks it off if that
+// TrackSend notes a request at an upstream until end is called; cut breaks it off if that
 // upstream starts again meanwhile.
-func (s *Runs) Sent(u fleet.Upstream, cut func()) (end func()) {
+func (s *Runs) TrackSend(u fleet.Upstream, cut func()) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := &send{u, cut}
@@ -232,10 +232,10 @@
 	}
 }
 
-// Restarted takes the news that an upstream has started again: what was sent to an
+// UpstreamRestarted takes the news that an upstream has started again: what was sent to an
 // earlier incarnation is broken off, and copies there are forgotten. It returns how
 // many of each there were.
-func (s *Runs) Restarted(u fleet.Upstream) (cut, copies int) {
+func (s *Runs) UpstreamRestarted(u fleet.Upstream) (cut, copies int) {
 	s.mu.Lock()
 	var lost []*send
 	for at := range s.sent {
@@ -246,7 +246,7 @@
 	runs := slices.Collect(maps.Keys(s.all))
 	s.mu.Unlock()
 	for _, r := range runs { // before the streams break, which ask for copies then
-		if r.restarted(u) {
+		if r.upstreamRestarted(u) {
 			copies++
 		}
 	}
