--- a/front/generation.go
+++ b/front/generation.go
@@ -220,7 +220,7 @@
 }
 
 func (f *Front) takeUp(w http.ResponseWriter, r *http.Request, id string, claims ticket.Claims, from int) error {
-	g, err := generation.Again(r.Context(), f.Engines, claims.Address, claims.Attempt, func() { f.Metrics.Retried(metrics.RetryResume) })
+	g, err := generation.Resume(r.Context(), f.Engines, claims.Address, claims.Attempt, func() { f.Metrics.Retried(metrics.RetryResume) })
 	if err != nil {
 		if engine.KindOf(err) == engine.Gone {
 			return refusal.New(refusal.GenerationLost, "the engine no longer has it").WithRetryAfter(comeAgain)
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -64,11 +64,11 @@
 	return "generation cancelled after " + strconv.Itoa(e.Tokens) + " tokens"
 }
 
-// WrongError says that an engine sent what cannot be of this generation.
-type WrongError struct{ Detail string }
+// ProtocolError says that an engine sent what cannot be of this generation.
+type ProtocolError struct{ Detail string }
 
 // Error implements error.
-func (e *WrongError) Error() string { return "wrong stream: " + e.Detail }
+func (e *ProtocolError) Error() string { return "wrong stream: " + e.Detail }
 
 // Generation is not safe for use by several goroutines.
 type Generation struct {
@@ -95,9 +95,9 @@
 	return from(client, address, job.Attempt, resumed, stream), nil
 }
 
-// Again takes up a generation from its first token, so that the hash over all
+// Resume takes up a generation from its first token, so that the hash over all
 // of it is whole.
-func Again(ctx context.Context, client Client, address, attempt string, resumed func()) (*Generation, error) {
+func Resume(ctx context.Context, client Client, address, attempt string, resumed func()) (*Generation, error) {
 	stream, err := client.Resume(ctx, address, attempt, 0)
 	if err != nil {
 		return nil, err
@@ -173,13 +173,13 @@
 		case e.Name == sse.Start:
 			err = g.start(e.Data)
 		case !g.started:
-			err = &WrongError{Detail: "no start"}
+			err = &ProtocolError{Detail: "no start"}
 		case e.Name == sse.End:
 			return Token{}, g.end(e.Data)
 		case e.ID < g.next:
 			continue
 		case e.ID > g.next:
-			err = &WrongError{Detail: "a gap before token " + strconv.Itoa(e.ID)}
+			err = &ProtocolError{Detail: "a gap before token " + strconv.Itoa(e.ID)}
 		default:
 			return g.take(e)
 		}
@@ -206,7 +206,7 @@
 	}
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return &WrongError{Detail: "token is no string"}
+		return &ProtocolError{Detail: "token is no string"}
 	}
 	_, _ = g.hash.WriteString(text)
 	return nil
@@ -215,10 +215,10 @@
 func (g *Generation) start(data []byte) error {
 	var s wire.EngineStart
 	if err := json.Unmarshal(data, &s); err != nil {
-		return &WrongError{Detail: err.Error()}
+		return &ProtocolError{Detail: err.Error()}
 	}
 	if s.Attempt != g.attempt {
-		return &WrongError{Detail: "another attempt"}
+		return &ProtocolError{Detail: "another attempt"}
 	}
 	g.started, g.prompt = true, s.PromptTokens
 	return nil
@@ -227,15 +227,15 @@
 func (g *Generation) end(data []byte) error {
 	var e wire.EngineEnd
 	if err := json.Unmarshal(data, &e); err != nil {
-		return &WrongError{Detail: err.Error()}
+		return &ProtocolError{Detail: err.Error()}
 	}
 	switch {
 	case e.Attempt != g.attempt:
-		return &WrongError{Detail: "end of another attempt"}
+		return &ProtocolError{Detail: "end of another attempt"}
 	case e.Why == wire.EngineEndWhyCancelled:
 		return &CancelledError{Tokens: g.next}
 	case e.Why != wire.EngineEndWhyDone || e.Count != g.next:
-		return &WrongError{Detail: "end without all tokens"}
+		return &ProtocolError{Detail: "end without all tokens"}
 	}
 	return io.EOF
 }
