--- a/edge/edge.go
+++ b/edge/edge.go
@@ -246,10 +246,10 @@
 	}
 	e.sharing = newSharing(e.config.Balances(wire.EdgeBalanceElemShares))
 	e.admission = admission.New(chooser, e.tally, reading, e.sharing.keeper(), rand.New(rand.NewPCG(uint64(e.record.Incarnation), 3)), e.log)
-	e.relay = relay.New(relay.Parts{
-		Belief: e.belief, Fleet: e.fleet, Chooser: chooser, Admitter: e, Places: e.places, Tally: e.tally, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
-		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Rest: e.rest, Budget: e.budget,
-		Runs: e.runs, Lengths: outputlen.New(), Prefill: reading, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, Silent: e.silentForAll, Log: e.log,
+	e.relay = relay.New(relay.Components{
+		Routes: e.belief, Fleet: e.fleet, Picker: chooser, Admitter: e, Places: e.places, UpstreamLoad: e.tally, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
+		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Backoff: e.rest, Budget: e.budget,
+		Runs: e.runs, OutputLengths: outputlen.New(), Prefill: reading, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, StoreSilence: e.silentForAll, Log: e.log,
 	})
 	e.callers = callers.New(e.relay, e.bodyMost, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Parts{
@@ -357,7 +357,7 @@
 	}
 	now := time.Now()
 	most := 2*e.members.Leaving() >= e.members.Count(now)
-	return relay.Stop{Since: now.Sub(s.began), Left: s.until.Sub(now), Most: most}, true
+	return relay.Stop{Since: now.Sub(s.began), Remaining: s.until.Sub(now), MostBoxes: most}, true
 }
 
 // ready tells whether callers are to be sent here.
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -180,7 +180,7 @@
 
 // Take implements relay.Limiter: it asks the upstream's keeper. One that is not heard is
 // done without.
-func (l *limiter) Take(ctx context.Context, a relay.LimitAsk) ratelimit.Turn {
+func (l *limiter) Take(ctx context.Context, a relay.LimitRequest) ratelimit.Turn {
 	now := time.Now()
 	perSecond, at, limited := l.limits.Of(now, a.Upstream)
 	if !limited || l.loose(now, a.Service, perSecond) {
@@ -211,7 +211,7 @@
 }
 
 // ask asks the keeper, which is returned; empty if it is not heard.
-func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitAsk) (turn ratelimit.Turn, by string) {
+func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitRequest) (turn ratelimit.Turn, by string) {
 	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, a.Upstream), Urgency: a.Urgency, WaitMs: int(a.Wait.Milliseconds())}
 	answer, by := l.askKeeper(ctx, now, a.Service, ask)
 	return ratelimit.Turn{Granted: answer.Granted, In: time.Duration(answer.InMs) * time.Millisecond}, by
--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -26,7 +26,7 @@
 	log := j.log.WithFields(logrus.Fields{"upstream": upstream, "in_ms": wait.Milliseconds(), "worth_ms": worth.Milliseconds()})
 	if wait > worth {
 		log.Info("rest_refused")
-		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" have asked for rest").WithRetryAfter(r.Rest.Back(wait))
+		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" have asked for rest").WithRetryAfter(r.Backoff.Back(wait))
 	}
 	log.Info("rest_awaited")
 	if !r.waitFor(ctx, wait) {
@@ -41,8 +41,8 @@
 	now := time.Now()
 	want := j.want()
 	want.All, want.Own = true, false
-	for _, c := range r.Chooser.Ranked(now, want) {
-		if w := r.Rest.Wait(now, c.Upstream.ID); w > 0 && (wait == 0 || w < wait) {
+	for _, c := range r.Picker.Ranked(now, want) {
+		if w := r.Backoff.Wait(now, c.Upstream.ID); w > 0 && (wait == 0 || w < wait) {
 			upstream, wait = c.Upstream.ID, w
 		}
 	}
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -18,16 +18,16 @@
 
 // rested lets a world's box keep rests.
 func (w *world) rested() *backoff.Tracker {
-	w.relay.Rest = backoff.New(rand.New(rand.NewPCG(1, 1)), w.relay.Metrics, logs.New(io.Discard, "info", "b"))
-	w.relay.Chooser.Rest = w.relay.Rest
-	return w.relay.Rest
+	w.relay.Backoff = backoff.New(rand.New(rand.NewPCG(1, 1)), w.relay.Metrics, logs.New(io.Discard, "info", "b"))
+	w.relay.Picker.Rest = w.relay.Backoff
+	return w.relay.Backoff
 }
 
 // asks lets the first upstreams of a service ask for rest.
 func (w *world) asks(service string, count int, d time.Duration) {
 	for i := range count {
 		u, _ := w.fleet.Get(fmt.Sprint(service, i))
-		w.relay.Rest.Asked(time.Now(), u, d)
+		w.relay.Backoff.Asked(time.Now(), u, d)
 	}
 }
 
@@ -96,7 +96,7 @@
 					w.serve(t.Context(), tt.path)
 					is.Equal(len(w.sender.sends), tt.sends)
 					for _, s := range w.sender.sends {
-						is.Equal(w.relay.Rest.Wait(time.Now(), s.Upstream), time.Duration(0))
+						is.Equal(w.relay.Backoff.Wait(time.Now(), s.Upstream), time.Duration(0))
 					}
 				})
 			})
--- a/relay/broke.go
+++ b/relay/broke.go
@@ -12,8 +12,8 @@
 	"petrelstep/liveness"
 )
 
-// Looker finds out what became of an upstream just after a connection to it broke.
-type Looker interface {
+// LivenessChecker finds out what became of an upstream just after a connection to it broke.
+type LivenessChecker interface {
 	Look(ctx context.Context, u fleet.Upstream, engine bool) liveness.Finding
 }
 
@@ -25,7 +25,7 @@
 	}
 	now := time.Now()
 	engine, found := j.service.Engine != nil, liveness.Unknown
-	if !engine || r.Rest.MayExcept(now, s.upstream.ID) { // a look at an engine is a request
+	if !engine || r.Backoff.MayExcept(now, s.upstream.ID) { // a look at an engine is a request
 		found = r.Liveness.Look(ctx, s.upstream, engine)
 	}
 	r.Metrics.Broke(found)
@@ -69,7 +69,7 @@
 // connectionBroke tells whether a send has ended as its connection broke: after bytes
 // that were sent, and not by an answer that is wrong.
 func connectionBroke(err error) bool {
-	for _, answered := range []any{new(*SealError), new(*LongError), new(*OrderError), new(*callerError)} {
+	for _, answered := range []any{new(*SealError), new(*TooLongError), new(*OrderError), new(*callerError)} {
 		if errors.As(err, answered) {
 			return false
 		}
--- a/relay/check.go
+++ b/relay/check.go
@@ -15,11 +15,11 @@
 // Error implements error.
 func (e *LeavingError) Error() string { return "upstream " + e.Upstream + " takes nothing new" }
 
-// RestingError says that an upstream has asked this box to send it nothing for a time.
-type RestingError struct{ Upstream string }
+// BackoffError says that an upstream has asked this box to send it nothing for a time.
+type BackoffError struct{ Upstream string }
 
 // Error implements error.
-func (e *RestingError) Error() string { return "upstream " + e.Upstream + " has asked for rest" }
+func (e *BackoffError) Error() string { return "upstream " + e.Upstream + " has asked for rest" }
 
 // check tells why a request may not go to an upstream that was picked for it: time has
 // passed since. A run that has moved goes to the copy of its memory. The error is a
@@ -31,12 +31,12 @@
 	if from == nil && !r.Fleet.Takes(u.ID) {
 		return &exchange.FailedError{NotSent: true, Err: &LeavingError{Upstream: u.ID}}
 	}
-	may := r.Rest.MaySend
+	may := r.Backoff.MaySend
 	if from != nil {
-		may = r.Rest.MayExcept
+		may = r.Backoff.MayExcept
 	}
 	if !may(time.Now(), u.ID) {
-		return &exchange.FailedError{NotSent: true, Err: &RestingError{Upstream: u.ID}}
+		return &exchange.FailedError{NotSent: true, Err: &BackoffError{Upstream: u.ID}}
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 	switch {
 	case errors.As(err, new(*LeavingError)):
 		return metrics.RetryLeft
-	case errors.As(err, new(*RestingError)):
+	case errors.As(err, new(*BackoffError)):
 		return metrics.RetryRests
 	}
 	return metrics.RetryNeverStarted
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -23,8 +23,8 @@
 	limitBack = 10 * time.Millisecond
 )
 
-// LimitAsk is a request that is about to go to a limited upstream.
-type LimitAsk struct {
+// LimitRequest is a request that is about to go to a limited upstream.
+type LimitRequest struct {
 	Request  string
 	Service  route.Service
 	Upstream string
@@ -32,8 +32,8 @@
 	Wait     time.Duration // how far ahead its time may be
 }
 
-func (j *job) limitAsk(upstream string, wait time.Duration) LimitAsk {
-	return LimitAsk{Request: j.req.ID, Service: j.service, Upstream: upstream, Urgency: j.urgency, Wait: wait}
+func (j *job) limitAsk(upstream string, wait time.Duration) LimitRequest {
+	return LimitRequest{Request: j.req.ID, Service: j.service, Upstream: upstream, Urgency: j.urgency, Wait: wait}
 }
 
 // Limiter gives out what upstreams take that name a limit.
@@ -43,7 +43,7 @@
 	// UsedUp returns for how long nothing more is to be had there, as far as is known.
 	UsedUp(now time.Time, upstream string) time.Duration
 	// Take gives a request its time at an upstream, if that is at most a wait ahead.
-	Take(ctx context.Context, a LimitAsk) ratelimit.Turn
+	Take(ctx context.Context, a LimitRequest) ratelimit.Turn
 }
 
 // placeLimited finds an upstream for a request that no engine answers, however it comes
@@ -91,7 +91,7 @@
 	}
 	c, err := r.Places.Again(ask)
 	if err == nil {
-		r.Chooser.Sent(time.Now(), j.service, c.Upstream)
+		r.Picker.Sent(time.Now(), j.service, c.Upstream)
 	}
 	return c.Upstream, c.Load, err
 }
@@ -136,7 +136,7 @@
 	now := time.Now()
 	want := j.want()
 	want.All = true
-	for _, c := range r.Chooser.Ranked(now, want) {
+	for _, c := range r.Picker.Ranked(now, want) {
 		if _, limited := r.Limiter.Limit(c.Upstream.ID); !limited || c.Held {
 			continue
 		}
--- a/relay/limited_test.go
+++ b/relay/limited_test.go
@@ -23,7 +23,7 @@
 type limiter struct {
 	mu   sync.Mutex
 	in   map[string]time.Duration
-	asks []relay.LimitAsk
+	asks []relay.LimitRequest
 }
 
 // Limit implements relay.Limiter.
@@ -36,7 +36,7 @@
 func (*limiter) UsedUp(time.Time, string) time.Duration { return 0 }
 
 // Take implements relay.Limiter.
-func (l *limiter) Take(_ context.Context, a relay.LimitAsk) ratelimit.Turn {
+func (l *limiter) Take(_ context.Context, a relay.LimitRequest) ratelimit.Turn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asks = append(l.asks, a)
@@ -112,7 +112,7 @@
 	for _, s := range w.sender.sends {
 		is.True(!tt.free || tt.in[s.Upstream] == 0)
 	}
-	is.True(!slices.ContainsFunc(l.asks, func(a relay.LimitAsk) bool { return a.Request != "r1" || a.Service.Name != "plain" }))
+	is.True(!slices.ContainsFunc(l.asks, func(a relay.LimitRequest) bool { return a.Request != "r1" || a.Service.Name != "plain" }))
 }
 
 // TestLimitHeard shows of which answers the relay takes what the upstream says.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -58,34 +58,34 @@
 	sourceAnswer = "answer"
 )
 
-// Parts are what a relay works with.
-type Parts struct {
-	Belief      *routecache.Cache
-	Fleet       *fleet.Fleet
-	Chooser     *picker.Picker
-	Admitter    Admitter       // nil: straight to the emptiest engine
-	Places      *places.Places // nil: straight to the emptiest plain upstream
-	Tally       *upstreamload.Tracker
-	Reliability *reliability.Reliability
-	Speeds      *speeds.Speeds // nil where that is off
-	Sender      exchange.Sender
-	Liveness    Looker                  // nil: nobody looks
-	Quarantine  *quarantine.Quarantine  // nil: nothing is held against requests
-	Trials      Trials                  // of suspects; nil: as they come
-	Limits      *upstreamlimits.Tracker // that upstreams name
-	Limiter     Limiter                 // nil: nothing is held back for them
-	Rest        *backoff.Tracker        // that upstreams ask for; nil: none is kept
-	Budget      *retry.Budget
-	Runs        *runs.Runs
-	Lengths     *outputlen.Lengths // of answers, in tokens
-	Prefill     *prefill.Prefill
-	Metrics     *metrics.Metrics
-	Stopping    func() (Stop, bool)  // false unless this box is being stopped
-	Full        func() bool          // this box holds as much as it can
-	Buffers     *buffers.Buffers     // between upstreams and callers; nil: events are written before the next is read
-	ServeStale  bool                 // what a belief allows is served however old that is
-	Silent      func() time.Duration // since the store answered any box that this one hears; 0 if it hears none. nil: not known
-	Log         *logrus.Entry
+// Components are what a relay works with.
+type Components struct {
+	Routes        *routecache.Cache
+	Fleet         *fleet.Fleet
+	Picker        *picker.Picker
+	Admitter      Admitter       // nil: straight to the emptiest engine
+	Places        *places.Places // nil: straight to the emptiest plain upstream
+	UpstreamLoad  *upstreamload.Tracker
+	Reliability   *reliability.Reliability
+	Speeds        *speeds.Speeds // nil where that is off
+	Sender        exchange.Sender
+	Liveness      LivenessChecker         // nil: nobody looks
+	Quarantine    *quarantine.Quarantine  // nil: nothing is held against requests
+	Trials        Trials                  // of suspects; nil: as they come
+	Limits        *upstreamlimits.Tracker // that upstreams name
+	Limiter       Limiter                 // nil: nothing is held back for them
+	Backoff       *backoff.Tracker        // that upstreams ask for; nil: none is kept
+	Budget        *retry.Budget
+	Runs          *runs.Runs
+	OutputLengths *outputlen.Lengths // of answers, in tokens
+	Prefill       *prefill.Prefill
+	Metrics       *metrics.Metrics
+	Stopping      func() (Stop, bool)  // false unless this box is being stopped
+	Full          func() bool          // this box holds as much as it can
+	Buffers       *buffers.Buffers     // between upstreams and callers; nil: events are written before the next is read
+	ServeStale    bool                 // what a belief allows is served however old that is
+	StoreSilence  func() time.Duration // since the store answered any box that this one hears; 0 if it hears none. nil: not known
+	Log           *logrus.Entry
 }
 
 // Admitter gives requests room on engines.
@@ -97,10 +97,10 @@
 }
 
 // Relay is safe for use by several goroutines.
-type Relay struct{ Parts }
+type Relay struct{ Components }
 
 // New returns a relay.
-func New(parts Parts) *Relay { return &Relay{parts} }
+func New(parts Components) *Relay { return &Relay{parts} }
 
 // job is one request on its way.
 type job struct {
@@ -154,7 +154,7 @@
 	if r.Full() {
 		return nil, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(comeAgain)
 	}
-	table, age, stale := r.Belief.Now(req.Arrived)
+	table, age, stale := r.Routes.Now(req.Arrived)
 	if table == nil {
 		return nil, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(comeAgain)
 	}
@@ -168,7 +168,7 @@
 		return nil, orStale(stale, tooOld, refusal.New(refusal.UnknownRoute, req.Path))
 	}
 	log = log.WithField("route", rt.Name)
-	j := &job{req: req, route: rt, table: table, log: log, lengths: r.Lengths, urgency: rt.Priority, deadline: req.Arrived.Add(min(req.Wait, rt.Timeout))}
+	j := &job{req: req, route: rt, table: table, log: log, lengths: r.OutputLengths, urgency: rt.Priority, deadline: req.Arrived.Add(min(req.Wait, rt.Timeout))}
 	var o route.Organisation
 	if table.Keyed() {
 		var known bool
@@ -348,12 +348,12 @@
 
 // choose picks the upstream with the most room.
 func (r *Relay) choose(service route.Service, want picker.Want) (u fleet.Upstream, load float64, err error) {
-	u, load, ok := r.Chooser.Choose(time.Now(), want)
+	u, load, ok := r.Picker.Choose(time.Now(), want)
 	switch {
 	case ok:
-		r.Chooser.Sent(time.Now(), service, u)
+		r.Picker.Sent(time.Now(), service, u)
 		return u, load, nil
-	case len(r.Chooser.Ranked(time.Now(), want)) > 0: // all are held
+	case len(r.Picker.Ranked(time.Now(), want)) > 0: // all are held
 		return u, 0, refusal.New(refusal.UpstreamCold, "upstreams of "+service.Name+" are cold").WithRetryAfter(comeLater)
 	}
 	return u, 0, refusal.New(refusal.NoUpstream, "no upstream of "+service.Name).WithRetryAfter(comeLater)
@@ -368,7 +368,7 @@
 func (r *Relay) takePlace(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
 	c, err := r.Places.Take(ctx, j.placeAsk())
 	if err == nil {
-		r.Chooser.Sent(time.Now(), j.service, c.Upstream)
+		r.Picker.Sent(time.Now(), j.service, c.Upstream)
 	}
 	return c.Upstream, c.Load, err
 }
@@ -415,10 +415,10 @@
 	}
 	load := j.loadOf(after, from)
 	alone := 0
-	if r.Tally.Load(time.Now(), u.ID).Prefill == 0 {
+	if r.UpstreamLoad.Load(time.Now(), u.ID).Prefill == 0 {
 		alone = load.Prefill
 	}
-	entry := r.Tally.Begin(u.ID, load)
+	entry := r.UpstreamLoad.Begin(u.ID, load)
 	sending, cancel := context.WithCancelCause(ctx)
 	forget := r.Quarantine.Sent(j.print, func() { cancel(&QuarantinedError{}) })
 	unsent := r.Runs.TrackSend(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
@@ -478,9 +478,9 @@
 		r.Limits.Heard(now, sent, u, answer.Limit, answer.Sealed && !answer.NotRun)
 		r.heardLeaving(now, j, u, answer)
 		if answer.Backoff > 0 {
-			r.Rest.Asked(now, u, answer.Backoff)
+			r.Backoff.Asked(now, u, answer.Backoff)
 		} else {
-			r.Rest.Answered(now, sent, u)
+			r.Backoff.Answered(now, sent, u)
 		}
 	}
 	if !answer.NotRun {
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -240,12 +240,12 @@
 	}
 	w.fleet.Replace(time.Now(), list, 1, false)
 	w.failed = reliability.New()
-	w.relay = relay.New(relay.Parts{
-		Belief: w.belief, Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Sender: w.sender, Lengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
-		Chooser: picker.New(picker.Parts{Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
+	w.relay = relay.New(relay.Components{
+		Routes: w.belief, Fleet: w.fleet, UpstreamLoad: w.tally, Reliability: w.failed, Sender: w.sender, OutputLengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
+		Picker: picker.New(picker.Parts{Fleet: w.fleet, Tally: w.tally, Reliability: w.failed, Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
 		Full: func() bool { return w.full },
 		Stopping: func() (relay.Stop, bool) {
-			return relay.Stop{Since: grace - w.leaves, Left: w.leaves, Most: w.most}, w.leaves > 0
+			return relay.Stop{Since: grace - w.leaves, Remaining: w.leaves, MostBoxes: w.most}, w.leaves > 0
 		}, Log: logs.New(io.Discard, "info", "b"),
 	})
 	return w
@@ -255,8 +255,8 @@
 func (w *world) learn(k outputlen.Key, like []int) {
 	for range 100 {
 		for _, tokens := range like {
-			w.relay.Lengths.Progress(k, 0, tokens)
-			w.relay.Lengths.End(k, tokens, false)
+			w.relay.OutputLengths.Progress(k, 0, tokens)
+			w.relay.OutputLengths.End(k, tokens, false)
 		}
 	}
 }
@@ -319,7 +319,7 @@
 				w := newWorld(t, reply{body: "ok", events: []int{0}})
 				if tt.none {
 					w.belief = routecache.New(time.Second)
-					w.relay.Belief = w.belief
+					w.relay.Routes = w.belief
 				}
 				w.leaves = tt.leaves
 				w.relay.ServeStale, w.full = tt.open, tt.full
@@ -427,7 +427,7 @@
 // share lets the boxes share the places of plain upstreams out.
 func (w *world) share() {
 	w.relay.Places = places.New(places.Parts{
-		Ranker: w.relay.Chooser, Failing: w.failed.Failing, Counter: w.relay.Metrics, Hall: "leith", Random: rand.New(rand.NewPCG(1, 2)), Log: w.relay.Log,
+		Ranker: w.relay.Picker, Failing: w.failed.Failing, Counter: w.relay.Metrics, Hall: "leith", Random: rand.New(rand.NewPCG(1, 2)), Log: w.relay.Log,
 	})
 }
 
@@ -676,7 +676,7 @@
 	if m.broken > 0 {
 		w.rested().Asked(time.Now(), fleet.Upstream{ID: "llm3", Service: "llm"}, time.Minute)
 		for range m.broken - 1 {
-			is.True(w.relay.Rest.MayExcept(time.Now(), "llm3"))
+			is.True(w.relay.Backoff.MayExcept(time.Now(), "llm3"))
 		}
 	}
 	c := w.serve(t.Context(), "/draft/")
@@ -829,8 +829,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, reply{body: "b"})
-		w.relay.Chooser.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
-		w.relay.Chooser.Part = func(route.Service) float64 { return 0 }
+		w.relay.Picker.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
+		w.relay.Picker.Part = func(route.Service) float64 { return 0 }
 		for _, u := range w.fleet.Serving("plain") {
 			u.Version, u.Cold = 2, time.Now().Add(2*time.Second)
 			w.fleet.Put(time.Now(), u)
@@ -864,7 +864,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, reply{body: "b"})
-				w.relay.Chooser.Regions = map[string]string{"": "edinburgh"}
+				w.relay.Picker.Regions = map[string]string{"": "edinburgh"}
 				w.belief.Take(route.New(8, []route.Route{
 					{Name: "safe", Host: "h", Prefix: "/safe/", Repeatable: true, Attempts: 2, Timeout: time.Second, Aim: time.Second, Split: split("plain"), Regions: tt.route},
 				}, []route.Service{{Name: "plain"}}, []route.Organisation{{Name: "council", Keys: []string{"key"}, Regions: tt.organisation}}, route.Limits{}))
--- a/relay/stale.go
+++ b/relay/stale.go
@@ -16,10 +16,10 @@
 // for: at once, as another box may know better; where the store is silent for all, after
 // about as long as it has been.
 func (r *Relay) comeStale(request string) time.Duration {
-	if r.Silent == nil {
+	if r.StoreSilence == nil {
 		return comeAgain
 	}
-	silent := r.Silent()
+	silent := r.StoreSilence()
 	if silent < comeLater {
 		return comeAgain
 	}
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -28,24 +28,24 @@
 
 // Stop is a planned stop that is under way.
 type Stop struct {
-	Since time.Duration // its notice
-	Left  time.Duration // until the box is gone
-	Most  bool          // most boxes are being stopped
+	Since     time.Duration // its notice
+	Remaining time.Duration // until the box is gone
+	MostBoxes bool          // most boxes are being stopped
 }
 
 // fits tells whether a request ends before a stopping box is gone: surely, or,
 // for a stream early in the stop, as far as those like it tell.
 func (r *Relay) fits(j *job, stop Stop) bool {
-	if j.deadline.Sub(j.req.Arrived) <= stop.Left-stopSlack {
+	if j.deadline.Sub(j.req.Arrived) <= stop.Remaining-stopSlack {
 		return true
 	}
 	if !j.route.Streams || stop.Since > stopTakes {
 		return false
 	}
-	pace := cmp.Or(r.Tally.Pace(), paceGuess)
-	events := int((stop.Left - stopSlack - r.Prefill.Time(j.req.Prompt)) / pace)
+	pace := cmp.Or(r.UpstreamLoad.Pace(), paceGuess)
+	events := int((stop.Remaining - stopSlack - r.Prefill.Time(j.req.Prompt)) / pace)
 	chance := j.lengths.Within(j.kind(), events*j.eventTokens(), j.req.MaxTokens)
-	if stop.Most {
+	if stop.MostBoxes {
 		return chance >= stopChanceMost
 	}
 	return chance >= stopChance
@@ -54,7 +54,7 @@
 // comeBack tells when to come back: another box serves at once, unless most of
 // them are being stopped too.
 func (s Stop) comeBack() time.Duration {
-	if s.Most {
+	if s.MostBoxes {
 		return comeRestarted
 	}
 	return comeAgain
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -30,11 +30,11 @@
 // Error implements error.
 func (e *OrderError) Error() string { return "events out of order" }
 
-// LongError says that an answer in place of a stream is too long.
-type LongError struct{}
+// TooLongError says that an answer in place of a stream is too long.
+type TooLongError struct{}
 
 // Error implements error.
-func (*LongError) Error() string { return "an answer too long to be a failure" }
+func (*TooLongError) Error() string { return "an answer too long to be a failure" }
 
 // flow is a stream that is passed on.
 type flow struct {
@@ -125,7 +125,7 @@
 func (r *Relay) notStream(ctx context.Context, f *flow, o outcome) error {
 	body, more, err := o.sent.answer.Body.All(wholeMost)
 	if err == nil && more {
-		err = &LongError{}
+		err = &TooLongError{}
 	}
 	if err != nil {
 		o.sent.close()
@@ -242,7 +242,7 @@
 	r.lived(now, f)
 	f.grew()
 	if r.Speeds != nil {
-		f.sent.pace.Event(now, r.Tally.Load(now, f.sent.upstream.ID).Prefill > 0)
+		f.sent.pace.Event(now, r.UpstreamLoad.Load(now, f.sent.upstream.ID).Prefill > 0)
 	}
 	if e.ID != exchange.NoEvent {
 		f.last = e.ID
@@ -286,7 +286,7 @@
 			at = h.Source
 			continue
 		}
-		r.Chooser.Sent(time.Now(), f.job.service, at)
+		r.Picker.Sent(time.Now(), f.job.service, at)
 		s, err := r.sendTo(ctx, f.job, at, f.last, &h.Copy)
 		log := f.job.log.WithFields(logrus.Fields{"upstream": at.ID, "after": f.last, "copy": h.Copy.ID, "took_ms": time.Since(began).Milliseconds()})
 		if err == nil && s.answer.Status == http.StatusOK {
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -141,7 +141,7 @@
 	if !j.route.Repeatable || j.service.Engine != nil || len(j.tried) >= j.route.Attempts || time.Until(j.deadline) < leastLeft {
 		return
 	}
-	_, load, ok := r.Chooser.Choose(time.Now(), j.want())
+	_, load, ok := r.Picker.Choose(time.Now(), j.want())
 	why := metrics.NotBesideBudget
 	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Crowded(time.Now(), j.service) {
 		why = metrics.NotBesideNoRoom
