--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -121,7 +121,7 @@
 	var avoid []string
 	var last refusal.Refusal
 	waits := retry.Waits()
-	for n := range retry.Tries {
+	for n := range retry.MaxTries {
 		if n > 0 {
 			if !d.Budget.Spend() {
 				return nil, last
--- a/front/service.go
+++ b/front/service.go
@@ -68,7 +68,7 @@
 // repeatable tries a call elsewhere until it is answered, within the budget.
 func (f *Front) repeatable(w http.ResponseWriter, r *http.Request, call service.Call, targets []target) error {
 	var last error
-	for n := range retry.Tries {
+	for n := range retry.MaxTries {
 		if n > 0 {
 			if !f.Budget.Spend() {
 				break
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -15,8 +15,8 @@
 	earned = 0.1
 	// most is the largest budget that can be saved up.
 	most = 20.0
-	// Tries bounds how often one request is dispatched.
-	Tries = 3
+	// MaxTries bounds how often one request is dispatched.
+	MaxTries = 3
 
 	firstWait = 20 * time.Millisecond
 	mostWait  = time.Second
