--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -10,34 +10,34 @@
 	"petrelstep/refusal"
 )
 
-// awaitRest takes the refusal of a request for which there is no upstream. If all there
-// are rest, it waits for the first of them, as long as that is worth it, and returns nil:
-// the request may be placed again.
-func (r *Relay) awaitRest(ctx context.Context, j *job, err error) error {
+// awaitBackoff handles the refusal of a request for which no upstream was found. If all
+// candidates are backing off, it waits for the first of them, if that is soon enough, and
+// returns nil: the request may be placed again.
+func (r *Relay) awaitBackoff(ctx context.Context, j *job, err error) error {
 	var refused refusal.Refusal
 	if !errors.As(err, &refused) || refused.Reason() != refusal.NoUpstream {
 		return err
 	}
-	upstream, wait := r.firstBack(j)
+	upstream, wait := r.shortestBackoff(j)
 	if wait <= 0 {
 		return err
 	}
-	worth := r.worthWaiting(j)
-	log := j.log.WithFields(logrus.Fields{"upstream": upstream, "in_ms": wait.Milliseconds(), "worth_ms": worth.Milliseconds()})
-	if wait > worth {
+	maxWait := r.maxWait(j)
+	log := j.log.WithFields(logrus.Fields{"upstream": upstream, "in_ms": wait.Milliseconds(), "worth_ms": maxWait.Milliseconds()})
+	if wait > maxWait {
 		log.Info("rest_refused")
-		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" have asked for rest").WithRetryAfter(r.Backoff.Back(wait))
+		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" are backing off").WithRetryAfter(r.Backoff.Back(wait))
 	}
 	log.Info("rest_awaited")
 	if !r.waitFor(ctx, wait) {
-		return notAwaited(ctx)
+		return waitInterrupted(ctx)
 	}
 	return nil
 }
 
-// firstBack returns which of the upstreams that a request may go to rests no longer
-// first, and in how long; 0 if none rests.
-func (r *Relay) firstBack(j *job) (upstream string, wait time.Duration) {
+// shortestBackoff returns the candidate upstream whose backoff ends first, and in how
+// long; 0 if none is backing off.
+func (r *Relay) shortestBackoff(j *job) (upstream string, wait time.Duration) {
 	now := time.Now()
 	want := j.want()
 	want.All, want.Own = true, false
--- a/relay/buffered.go
+++ b/relay/buffered.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// stalledMost is how long a caller may take nothing before it is ended: a link
-	// that comes back within some seconds loses no answer, and a caller that is gone
-	// without a word costs its connection and its buffer no longer.
-	stalledMost = 15 * time.Second
-	// pieceMost is how many bytes are written at once: after each the caller has made
-	// progress, and a slow one takes some KB in stalledMost.
-	pieceMost = 4 << 10
+	// maxStall is how long a caller may read nothing before its answer is aborted: longer
+	// than short outages of a link, and short enough to free the connection and the buffer
+	// of a caller that disappeared.
+	maxStall = 15 * time.Second
+	// maxWriteSize is the number of bytes per write. Each write is progress, so that a
+	// slow caller only has to read this much within maxStall.
+	maxWriteSize = 4 << 10
 )
 
-// bounded is a caller whose writes can be bounded in time.
-type bounded interface {
-	// WriteBy makes writes fail, also one under way, that are not done by a time.
+// deadlineWriter is a caller whose writes can have a deadline.
+type deadlineWriter interface {
+	// WriteBy sets the deadline of writes, including one in progress.
 	WriteBy(at time.Time)
 }
 
-// past makes a write under way fail at once.
+// past is a deadline that fails a write in progress at once.
 var past = time.Unix(1, 0)
 
-// buffered is a caller that is written to by a task of its own: its upstream is read
-// on while it takes nothing.
+// buffered is a caller that is written to by its own goroutine, so that the upstream is
+// read even while the caller does not read.
 type buffered struct {
 	exchange.Caller
-	ctx    context.Context
-	cancel context.CancelCauseFunc // of the whole stream
-	stream *buffers.Stream
-	done   chan struct{} // closed when the task has ended; nil before the first write
-	left   error         // why the task ended before all was written; to be read after that
+	ctx      context.Context
+	cancel   context.CancelCauseFunc // cancels the whole stream
+	stream   *buffers.Stream
+	done     chan struct{} // closed when the goroutine has ended; nil before the first write
+	writeErr error         // why the goroutine ended early; valid after done is closed
 }
 
-// newBuffered returns a caller whose failures cancel its stream.
+// newBuffered returns a buffered caller that cancels its stream if a write fails.
 func newBuffered(ctx context.Context, cancel context.CancelCauseFunc, c exchange.Caller, b *buffers.Buffers) *buffered {
 	out := &buffered{Caller: c, ctx: ctx, cancel: cancel}
 	out.stream = b.Open(func(err error) {
@@ -56,12 +56,12 @@
 }
 
 func (b *buffered) writeBy(at time.Time) {
-	if c, ok := b.Caller.(bounded); ok {
+	if c, ok := b.Caller.(deadlineWriter); ok {
 		c.WriteBy(at)
 	}
 }
 
-// Write implements exchange.Caller: it returns once there is room for p.
+// Write implements exchange.Caller: it returns once the buffer has space for p.
 func (b *buffered) Write(p []byte) error {
 	if b.done == nil {
 		b.done = make(chan struct{})
@@ -70,7 +70,7 @@
 	return b.stream.Append(b.ctx, p)
 }
 
-// run writes to the caller what comes, until the stream is closed or fails.
+// run writes the buffered bytes to the caller until the stream is closed or fails.
 func (b *buffered) run() {
 	defer close(b.done)
 	for {
@@ -79,22 +79,22 @@
 			return
 		}
 		if err != nil {
-			b.left = err
+			b.writeErr = err
 			return
 		}
-		if err := b.pieces(p); err != nil {
+		if err := b.writeChunks(p); err != nil {
 			b.fail(err)
 			return
 		}
 	}
 }
 
-// pieces writes bytes that are held.
-func (b *buffered) pieces(p []byte) error {
+// writeChunks writes p to the caller in chunks.
+func (b *buffered) writeChunks(p []byte) error {
 	for len(p) > 0 {
-		n := min(len(p), pieceMost)
-		if err := b.piece(p[:n]); err != nil {
-			return cmp.Or(b.stream.Err(), err) // a write may have been broken off for the first
+		n := min(len(p), maxWriteSize)
+		if err := b.writeChunk(p[:n]); err != nil {
+			return cmp.Or(b.stream.Err(), err) // the stream's error may be the cause of the write's
 		}
 		b.stream.Sent(time.Now(), n)
 		p = p[n:]
@@ -102,20 +102,20 @@
 	return nil
 }
 
-// fail ends the stream, so that its upstream is left at once.
+// fail ends the stream and cancels the request at its upstream.
 func (b *buffered) fail(err error) {
 	if ended := b.ctx.Err(); ended != nil {
-		err = ended // a write that was broken off for it
+		err = ended // the cause of the failed write
 	}
 	b.stream.Fail(err)
-	b.left = b.stream.Err() // which may have been ended before
-	b.cancel(&callerError{b.left})
+	b.writeErr = b.stream.Err() // an earlier error takes precedence
+	b.cancel(&callerError{b.writeErr})
 }
 
-// piece writes once. The stream may have been ended before the bound was set, which
-// would undo that one's.
-func (b *buffered) piece(p []byte) error {
-	b.writeBy(time.Now().Add(stalledMost))
+// writeChunk writes one chunk. It checks for an end of the stream after setting the
+// deadline, as it may have replaced the expired one.
+func (b *buffered) writeChunk(p []byte) error {
+	b.writeBy(time.Now().Add(maxStall))
 	if err := b.stream.Err(); err != nil {
 		return err
 	}
@@ -125,10 +125,10 @@
 	return b.Caller.Write(p)
 }
 
-// finish waits until all has gone out, or ctx ends, and the task has ended.
+// finish waits until all bytes are written or ctx ends, and the goroutine has ended.
 func (b *buffered) finish() error {
 	b.stream.Close()
-	defer b.stream.Fail(io.EOF) // nothing of it is held
+	defer b.stream.Fail(io.EOF) // releases the buffer
 	if b.done == nil {
 		return nil
 	}
@@ -140,27 +140,26 @@
 	<-b.done
 	if !stop() {
 		<-broken
-		b.writeBy(time.Now().Add(stalledMost)) // the connection may serve on
+		b.writeBy(time.Now().Add(maxStall)) // the connection may serve further requests
 	}
-	if b.left != nil {
-		return &callerError{b.left}
+	if b.writeErr != nil {
+		return &callerError{b.writeErr}
 	}
 	return nil
 }
 
-// endOf returns why a stream ended, of what its reading task and its writing task met.
-// At the deadline both end: the stream is lost then if it was not read to its end.
-func endOf(reading, writing error) error {
+// streamError returns why a stream ended, given the errors of reading and writing it. At
+// the deadline both fail; the stream is lost then if it was not read to its end.
+func streamError(reading, writing error) error {
 	if errors.Is(writing, context.DeadlineExceeded) {
 		return cmp.Or(reading, writing)
 	}
 	return cmp.Or(writing, reading)
 }
 
-// writeWhole writes a whole answer. One that may not go out at once counts as held as
-// far as it has not.
+// writeWhole writes a whole answer. Bytes that are not yet written count as buffered.
 func (r *Relay) writeWhole(ctx context.Context, c exchange.Caller, body []byte) error {
-	if r.Buffers == nil || len(body) <= pieceMost {
+	if r.Buffers == nil || len(body) <= maxWriteSize {
 		return c.Write(body)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -170,22 +169,22 @@
 	if err := out.stream.Reserve(ctx, len(body)); err != nil {
 		return &callerError{err}
 	}
-	if err := out.pieces(body); err != nil {
+	if err := out.writeChunks(body); err != nil {
 		return &callerError{err}
 	}
 	return nil
 }
 
-// writeRest writes a piece of an answer that is too long to be held. The bound of the
-// piece before would count the time that its upstream took.
-func (r *Relay) writeRest(c exchange.Caller, p []byte) error {
-	if b, ok := c.(bounded); ok && r.Buffers != nil {
-		b.WriteBy(time.Now().Add(stalledMost))
+// writeUnbuffered writes a chunk of an answer that is too long to buffer. It sets a new
+// deadline, as the upstream's delay must not count against the caller.
+func (r *Relay) writeUnbuffered(c exchange.Caller, p []byte) error {
+	if b, ok := c.(deadlineWriter); ok && r.Buffers != nil {
+		b.WriteBy(time.Now().Add(maxStall))
 	}
 	return c.Write(p)
 }
 
-// slowReader tells why a caller was ended for reading slowly; empty if it was not.
+// slowReader returns why a caller was aborted for reading slowly; empty if it was not.
 func slowReader(err error) string {
 	switch {
 	case errors.As(err, new(*buffers.SlowError)):
@@ -196,11 +195,11 @@
 	return ""
 }
 
-// heldOf returns what a slow reader held, for the log.
-func heldOf(err error) logrus.Fields {
+// slowReaderFields returns log fields on the buffer of a slow reader.
+func slowReaderFields(err error) logrus.Fields {
 	var slow *buffers.SlowError
 	if !errors.As(err, &slow) {
-		return logrus.Fields{"stalled_ms": stalledMost.Milliseconds()}
+		return logrus.Fields{"stalled_ms": maxStall.Milliseconds()}
 	}
 	return logrus.Fields{"held": slow.Held, "stalled_ms": slow.Stalled.Milliseconds(), "box_held": slow.Box}
 }
--- a/relay/check.go
+++ b/relay/check.go
@@ -9,39 +9,40 @@
 	"petrelstep/metrics"
 )
 
-// LeavingError says that an upstream leaves, or that its hall was evacuated.
+// LeavingError says that an upstream is leaving or that its hall was evacuated.
 type LeavingError struct{ Upstream string }
 
 // Error implements error.
-func (e *LeavingError) Error() string { return "upstream " + e.Upstream + " takes nothing new" }
+func (e *LeavingError) Error() string { return "upstream " + e.Upstream + " accepts no new requests" }
 
-// BackoffError says that an upstream has asked this box to send it nothing for a time.
+// BackoffError says that an upstream has requested a backoff from this box.
 type BackoffError struct{ Upstream string }
 
 // Error implements error.
-func (e *BackoffError) Error() string { return "upstream " + e.Upstream + " has asked for rest" }
-
-// check tells why a request may not go to an upstream that was picked for it: time has
-// passed since. A run that has moved goes to the copy of its memory. The error is a
-// refusal, or says that nothing was sent.
-func (r *Relay) check(j *job, u fleet.Upstream, from *exchange.Copy) error {
-	if refused, ok := r.quarantined(j); ok {
+func (e *BackoffError) Error() string { return "upstream " + e.Upstream + " has requested a backoff" }
+
+// checkSendable checks whether a request may still be sent to the upstream picked for it,
+// as its state may have changed since. A moved run must go where the copy of its memory
+// is, so leaving does not prevent it. The error is a refusal, or says that nothing was
+// sent.
+func (r *Relay) checkSendable(j *job, u fleet.Upstream, from *exchange.Copy) error {
+	if refused, ok := r.quarantineRefusal(j); ok {
 		return refused
 	}
 	if from == nil && !r.Fleet.Takes(u.ID) {
 		return &exchange.FailedError{NotSent: true, Err: &LeavingError{Upstream: u.ID}}
 	}
-	may := r.Backoff.MaySend
+	maySend := r.Backoff.MaySend
 	if from != nil {
-		may = r.Backoff.MayExcept
+		maySend = r.Backoff.MayExcept
 	}
-	if !may(time.Now(), u.ID) {
+	if !maySend(time.Now(), u.ID) {
 		return &exchange.FailedError{NotSent: true, Err: &BackoffError{Upstream: u.ID}}
 	}
 	return nil
 }
 
-// unsentReason tells why nothing reached an upstream, for the counter of retries.
+// unsentReason returns why nothing was sent to an upstream, for the counter of retries.
 func unsentReason(err error) string {
 	switch {
 	case errors.As(err, new(*LeavingError)):
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -15,77 +15,77 @@
 )
 
 const (
-	// freshPart is the part of the aim within which being sent off costs a caller
-	// little; one that has waited longer is let wait on for a while.
-	freshPart = 4
-	// limitBack is the least time after which one that is sent off is to come back: a
-	// limit of a hundred a second has something for it again.
-	limitBack = 10 * time.Millisecond
+	// youngAgeDivisor: a request younger than aim/youngAgeDivisor is rejected rather than
+	// delayed past its aim, as its caller can still retry in time.
+	youngAgeDivisor = 4
+	// minLimitRetryAfter is the minimum Retry-After of a request rejected for an
+	// upstream's limit.
+	minLimitRetryAfter = 10 * time.Millisecond
 )
 
-// LimitRequest is a request that is about to go to a limited upstream.
+// LimitRequest asks for permission to send a request to a rate-limited upstream.
 type LimitRequest struct {
 	Request  string
 	Service  route.Service
 	Upstream string
 	Urgency  int           // 0 goes first
-	Wait     time.Duration // how far ahead its time may be
+	Wait     time.Duration // maximum delay before the send
 }
 
-func (j *job) limitAsk(upstream string, wait time.Duration) LimitRequest {
+func (j *job) limitRequest(upstream string, wait time.Duration) LimitRequest {
 	return LimitRequest{Request: j.req.ID, Service: j.service, Upstream: upstream, Urgency: j.urgency, Wait: wait}
 }
 
-// Limiter gives out what upstreams take that name a limit.
+// Limiter enforces the rate limits that upstreams announce.
 type Limiter interface {
-	// Limit returns how many requests a second an upstream takes; false if it takes all.
+	// Limit returns the requests per second that an upstream accepts; false if unlimited.
 	Limit(upstream string) (perSecond float64, limited bool)
-	// UsedUp returns for how long nothing more is to be had there, as far as is known.
+	// UsedUp returns how long the upstream's limit is known to be used up.
 	UsedUp(now time.Time, upstream string) time.Duration
-	// Take gives a request its time at an upstream, if that is at most a wait ahead.
+	// Take reserves a time to send a request to an upstream, if one is free within a.Wait.
 	Take(ctx context.Context, a LimitRequest) ratelimit.Turn
 }
 
-// placeLimited finds an upstream for a request that no engine answers, however it comes
-// there: first, again, beside another try or resumed. A limit holds for the sum over all
-// boxes, so that its keeper is asked before each.
+// placeLimited picks a plain upstream for a request, whatever the kind of try. A limit
+// holds for the sum over all boxes, so permission is requested from the limit's owner for
+// each send.
 func (r *Relay) placeLimited(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
-	var used []string // up, by what this request found
+	var used []string // upstreams whose limits are used up
 	for first := true; ; first = false {
 		u, load, err = r.pickPlain(ctx, j, used, first)
 		var refused refusal.Refusal
 		switch {
 		case errors.As(err, &refused) && refused.Reason() == refusal.UpstreamLimited:
-			return r.awaitLimited(ctx, j)
+			return r.awaitLimit(ctx, j)
 		case err != nil && len(used) > 0 && errors.As(err, &refused) && refused.Reason() == refusal.NoUpstream:
-			return r.awaitLimited(ctx, j)
+			return r.awaitLimit(ctx, j)
 		case err != nil:
 			return u, load, err
 		}
 		if _, limited := r.Limiter.Limit(u.ID); !limited {
 			return u, load, nil
 		}
-		if r.Limiter.UsedUp(time.Now(), u.ID) == 0 && r.Limiter.Take(ctx, j.limitAsk(u.ID, 0)).Granted {
+		if r.Limiter.UsedUp(time.Now(), u.ID) == 0 && r.Limiter.Take(ctx, j.limitRequest(u.ID, 0)).Granted {
 			if r.sharesPlaces(j) {
-				r.Places.Allowed(j.placeAsk(), u)
+				r.Places.Allowed(j.placeRequest(), u)
 			}
 			return u, load, nil
 		}
 		if r.sharesPlaces(j) {
-			r.Places.Passed(j.placeAsk(), u)
+			r.Places.Passed(j.placeRequest(), u)
 		}
 		used = append(used, u.ID)
 	}
 }
 
-// pickPlain picks an upstream but those that are used up. The first time the request
-// stands in line for it.
+// pickPlain picks an upstream other than those used up. On the first call the request
+// waits in the queue for a place.
 func (r *Relay) pickPlain(ctx context.Context, j *job, used []string, first bool) (u fleet.Upstream, load float64, err error) {
-	ask := j.placeAsk()
+	ask := j.placeRequest()
 	ask.Want.Avoid = append(ask.Want.Avoid, used...)
 	switch {
 	case !r.sharesPlaces(j):
-		return r.choose(j.service, ask.Want)
+		return r.pick(j.service, ask.Want)
 	case first:
 		return r.takePlace(ctx, j)
 	}
@@ -96,42 +96,42 @@
 	return c.Upstream, c.Load, err
 }
 
-// awaitLimited waits at the limited upstream that has something first, as long as that is
-// worth it. What cannot be served by what the limits allow is refused at once.
-func (r *Relay) awaitLimited(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
-	worth := r.worthWaiting(j)
+// awaitLimit waits for the limited upstream that is available first, if that is soon
+// enough. Otherwise the request is refused at once.
+func (r *Relay) awaitLimit(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
+	maxWait := r.maxWait(j)
 	c, in, ok := r.soonest(j)
-	if ok && in <= worth {
-		turn := r.Limiter.Take(ctx, j.limitAsk(c.Upstream.ID, worth))
+	if ok && in <= maxWait {
+		turn := r.Limiter.Take(ctx, j.limitRequest(c.Upstream.ID, maxWait))
 		in = turn.In
 		if turn.Granted {
 			j.log.WithFields(logrus.Fields{"upstream": c.Upstream.ID, "in_ms": in.Milliseconds()}).Info("limit_awaited")
 			if in > 0 && !r.waitFor(ctx, in) {
-				return u, 0, notAwaited(ctx)
+				return u, 0, waitInterrupted(ctx)
 			}
 			if r.sharesPlaces(j) {
-				r.Places.Went(j.placeAsk(), c.Upstream)
+				r.Places.Went(j.placeRequest(), c.Upstream)
 			}
 			return c.Upstream, c.Load, nil
 		}
 	}
-	back := max(in, limitBack)
+	back := max(in, minLimitRetryAfter)
 	if r.sharesPlaces(j) {
 		back = max(back, r.Places.Back(time.Now(), j.service))
 	}
-	j.log.WithFields(logrus.Fields{"upstream": c.Upstream.ID, "in_ms": in.Milliseconds(), "worth_ms": worth.Milliseconds()}).Info("limit_refused")
-	return u, 0, refusal.New(refusal.UpstreamLimited, "upstreams of "+j.service.Name+" take no more for now").WithRetryAfter(back)
+	j.log.WithFields(logrus.Fields{"upstream": c.Upstream.ID, "in_ms": in.Milliseconds(), "worth_ms": maxWait.Milliseconds()}).Info("limit_refused")
+	return u, 0, refusal.New(refusal.UpstreamLimited, "upstreams of "+j.service.Name+" are at their rate limits").WithRetryAfter(back)
 }
 
-// notAwaited refuses a request that had its time at an upstream, and ended before.
-func notAwaited(ctx context.Context) error {
+// waitInterrupted returns the refusal of a request whose context ended while it waited.
+func waitInterrupted(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return refusal.New(refusal.CallerGone, "the caller hung up while it waited for its time")
+		return refusal.New(refusal.CallerGone, "the caller disconnected while the request waited for an upstream")
 	}
-	return refusal.New(refusal.Deadline, "its time ended before an upstream took it")
+	return refusal.New(refusal.Deadline, "the deadline passed before an upstream was available")
 }
 
-// soonest returns the limited upstream that has something first, and in how long.
+// soonest returns the limited upstream that is available first, and in how long.
 func (r *Relay) soonest(j *job) (soonest picker.Choice, in time.Duration, found bool) {
 	now := time.Now()
 	want := j.want()
@@ -147,22 +147,22 @@
 	return soonest, in, found
 }
 
-// worthWaiting is how long a request may wait for its time at an upstream: until it would
-// be late; one that is late, or has waited too long to come back in time, once the aim
-// more if it can be served then. Times that were given to it further ahead would make
-// new ones late.
-func (r *Relay) worthWaiting(j *job) time.Duration {
-	if j.hurried {
+// maxWait returns how long a request may wait for an upstream: until it would miss its
+// aim. A request that would miss it anyway, and is too old for its caller to retry in
+// time, may wait up to the aim once more, within its deadline. Longer reservations would
+// make new requests miss their aims.
+func (r *Relay) maxWait(j *job) time.Duration {
+	if j.noWait {
 		return 0
 	}
 	now := time.Now()
-	usual := leastLeft
+	usual := minTimeLeft
 	if r.sharesPlaces(j) {
 		usual = max(usual, r.Places.Usual(now, j.service))
 	}
 	age, left := now.Sub(j.req.Arrived), j.deadline.Sub(now)-usual
 	inTime := j.route.Aim - age - usual
-	if inTime <= 0 && age > j.route.Aim/freshPart {
+	if inTime <= 0 && age > j.route.Aim/youngAgeDivisor {
 		inTime = j.route.Aim
 	}
 	return max(min(inTime, left), 0)
--- a/relay/limited_test.go
+++ b/relay/limited_test.go
@@ -18,17 +18,16 @@
 	"petrelstep/upstreamlimits"
 )
 
-// limiter is one whose upstreams have something in a while, by upstream; others name no
-// limit.
+// limiter is a fake whose limited upstreams accept a request after a fixed time.
 type limiter struct {
-	mu   sync.Mutex
-	in   map[string]time.Duration
-	asks []relay.LimitRequest
+	mu          sync.Mutex
+	availableIn map[string]time.Duration
+	requests    []relay.LimitRequest
 }
 
 // Limit implements relay.Limiter.
 func (l *limiter) Limit(upstream string) (perSecond float64, limited bool) {
-	_, limited = l.in[upstream]
+	_, limited = l.availableIn[upstream]
 	return 2, limited
 }
 
@@ -39,12 +38,12 @@
 func (l *limiter) Take(_ context.Context, a relay.LimitRequest) ratelimit.Turn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asks = append(l.asks, a)
-	in := l.in[a.Upstream]
+	l.requests = append(l.requests, a)
+	in := l.availableIn[a.Upstream]
 	return ratelimit.Turn{Granted: in <= a.Wait, In: in}
 }
 
-func usedUp(in time.Duration, upstreams ...string) map[string]time.Duration {
+func availableAfter(in time.Duration, upstreams ...string) map[string]time.Duration {
 	list := map[string]time.Duration{}
 	for _, u := range upstreams {
 		list[u] = in
@@ -52,37 +51,37 @@
 	return list
 }
 
-// limitedCase is a request before limited upstreams, and what becomes of it.
+// limitedCase is a request to rate-limited upstreams, and its outcome.
 type limitedCase struct {
-	in     map[string]time.Duration
-	path   string
-	script []reply
-	sends  int
-	free   bool // all sends go to the upstreams that have something
-	asked  int  // at least
-	want   refusal.Reason
-	took   time.Duration
+	availableIn   map[string]time.Duration
+	path          string
+	script        []reply
+	sends         int
+	avoidsLimited bool // all sends go to upstreams available now
+	minRequests   int  // minimum number of requests to the limiter
+	want          refusal.Reason
+	took          time.Duration
 }
 
-// TestLimited lets each kind of send pass the one door to limited upstreams.
+// TestLimited guards against sends that bypass the limiter, for each kind of send.
 func TestLimited(t *testing.T) {
 	all := []string{"plain0", "plain1", "plain2", "plain3"}
 	tests := map[string]limitedCase{
-		"nobody names a limit":               {nil, "/safe/", []reply{{body: "1"}}, 1, true, 0, "", 0},
-		"all have something":                 {usedUp(0, all...), "/safe/", []reply{{body: "1"}}, 1, true, 1, "", 0},
-		"another has":                        {usedUp(time.Second, all[:3]...), "/safe/", []reply{{body: "1"}}, 1, true, 0, "", 0},
-		"nobody has, but soon":               {usedUp(40*time.Millisecond, all...), "/safe/", []reply{{body: "1"}}, 1, false, 5, "", 40 * time.Millisecond},
-		"nobody has in time":                 {usedUp(2*time.Second, all...), "/safe/", []reply{{body: "1"}}, 0, false, 4, refusal.UpstreamLimited, 0},
-		"nobody has within the aim":          {usedUp(300*time.Millisecond, all...), "/safe/", []reply{{body: "1"}}, 0, false, 4, refusal.UpstreamLimited, 0},
-		"a request that may run once":        {usedUp(2*time.Second, all...), "/once/", []reply{{body: "1"}}, 0, false, 4, refusal.UpstreamLimited, 0},
-		"a second try goes where there is":   {usedUp(time.Second, all[:2]...), "/safe/", []reply{{status: 500, body: "1"}, {body: "2"}}, 2, true, 0, "", 0},
-		"a second try has a door too":        {usedUp(0, all...), "/safe/", []reply{{status: 500, body: "1"}, {body: "2"}}, 2, true, 2, "", 0},
-		"one beside the first has":           {usedUp(0, all...), "/safe/", []reply{{takes: 70 * time.Millisecond, body: "1"}}, 2, true, 2, "", 70 * time.Millisecond},
-		"one that reached nothing is no try": {usedUp(0, all...), "/once/", []reply{{err: io.EOF, notSent: true}, {body: "2"}}, 2, true, 2, "", 0},
+		"no limits":                         {nil, "/safe/", []reply{{body: "1"}}, 1, true, 0, "", 0},
+		"all are available":                 {availableAfter(0, all...), "/safe/", []reply{{body: "1"}}, 1, true, 1, "", 0},
+		"one is not limited":                {availableAfter(time.Second, all[:3]...), "/safe/", []reply{{body: "1"}}, 1, true, 0, "", 0},
+		"all are available soon":            {availableAfter(40*time.Millisecond, all...), "/safe/", []reply{{body: "1"}}, 1, false, 5, "", 40 * time.Millisecond},
+		"none is available in time":         {availableAfter(2*time.Second, all...), "/safe/", []reply{{body: "1"}}, 0, false, 4, refusal.UpstreamLimited, 0},
+		"none is available within the aim":  {availableAfter(300*time.Millisecond, all...), "/safe/", []reply{{body: "1"}}, 0, false, 4, refusal.UpstreamLimited, 0},
+		"a request that may run once":       {availableAfter(2*time.Second, all...), "/once/", []reply{{body: "1"}}, 0, false, 4, refusal.UpstreamLimited, 0},
+		"a retry goes to an available one":  {availableAfter(time.Second, all[:2]...), "/safe/", []reply{{status: 500, body: "1"}, {body: "2"}}, 2, true, 0, "", 0},
+		"a retry asks the limiter":          {availableAfter(0, all...), "/safe/", []reply{{status: 500, body: "1"}, {body: "2"}}, 2, true, 2, "", 0},
+		"a concurrent try asks the limiter": {availableAfter(0, all...), "/safe/", []reply{{delay: 70 * time.Millisecond, body: "1"}}, 2, true, 2, "", 70 * time.Millisecond},
+		"an unreachable one is no try":      {availableAfter(0, all...), "/once/", []reply{{err: io.EOF, notSent: true}, {body: "2"}}, 2, true, 2, "", 0},
 	}
 	for name, tt := range tests {
 		for _, shared := range []bool{false, true} {
-			t.Run(name+map[bool]string{true: ", shared out"}[shared], func(t *testing.T) {
+			t.Run(name+map[bool]string{true: ", shared places"}[shared], func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) { tt.check(t, shared) })
 			})
 		}
@@ -92,45 +91,45 @@
 func (tt limitedCase) check(t *testing.T, shared bool) {
 	is := is.New(t)
 	w := newWorld(t, tt.script...)
-	l := &limiter{in: tt.in}
+	l := &limiter{availableIn: tt.availableIn}
 	w.relay.Limiter = l
 	if shared {
-		w.share()
+		w.sharePlaces()
 	}
 	began := time.Now()
 	c := w.serve(t.Context(), tt.path)
 	is.Equal(len(w.sender.sends), tt.sends)
-	is.True(len(l.asks) >= tt.asked)
+	is.True(len(l.requests) >= tt.minRequests)
 	is.True(tt.took == 0 || time.Since(began) == tt.took)
 	if tt.want != "" {
 		is.Equal(c.refused.Reason(), tt.want)
 		is.Equal(c.refused.Outcome(), refusal.NotRun)
-		is.True(c.refused.RetryAfter() >= tt.in["plain0"])
+		is.True(c.refused.RetryAfter() >= tt.availableIn["plain0"])
 		is.Equal(time.Since(began), 0*time.Second)
 		return
 	}
 	for _, s := range w.sender.sends {
-		is.True(!tt.free || tt.in[s.Upstream] == 0)
+		is.True(!tt.avoidsLimited || tt.availableIn[s.Upstream] == 0)
 	}
-	is.True(!slices.ContainsFunc(l.asks, func(a relay.LimitRequest) bool { return a.Request != "r1" || a.Service.Name != "plain" }))
+	is.True(!slices.ContainsFunc(l.requests, func(a relay.LimitRequest) bool { return a.Request != "r1" || a.Service.Name != "plain" }))
 }
 
-// TestLimitHeard shows of which answers the relay takes what the upstream says.
-func TestLimitHeard(t *testing.T) {
+// TestLimitRecorded checks from which answers a limit is recorded.
+func TestLimitRecorded(t *testing.T) {
 	tests := map[string]struct {
 		path    string
 		reply   reply
-		limited int // upstreams
+		limited int // upstreams with a limit
 	}{
-		"a whole answer":            {"/once/", reply{body: "1", limit: 2}, 1},
-		"a failure":                 {"/once/", reply{status: 500, body: "1", limit: 2}, 1},
-		"a refusal":                 {"/once/", reply{status: 503, notRun: true, limit: 2}, 1},
-		"a stream":                  {"/draft/", reply{events: []int{0, 1}, limit: 2}, 1},
-		"an answer that is cut":     {"/draft/", reply{events: []int{0}, cutAfter: errReset, limit: 2}, 1},
-		"an answer without a seal":  {"/once/", reply{body: "1", unsealed: true, limit: 2}, 1},
-		"another upstream's":        {"/once/", reply{status: 421, notRun: true, limit: 2}, 0},
-		"none names one":            {"/once/", reply{body: "1"}, 0},
-		"tries at two of them both": {"/safe/", reply{status: 500, limit: 2}, 2},
+		"a whole answer":           {"/once/", reply{body: "1", limit: 2}, 1},
+		"an internal error":        {"/once/", reply{status: 500, body: "1", limit: 2}, 1},
+		"rejected":                 {"/once/", reply{status: 503, notRun: true, limit: 2}, 1},
+		"a stream":                 {"/draft/", reply{events: []int{0, 1}, limit: 2}, 1},
+		"a broken stream":          {"/draft/", reply{events: []int{0}, cutAfter: errReset, limit: 2}, 1},
+		"an answer without a seal": {"/once/", reply{body: "1", unsealed: true, limit: 2}, 1},
+		"another upstream answers": {"/once/", reply{status: 421, notRun: true, limit: 2}, 0},
+		"not announced":            {"/once/", reply{body: "1"}, 0},
+		"two upstreams tried":      {"/safe/", reply{status: 500, limit: 2}, 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -13,78 +13,78 @@
 )
 
 const (
-	// trialWait is how long a request under which an upstream has ended waits for its
-	// turn: a try that ends an engine takes some tenths of a second, and callers of
-	// streams leave after two seconds without an event.
-	trialWait = 1500 * time.Millisecond
-	// trialLook is how often it is looked meanwhile whether it is refused, or cleared.
-	trialLook = 300 * time.Millisecond
-	// trialBack is when to come back while another try of the same request goes on.
-	trialBack = time.Second
-	// placeLasts is how long a place is kept for one that waits for its turn: what was
-	// promised lapses soon after, and others may have taken it.
-	placeLasts = 500 * time.Millisecond
+	// maxTrialWait is how long a suspected request waits for its trial turn. It is shorter
+	// than the two seconds after which callers of streams disconnect.
+	maxTrialWait = 1500 * time.Millisecond
+	// trialCheckInterval is how often a waiting request checks whether it was quarantined
+	// or cleared.
+	trialCheckInterval = 300 * time.Millisecond
+	// retryAfterTrial is the Retry-After while another try of the same request is running.
+	retryAfterTrial = time.Second
+	// maxPlaceAge is how long a place stays valid while its request waits for a trial
+	// turn: the reservation lapses soon after.
+	maxPlaceAge = 500 * time.Millisecond
 )
 
 const (
-	// livedFor is after how long of events a run counts as one under which its upstream
-	// lives: engines ended 0.04 to 0.12 s after they had begun to run the request that
-	// ended them, before its first event.
-	livedFor = 250 * time.Millisecond
-	// livedEvery is how often that is noted again of a long answer.
-	livedEvery = 2 * time.Second
+	// minHealthyRun is how long a stream's events must have come for the upstream to count
+	// as healthy under the request. Requests that crash engines do so before their first
+	// event.
+	minHealthyRun = 250 * time.Millisecond
+	// healthyInterval is the time between two such records for one stream.
+	healthyInterval = 2 * time.Second
 )
 
-// lived notes that an upstream has run a request for some time and lives. What ends an
-// upstream later is not held against it: with long answers most of what is lost with an
-// engine has run for seconds, and would else be under suspicion each time.
-func (r *Relay) lived(now time.Time, f *flow) {
-	s := f.sent
-	if s.event.IsZero() {
-		s.event = now
+// recordHealthy records that an upstream has run a request for some time. A later end of
+// the upstream is not held against the request: long answers are often running when an
+// engine ends for another reason.
+func (r *Relay) recordHealthy(now time.Time, f *forwarder) {
+	s := f.resp
+	if s.firstEvent.IsZero() {
+		s.firstEvent = now
 	}
-	if now.Sub(s.event) < livedFor || now.Sub(s.good) < livedEvery {
+	if now.Sub(s.firstEvent) < minHealthyRun || now.Sub(s.lastHealthy) < healthyInterval {
 		return
 	}
-	s.good = now
+	s.lastHealthy = now
 	r.Quarantine.Good(now, f.job.print)
 }
 
-// Trials gives the turns by which suspects are tried one after the other.
+// Trials grants turns, so that suspected requests are tried one after the other.
 type Trials interface {
-	// Take waits until ctx ends for the turn of a fingerprint, for one request. It is
-	// given back by the returned function, which is told whether an upstream ended
-	// under the request; false if there was none in time.
-	Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (giveBack func(ended bool), ok bool)
+	// Take waits until ctx ends for the trial turn of a fingerprint. The returned function
+	// releases the turn; ended reports whether an upstream ended while it ran the request.
+	// ok is false if no turn was granted in time.
+	Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (release func(ended bool), ok bool)
 }
 
-// QuarantinedError says that a request was broken off as it is quarantined.
+// QuarantinedError says that a request was cancelled because it was quarantined.
 type QuarantinedError struct{}
 
 // Error implements error.
-func (*QuarantinedError) Error() string { return "quarantined while it was on its way" }
+func (*QuarantinedError) Error() string { return "request was quarantined while in flight" }
 
-// placeSuspect finds an upstream for a request, however it comes there: first, again or
-// resumed. One under which upstreams have ended goes alone, or not at all. Who waits for
-// room holds no turn, as others may find room before.
-func (r *Relay) placeSuspect(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
+// placeWithQuarantine picks an upstream for a request, whatever the kind of try. A
+// suspected request needs a trial turn as well; it is taken after the place, so that no
+// request holds a turn while it waits for capacity.
+func (r *Relay) placeWithQuarantine(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
 	for {
-		if err := r.judged(ctx, j); err != nil {
+		if err := r.awaitDecision(ctx, j); err != nil {
 			return u, 0, err
 		}
 		if u, load, err = r.place(ctx, j); err != nil {
-			if err = r.awaitRest(ctx, j, err); err != nil {
+			if err = r.awaitBackoff(ctx, j, err); err != nil {
 				return u, load, err
 			}
 			continue
 		}
 		placed := time.Now()
-		err = r.enter(ctx, j)
-		if err == nil && time.Since(placed) < placeLasts {
+		err = r.enterTrial(ctx, j)
+		if err == nil && time.Since(placed) < maxPlaceAge {
 			return u, load, nil
 		}
 		if r.sharesPlaces(j) {
-			r.Places.Dropped(j.placeAsk(), u, 0)
+			r.Places.Dropped(j.placeRequest(), u, 0)
 		}
 		if err != nil {
 			return u, 0, err
@@ -92,80 +92,81 @@
 	}
 }
 
-// judged waits for the other boxes' word where a request may be refused in a moment.
-func (r *Relay) judged(ctx context.Context, j *job) error {
+// awaitDecision waits while the other boxes' reports may still quarantine the request.
+func (r *Relay) awaitDecision(ctx context.Context, j *job) error {
 	for {
 		st := r.Quarantine.Standing(time.Now(), j.print)
 		switch {
 		case st.Kind == quarantine.Refused:
-			return r.refuseSuspect(j, st)
+			return r.refuseQuarantined(j, st)
 		case st.Kind != quarantine.Open:
 			return nil
-		case !st.Until.Before(j.deadline): // it would wait in vain
-			return r.refuseSuspect(j, st)
+		case !st.Until.Before(j.deadline): // the wait would exceed the deadline
+			return r.refuseQuarantined(j, st)
 		case !r.waitFor(ctx, time.Until(st.Until)):
-			return refusal.New(refusal.Deadline, "its time ended before the other boxes were heard of an end")
+			return refusal.New(refusal.Deadline, "the deadline passed before other boxes reported on upstreams that ended")
 		}
 	}
 }
 
-// enter lets a request through that has a place. One under which an upstream has ended
-// waits for its turn, so that the next try knows what became of the last.
-func (r *Relay) enter(ctx context.Context, j *job) error {
-	for until := time.Now().Add(trialWait); ; {
-		if err := r.judged(ctx, j); err != nil {
+// enterTrial waits for the trial turn of a suspected request that has a place, so that the
+// result of one try is known before the next.
+func (r *Relay) enterTrial(ctx context.Context, j *job) error {
+	for until := time.Now().Add(maxTrialWait); ; {
+		if err := r.awaitDecision(ctx, j); err != nil {
 			return err
 		}
 		st := r.Quarantine.Standing(time.Now(), j.print)
 		switch {
-		case st.Kind == quarantine.Free || j.trial != nil || r.Trials == nil:
+		case st.Kind == quarantine.Free || j.releaseTrial != nil || r.Trials == nil:
 			return nil
 		case time.Now().After(until) || ctx.Err() != nil:
-			return r.otherTry(j, st)
+			return r.refuseConcurrentTry(j, st)
 		}
 		r.takeTrial(ctx, j)
 	}
 }
 
-// quarantined returns the refusal of a request that is refused.
-func (r *Relay) quarantined(j *job) (refusal.Refusal, bool) {
+// quarantineRefusal returns the refusal of a request that is quarantined.
+func (r *Relay) quarantineRefusal(j *job) (refusal.Refusal, bool) {
 	st := r.Quarantine.Standing(time.Now(), j.print)
 	if st.Kind != quarantine.Refused {
 		return refusal.Refusal{}, false
 	}
-	return r.refuseSuspect(j, st), true
+	return r.refuseQuarantined(j, st), true
 }
 
-func (r *Relay) refuseSuspect(j *job, st quarantine.Standing) refusal.Refusal {
+func (r *Relay) refuseQuarantined(j *job, st quarantine.Standing) refusal.Refusal {
 	back := time.Until(st.Until)
 	j.log.WithFields(logrus.Fields{"ends": st.Ends, "last_ms": st.Age.Milliseconds(), "back_ms": back.Milliseconds()}).Info("quarantine_refused")
-	return refusal.New(refusal.Quarantined, "upstreams ended under it").WithRetryAfter(back)
+	return refusal.New(refusal.Quarantined, "upstreams ended while they ran this request").WithRetryAfter(back)
 }
 
-// otherTry refuses a request while another try of it goes on.
-func (r *Relay) otherTry(j *job, st quarantine.Standing) refusal.Refusal {
-	j.log.WithFields(logrus.Fields{"ends": st.Ends, "last_ms": st.Age.Milliseconds(), "back_ms": trialBack.Milliseconds()}).Info("other_try_goes_on")
-	return refusal.New(refusal.Quarantined, "an upstream ended under it, and another try goes on").WithRetryAfter(trialBack)
+// refuseConcurrentTry returns the refusal of a suspected request while another try of it
+// is running.
+func (r *Relay) refuseConcurrentTry(j *job, st quarantine.Standing) refusal.Refusal {
+	j.log.WithFields(logrus.Fields{"ends": st.Ends, "last_ms": st.Age.Milliseconds(), "back_ms": retryAfterTrial.Milliseconds()}).Info("other_try_goes_on")
+	return refusal.New(refusal.Quarantined, "an upstream ended while it ran this request, and another try is in progress").WithRetryAfter(retryAfterTrial)
 }
 
-// takeTrial waits a moment for a request's turn.
+// takeTrial waits one check interval for the trial turn.
 func (r *Relay) takeTrial(ctx context.Context, j *job) {
-	ctx, cancel := context.WithTimeout(ctx, trialLook)
+	ctx, cancel := context.WithTimeout(ctx, trialCheckInterval)
 	defer cancel()
-	if giveBack, ok := r.Trials.Take(ctx, j.print, j.req.ID); ok {
-		j.trial = giveBack
+	if release, ok := r.Trials.Take(ctx, j.print, j.req.ID); ok {
+		j.releaseTrial = release
 	}
 }
 
-// endTrial gives a request's turn back.
+// endTrial releases the trial turn.
 func (j *job) endTrial() {
-	if j.trial != nil {
-		j.trial(j.ended.Load())
-		j.trial = nil
+	if j.releaseTrial != nil {
+		j.releaseTrial(j.upstreamEnded.Load())
+		j.releaseTrial = nil
 	}
 }
 
-// waitFor waits; it reports false if ctx ended first.
+// waitFor waits for d and reports false if ctx ended first.
 func (*Relay) waitFor(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(max(d, time.Millisecond))
 	defer timer.Stop()
@@ -177,11 +178,11 @@
 	}
 }
 
-// truthful returns a refusal that does not promise that a request has not run where an
-// earlier try of it may have.
-func (j *job) truthful(refused refusal.Refusal) refusal.Refusal {
-	if !j.ran.Load() || refused.Outcome() != refusal.NotRun {
+// correctOutcome returns a refusal that does not claim "not run" if an earlier try of the
+// request may have run.
+func (j *job) correctOutcome(refused refusal.Refusal) refusal.Refusal {
+	if !j.mayHaveRun.Load() || refused.Outcome() != refusal.NotRun {
 		return refused
 	}
-	return refusal.New(refusal.NoAnswer, "sent before; then "+refused.Error()).WithRetryAfter(refused.RetryAfter())
+	return refusal.New(refusal.NoAnswer, "sent before; then refused: "+refused.Error()).WithRetryAfter(refused.RetryAfter())
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay brings a caller's request to an upstream and its answer back.
-// It is the one layer that sends a request again.
+// Package relay forwards a caller's request to an upstream and returns its answer. It is
+// the only layer that retries a request.
 package relay
 
 import (
@@ -38,61 +38,59 @@
 )
 
 const (
-	// comeAgain is when to come back to another box, which may know better.
-	comeAgain = 50 * time.Millisecond
-	// comeLater is when to come back where all boxes fare alike.
-	comeLater = 500 * time.Millisecond
-	// leastLeft is the least time that is worth a send: a round trip between
-	// halls and the shortest work.
-	leastLeft = 5 * time.Millisecond
-	// unreachedMost bounds how many upstreams are passed by that nothing
-	// reached; such sends are not tries.
-	unreachedMost = 3
-	// hungPart is after how many times its aim a request without an answer counts
-	// as a failure of its upstream, which may hang: the others are told before the
-	// caller gives up, at four times the aim or more.
-	hungPart = 2
-	// urgencyMost is the last rank that engines know.
-	urgencyMost = 9
-	// sourceAnswer names an upstream's answer in the log as where news came from.
+	// retryAfterOtherBox is the Retry-After where another box may serve the request.
+	retryAfterOtherBox = 50 * time.Millisecond
+	// retryAfterAllBoxes is the Retry-After where all boxes would refuse alike.
+	retryAfterAllBoxes = 500 * time.Millisecond
+	// minTimeLeft is the minimum time to the deadline for a request to be sent: a round
+	// trip between halls and the shortest work.
+	minTimeLeft = 5 * time.Millisecond
+	// maxUnreached bounds the number of upstreams skipped because they could not be
+	// reached; such sends do not count as tries.
+	maxUnreached = 3
+	// hungFactor is the multiple of the route's aim after which a request without an answer
+	// counts as a failure: other boxes learn of a hung upstream before the caller gives up.
+	hungFactor = 2
+	// maxUrgency is the highest urgency value that engines accept.
+	maxUrgency = 9
+	// sourceAnswer is the logged source of what an upstream's answer announces.
 	sourceAnswer = "answer"
 )
 
-// Components are what a relay works with.
+// Components are the dependencies of a relay.
 type Components struct {
 	Routes        *routecache.Cache
 	Fleet         *fleet.Fleet
 	Picker        *picker.Picker
-	Admitter      Admitter       // nil: straight to the emptiest engine
-	Places        *places.Places // nil: straight to the emptiest plain upstream
+	Admitter      Admitter       // nil: requests go directly to the least loaded engine
+	Places        *places.Places // nil: requests go directly to the least loaded plain upstream
 	UpstreamLoad  *upstreamload.Tracker
 	Reliability   *reliability.Reliability
-	Speeds        *speeds.Speeds // nil where that is off
+	Speeds        *speeds.Speeds // nil if disabled
 	Sender        exchange.Sender
-	Liveness      LivenessChecker         // nil: nobody looks
-	Quarantine    *quarantine.Quarantine  // nil: nothing is held against requests
-	Trials        Trials                  // of suspects; nil: as they come
-	Limits        *upstreamlimits.Tracker // that upstreams name
-	Limiter       Limiter                 // nil: nothing is held back for them
-	Backoff       *backoff.Tracker        // that upstreams ask for; nil: none is kept
+	Liveness      LivenessChecker         // nil: broken connections are not examined
+	Quarantine    *quarantine.Quarantine  // nil: requests are never quarantined
+	Trials        Trials                  // serializes tries of suspected requests; nil: no serialization
+	Limits        *upstreamlimits.Tracker // rate limits announced by upstreams
+	Limiter       Limiter                 // enforces these limits; nil: they are not enforced
+	Backoff       *backoff.Tracker        // backoffs requested by upstreams; nil: they are ignored
 	Budget        *retry.Budget
 	Runs          *runs.Runs
 	OutputLengths *outputlen.Lengths // of answers, in tokens
 	Prefill       *prefill.Prefill
 	Metrics       *metrics.Metrics
 	Stopping      func() (Stop, bool)  // false unless this box is being stopped
-	Full          func() bool          // this box holds as much as it can
-	Buffers       *buffers.Buffers     // between upstreams and callers; nil: events are written before the next is read
-	ServeStale    bool                 // what a belief allows is served however old that is
-	StoreSilence  func() time.Duration // since the store answered any box that this one hears; 0 if it hears none. nil: not known
+	Full          func() bool          // reports whether this box has reached its limit of requests
+	Buffers       *buffers.Buffers     // between upstreams and callers; nil: each event is written before the next is read
+	ServeStale    bool                 // serve with a stale configuration, whatever its age
+	StoreSilence  func() time.Duration // since the store last answered any box that reports to this one; 0 if none does; nil: not tracked
 	Log           *logrus.Entry
 }
 
-// Admitter gives requests room on engines.
+// Admitter queues requests until an engine has capacity for them.
 type Admitter interface {
-	// Admit waits until ctx ends for an engine with room for a request, and
-	// returns how much of the engine's memory is in use then. The error is a
-	// refusal.Refusal.
+	// Admit waits until an engine has capacity for a request, or ctx ends. It returns the
+	// engine and the share of its memory in use then. The error is a refusal.Refusal.
 	Admit(ctx context.Context, ask admission.Ask) (admission.Grant, error)
 }
 
@@ -100,39 +98,41 @@
 type Relay struct{ Components }
 
 // New returns a relay.
-func New(parts Components) *Relay { return &Relay{parts} }
+func New(c Components) *Relay { return &Relay{c} }
 
-// job is one request on its way.
+// job is a request that is being served.
 type job struct {
-	req          *exchange.Request
-	route        route.Route
-	table        *route.Table
-	organisation string
-	urgency      int
-	deadline     time.Time
-	service      route.Service
-	tried        []string // upstreams that it was sent to
-	passed       []string // upstreams that nothing reached
-	log          *logrus.Entry
-	first        time.Duration // to the first event or the whole answer
-	waited       time.Duration // for room
-	lengths      *outputlen.Lengths
-	print        fingerprint.Fingerprint
-	ran          atomic.Bool      // it may have been run by an upstream
-	ended        atomic.Bool      // an upstream has ended under its last try
-	hurried      bool             // its next try goes at once or not at all
-	trial        func(ended bool) // gives its turn to be tried back; nil without one
+	req           *exchange.Request
+	route         route.Route
+	table         *route.Table
+	organisation  string
+	urgency       int
+	deadline      time.Time
+	service       route.Service
+	tried         []string // upstreams to which the request was sent
+	unreached     []string // upstreams that could not be reached
+	log           *logrus.Entry
+	timeToFirst   time.Duration // time to the first event or to the whole answer
+	waited        time.Duration // for capacity
+	lengths       *outputlen.Lengths
+	print         fingerprint.Fingerprint // identifies repeated requests in the quarantine
+	mayHaveRun    atomic.Bool             // an upstream may have run it
+	upstreamEnded atomic.Bool             // an upstream ended while it ran the last try
+	noWait        bool                    // the next try is sent at once or not at all
+	releaseTrial  func(ended bool)        // releases the trial turn; nil without one
 }
 
-// kind names the answers that are like this request's in length.
-func (j *job) kind() outputlen.Key {
+// lengthKey returns the key of the length statistics that apply to the request.
+func (j *job) lengthKey() outputlen.Key {
 	return outputlen.Key{Organisation: j.organisation, Model: j.req.Model, Class: j.route.Name}
 }
 
-// left returns how many tokens of the answer are expected once so many were made.
-func (j *job) left(made int) int { return j.lengths.Left(j.kind(), made, j.req.MaxTokens) }
+// remainingTokens returns the expected number of tokens still to come after made tokens.
+func (j *job) remainingTokens(made int) int {
+	return j.lengths.Left(j.lengthKey(), made, j.req.MaxTokens)
+}
 
-// Serve answers a request.
+// Serve serves a request and writes its answer or a refusal to c.
 func (r *Relay) Serve(ctx context.Context, req *exchange.Request, c exchange.Caller) {
 	j, err := r.admit(req)
 	if err != nil {
@@ -143,29 +143,29 @@
 	defer cancel()
 	defer j.endTrial()
 	if j.route.Streams {
-		r.stream(ctx, j, c)
+		r.serveStream(ctx, j, c)
 		return
 	}
-	r.whole(ctx, j, c)
+	r.serveWhole(ctx, j, c)
 }
 
-// admit holds a request against the configuration in force.
+// admit checks a request against the current configuration.
 func (r *Relay) admit(req *exchange.Request) (*job, error) {
 	if r.Full() {
-		return nil, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(comeAgain)
+		return nil, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(retryAfterOtherBox)
 	}
 	table, age, stale := r.Routes.Now(req.Arrived)
 	if table == nil {
-		return nil, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(comeAgain)
+		return nil, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(retryAfterOtherBox)
 	}
 	log := r.Log.WithFields(logrus.Fields{"request": req.ID, "version": table.Version(), "age_ms": age.Milliseconds()})
 	rt, ok := table.Match(req.Host, req.Path)
-	tooOld := refusal.New(refusal.StaleConfiguration, "the configuration was confirmed too long ago").WithRetryAfter(r.comeStale(req.ID))
+	tooOld := refusal.New(refusal.StaleConfiguration, "the configuration is stale").WithRetryAfter(r.staleRetryAfter(req.ID))
 	if stale && !r.ServeStale && !(ok && rt.Public) {
 		return nil, tooOld
 	}
 	if !ok {
-		return nil, orStale(stale, tooOld, refusal.New(refusal.UnknownRoute, req.Path))
+		return nil, staleOr(stale, tooOld, refusal.New(refusal.UnknownRoute, req.Path))
 	}
 	log = log.WithField("route", rt.Name)
 	j := &job{req: req, route: rt, table: table, log: log, lengths: r.OutputLengths, urgency: rt.Priority, deadline: req.Arrived.Add(min(req.Wait, rt.Timeout))}
@@ -181,49 +181,49 @@
 				j.urgency = *o.Priority
 			}
 		case !rt.Public && req.Key == "":
-			return nil, refusal.New(refusal.NoKey, "send a key")
+			return nil, refusal.New(refusal.NoKey, "the request has no key")
 		case !rt.Public:
-			return nil, orStale(stale, tooOld, refusal.New(refusal.WrongKey, "the key belongs to no organisation"))
+			return nil, staleOr(stale, tooOld, refusal.New(refusal.WrongKey, "the key belongs to no organisation"))
 		}
 	}
-	j.urgency = min(max(j.urgency, 0), urgencyMost)
+	j.urgency = min(max(j.urgency, 0), maxUrgency)
 	j.print = fingerprint.New([]byte(j.organisation), []byte(req.Host), req.Content[:])
 	j.log = j.log.WithField("fingerprint", j.print)
-	if err := j.confine(o.Regions); err != nil {
+	if err := j.restrictRegions(o.Regions); err != nil {
 		return nil, err
 	}
-	j.service, ok = r.serviceOf(j)
+	j.service, ok = r.pickService(j)
 	if !ok {
-		return nil, refusal.New(refusal.UnknownService, rt.Name).WithRetryAfter(comeLater)
+		return nil, refusal.New(refusal.UnknownService, rt.Name).WithRetryAfter(retryAfterAllBoxes)
 	}
-	if stop, stopping := r.Stopping(); stopping && !r.fits(j, stop) {
-		return nil, refusal.New(refusal.Draining, "this box may be gone before it would end").WithRetryAfter(stop.comeBack())
+	if stop, stopping := r.Stopping(); stopping && !r.finishesBeforeStop(j, stop) {
+		return nil, refusal.New(refusal.Draining, "this box stops before the request would end").WithRetryAfter(stop.retryAfter())
 	}
 	return j, nil
 }
 
-// confine notes where the request may be served, by its route and its organisation.
-func (j *job) confine(organisation []string) error {
+// restrictRegions sets the regions that both the route and the organisation allow.
+func (j *job) restrictRegions(organisation []string) error {
 	regions, ok := route.Within(j.route.Regions, organisation)
 	if !ok {
-		return refusal.New(refusal.NoUpstream, "no region serves both the route and the organisation").WithRetryAfter(comeLater)
+		return refusal.New(refusal.NoUpstream, "no region serves both the route and the organisation").WithRetryAfter(retryAfterAllBoxes)
 	}
-	confined := *j.req
-	confined.Regions = regions
-	j.req = &confined
+	restricted := *j.req
+	restricted.Regions = regions
+	j.req = &restricted
 	return nil
 }
 
-// orStale returns why a request is refused: what a stale belief does not know may
-// have been added since, so that another box may serve it.
-func orStale(stale bool, tooOld, unknown refusal.Refusal) refusal.Refusal {
+// staleOr returns the refusal of a request that the configuration does not know. If the
+// configuration is stale, another box may have a newer one that does.
+func staleOr(stale bool, tooOld, unknown refusal.Refusal) refusal.Refusal {
 	if stale {
 		return tooOld
 	}
 	return unknown
 }
 
-// eventTokens returns how many tokens one event of the job's stream holds.
+// eventTokens returns the number of tokens per event of the job's stream.
 func (j *job) eventTokens() int {
 	if j.service.Engine == nil {
 		return 1
@@ -231,9 +231,9 @@
 	return max(j.service.Engine.EventTokens, 1)
 }
 
-// serviceOf picks one of the route's services by their weights, the same for
-// each try of a request; one without upstreams gives way to the others.
-func (r *Relay) serviceOf(j *job) (route.Service, bool) {
+// pickService picks one of the route's services by weight, the same for each try of a
+// request. A service without upstreams is replaced by one of the others.
+func (r *Relay) pickService(j *job) (route.Service, bool) {
 	sum := 0
 	for _, s := range j.route.Split {
 		sum += s.Weight
@@ -263,49 +263,48 @@
 	return other, others
 }
 
-// sent is an answer and where it came from.
-type sent struct {
-	answer   *exchange.Answer
-	upstream fleet.Upstream
-	began    time.Time
-	entry    *upstreamload.Entry
-	pace     *speeds.Stream
-	alone    int         // tokens of its prompt, if no other was to be read before
-	event    time.Time   // its first; zero before
-	good     time.Time   // when it last counted as one under which its upstream lives
-	hung     *time.Timer // stopped by what comes first
-	close    func()
+// response is an answer and the upstream that sent it.
+type response struct {
+	answer      *exchange.Answer
+	upstream    fleet.Upstream
+	startedAt   time.Time
+	entry       *upstreamload.Entry
+	pace        *speeds.Stream
+	soloPrefill int         // tokens of its prompt if no other prompt was being read at the upstream; 0 otherwise
+	firstEvent  time.Time   // time of the first event; zero before it
+	lastHealthy time.Time   // when the upstream was last recorded as healthy under this request
+	hangTimer   *time.Timer // records a failure if no answer comes in time
+	close       func()
 }
 
-// send sends a request to the upstream with the most room. Upstreams that
-// nothing reached are passed by. An error is a refusal, or what became of a
-// send that may have arrived.
-func (r *Relay) send(ctx context.Context, j *job, after int) (*sent, error) {
+// send sends a request to the least loaded upstream and skips upstreams that cannot be
+// reached. The error is a refusal, or the failure of a send that may have arrived.
+func (r *Relay) send(ctx context.Context, j *job, after int) (*response, error) {
 	for {
-		u, err := r.placed(ctx, j)
+		u, err := r.placeForSend(ctx, j)
 		if err != nil {
 			return nil, err
 		}
-		s, err := r.sendTo(ctx, j, u, after, nil)
+		resp, err := r.sendTo(ctx, j, u, after, nil)
 		j.tried = append(j.tried, u.ID)
 		if err == nil {
-			return s, nil
+			return resp, nil
 		}
-		if !notReached(err) || len(j.passed) >= unreachedMost || ctx.Err() != nil {
+		if !isNotSent(err) || len(j.unreached) >= maxUnreached || ctx.Err() != nil {
 			return nil, err
 		}
-		r.notReached(j, u.ID, err)
+		r.recordUnreached(j, u.ID, err)
 	}
 }
 
-// placed finds an upstream for a request that is about to be sent there.
-func (r *Relay) placed(ctx context.Context, j *job) (fleet.Upstream, error) {
+// placeForSend picks an upstream for a request that is about to be sent, and logs it.
+func (r *Relay) placeForSend(ctx context.Context, j *job) (fleet.Upstream, error) {
 	now := time.Now()
 	left := time.Until(j.deadline)
-	if left < leastLeft {
-		return fleet.Upstream{}, refusal.New(refusal.Deadline, "no time is left")
+	if left < minTimeLeft {
+		return fleet.Upstream{}, refusal.New(refusal.Deadline, "the deadline is too close to send the request")
 	}
-	u, load, err := r.placeSuspect(ctx, j)
+	u, load, err := r.placeWithQuarantine(ctx, j)
 	j.waited += time.Since(now)
 	if err != nil {
 		return u, err
@@ -317,23 +316,23 @@
 	return u, nil
 }
 
-// notReached notes that a try has not reached its upstream; it does not count.
-func (r *Relay) notReached(j *job, upstream string, err error) {
+// recordUnreached records that a try did not reach its upstream; it does not count as a
+// try.
+func (r *Relay) recordUnreached(j *job, upstream string, err error) {
 	j.tried = slices.DeleteFunc(j.tried, func(id string) bool { return id == upstream })
-	j.passed = append(j.passed, upstream)
+	j.unreached = append(j.unreached, upstream)
 	reason := unsentReason(err)
 	r.Metrics.Retried(reason)
 	j.log.WithError(err).WithFields(logrus.Fields{"upstream": upstream, "why": reason}).Warn("not_reached")
 }
 
-// place finds an upstream for a request; for one that an engine answers it waits
-// for room.
+// place picks an upstream for a request. If an engine serves it, place waits for capacity.
 func (r *Relay) place(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
 	if j.service.Engine != nil && r.Admitter != nil {
 		g, err := r.Admitter.Admit(ctx, admission.Ask{
-			Request: j.req.ID, Service: j.service, Urgency: j.urgency, Prompt: j.req.Prompt, Answer: j.left(0), Arrived: j.req.Arrived,
+			Request: j.req.ID, Service: j.service, Urgency: j.urgency, Prompt: j.req.Prompt, Answer: j.remainingTokens(0), Arrived: j.req.Arrived,
 			Aim: j.route.Aim, Gap: j.route.Gap, Deadline: j.deadline.Sub(j.req.Arrived), Patience: min(j.route.Patience, j.deadline.Sub(j.req.Arrived)),
-			Mark: j.mark(), Organisation: j.organisation, Avoid: j.avoid(), Regions: j.req.Regions,
+			Mark: j.requestKey(), Organisation: j.organisation, Avoid: j.avoid(), Regions: j.req.Regions,
 		})
 		return g.Upstream, g.Load, err
 	}
@@ -343,98 +342,99 @@
 	if r.sharesPlaces(j) {
 		return r.takePlace(ctx, j)
 	}
-	return r.choose(j.service, j.want())
+	return r.pick(j.service, j.want())
 }
 
-// choose picks the upstream with the most room.
-func (r *Relay) choose(service route.Service, want picker.Want) (u fleet.Upstream, load float64, err error) {
+// pick picks the least loaded upstream.
+func (r *Relay) pick(service route.Service, want picker.Want) (u fleet.Upstream, load float64, err error) {
 	u, load, ok := r.Picker.Choose(time.Now(), want)
 	switch {
 	case ok:
 		r.Picker.Sent(time.Now(), service, u)
 		return u, load, nil
-	case len(r.Picker.Ranked(time.Now(), want)) > 0: // all are held
-		return u, 0, refusal.New(refusal.UpstreamCold, "upstreams of "+service.Name+" are cold").WithRetryAfter(comeLater)
+	case len(r.Picker.Ranked(time.Now(), want)) > 0: // all are cold and limited for now
+		return u, 0, refusal.New(refusal.UpstreamCold, "upstreams of "+service.Name+" are cold").WithRetryAfter(retryAfterAllBoxes)
 	}
-	return u, 0, refusal.New(refusal.NoUpstream, "no upstream of "+service.Name).WithRetryAfter(comeLater)
+	return u, 0, refusal.New(refusal.NoUpstream, "no upstream of "+service.Name).WithRetryAfter(retryAfterAllBoxes)
 }
 
-// sharesPlaces tells whether a job's place is one that the boxes share out.
+// sharesPlaces reports whether the job needs one of the places that boxes share among
+// them.
 func (r *Relay) sharesPlaces(j *job) bool {
 	return r.Places != nil && j.service.Engine == nil && !j.route.Streams
 }
 
-// takePlace waits until a request may go to a plain upstream.
+// takePlace waits for a place at a plain upstream.
 func (r *Relay) takePlace(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
-	c, err := r.Places.Take(ctx, j.placeAsk())
+	c, err := r.Places.Take(ctx, j.placeRequest())
 	if err == nil {
 		r.Picker.Sent(time.Now(), j.service, c.Upstream)
 	}
 	return c.Upstream, c.Load, err
 }
 
-func (j *job) placeAsk() places.Ask {
+func (j *job) placeRequest() places.Ask {
 	return places.Ask{
 		Request: j.req.ID, Organisation: j.organisation, Urgency: j.urgency, Arrived: j.req.Arrived, Aim: j.route.Aim, Deadline: j.deadline, Want: j.want(),
 	}
 }
 
-// want is what an upstream is chosen for.
+// want returns the criteria for picking an upstream.
 func (j *job) want() picker.Want {
 	return picker.Want{Service: j.service, Tokens: j.req.Prompt, Avoid: j.avoid(), Regions: j.req.Regions, Own: true}
 }
 
-// avoid lists the upstreams that the request is not sent to again.
-func (j *job) avoid() []string { return append(append([]string{}, j.tried...), j.passed...) }
+// avoid lists the upstreams to which the request is not sent again.
+func (j *job) avoid() []string { return append(append([]string{}, j.tried...), j.unreached...) }
 
-// mark is what a request's tries have in common: who asks for what.
-func (j *job) mark() uint64 {
+// requestKey returns a hash that all tries of a request have in common.
+func (j *job) requestKey() uint64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, j.organisation, j.req.Host, j.req.Path, j.req.Prompt, j.req.MaxTokens, j.req.Hint, j.req.Segments)
 	return hash.Sum64()
 }
 
-// loadOf returns what a request is expected to hold at an upstream that sends it the
-// events after one.
-func (j *job) loadOf(after int, from *exchange.Copy) upstreamload.Load {
+// expectedLoad returns the load that a request is expected to put on an upstream which
+// sends it the events after the given one.
+func (j *job) expectedLoad(after int, from *exchange.Copy) upstreamload.Load {
 	load := upstreamload.Load{Requests: 1}
 	if j.service.Engine != nil {
 		made := (after + 1) * j.eventTokens()
-		load.Tokens, load.Coming = j.req.Prompt+made, j.left(made)
+		load.Tokens, load.Coming = j.req.Prompt+made, j.remainingTokens(made)
 		if from == nil {
-			load.Prefill = j.req.Prompt // else all but the last tokens are in the copy
+			load.Prefill = j.req.Prompt // otherwise all but the last tokens are in the copy
 		}
 	}
 	return load
 }
 
-// sendTo sends to one upstream.
-func (r *Relay) sendTo(ctx context.Context, j *job, u fleet.Upstream, after int, from *exchange.Copy) (*sent, error) {
-	if err := r.check(j, u, from); err != nil {
+// sendTo sends the request to one upstream.
+func (r *Relay) sendTo(ctx context.Context, j *job, u fleet.Upstream, after int, from *exchange.Copy) (*response, error) {
+	if err := r.checkSendable(j, u, from); err != nil {
 		return nil, err
 	}
-	load := j.loadOf(after, from)
-	alone := 0
+	load := j.expectedLoad(after, from)
+	soloPrefill := 0
 	if r.UpstreamLoad.Load(time.Now(), u.ID).Prefill == 0 {
-		alone = load.Prefill
+		soloPrefill = load.Prefill
 	}
 	entry := r.UpstreamLoad.Begin(u.ID, load)
 	sending, cancel := context.WithCancelCause(ctx)
-	forget := r.Quarantine.Sent(j.print, func() { cancel(&QuarantinedError{}) })
-	unsent := r.Runs.TrackSend(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
-	leave := func() {
-		forget()
-		unsent()
-	}
-	if !r.Fleet.Current(u) { // the news came before Sent, which it would have cut
-		leave()
+	untrackQuarantine := r.Quarantine.Sent(j.print, func() { cancel(&QuarantinedError{}) })
+	untrackRun := r.Runs.TrackSend(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
+	untrack := func() {
+		untrackQuarantine()
+		untrackRun()
+	}
+	if !r.Fleet.Current(u) { // the restart was seen before TrackSend, which would have cancelled the send
+		untrack()
 		cancel(nil)
 		entry.End()
 		return nil, &exchange.FailedError{NotSent: true, Err: &RestartedError{Upstream: u.ID}}
 	}
-	began := time.Now()
-	hung := time.AfterFunc(hungPart*j.route.Aim, func() {
-		r.record(u, true)
+	startedAt := time.Now()
+	hangTimer := time.AfterFunc(hungFactor*j.route.Aim, func() {
+		r.recordResult(u, true)
 		j.log.WithField("upstream", u.ID).Warn("upstream_hangs")
 	})
 	answer, err := r.Sender.Send(sending, exchange.Send{
@@ -442,28 +442,28 @@
 		Urgency: j.urgency, After: after, From: from,
 	})
 	if err != nil {
-		leave()
-		hung.Stop()
+		untrack()
+		hangTimer.Stop()
 		entry.End()
 		defer cancel(nil)
-		if !notReached(err) {
-			j.ran.Store(true)
+		if !isNotSent(err) {
+			j.mayHaveRun.Store(true)
 		}
 		if errors.As(context.Cause(sending), new(*QuarantinedError)) {
-			return nil, err // its upstream is not to blame
+			return nil, err // not a failure of the upstream
 		}
 		if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			r.record(u, true)
+			r.recordResult(u, true)
 		}
-		r.refusedBy(u, err)
-		r.broke(ctx, j, broken{upstream: u, began: began}, err)
+		r.handleConnRefused(u, err)
+		r.handleBroken(ctx, j, brokenSend{upstream: u, startedAt: startedAt}, err)
 		return nil, err
 	}
-	r.headCame(j, u, began, answer)
+	r.handleHead(j, u, startedAt, answer)
 	pace := r.Speeds.Stream(u)
-	return &sent{answer: answer, upstream: u, began: began, entry: entry, pace: pace, alone: alone, hung: hung, close: func() {
-		leave()
-		hung.Stop()
+	return &response{answer: answer, upstream: u, startedAt: startedAt, entry: entry, pace: pace, soloPrefill: soloPrefill, hangTimer: hangTimer, close: func() {
+		untrack()
+		hangTimer.Stop()
 		pace.End(time.Now())
 		answer.Body.Close()
 		cancel(nil)
@@ -471,12 +471,12 @@
 	}}, nil
 }
 
-// headCame takes what the head of an answer says.
-func (r *Relay) headCame(j *job, u fleet.Upstream, sent time.Time, answer *exchange.Answer) {
-	if answer.Status != http.StatusMisdirectedRequest { // that is another upstream's
+// handleHead updates what is known of an upstream from the head of its answer.
+func (r *Relay) handleHead(j *job, u fleet.Upstream, sent time.Time, answer *exchange.Answer) {
+	if answer.Status != http.StatusMisdirectedRequest { // otherwise another upstream has answered at this address
 		now := time.Now()
 		r.Limits.Heard(now, sent, u, answer.Limit, answer.Sealed && !answer.NotRun)
-		r.heardLeaving(now, j, u, answer)
+		r.handleLeaving(now, j, u, answer)
 		if answer.Backoff > 0 {
 			r.Backoff.Asked(now, u, answer.Backoff)
 		} else {
@@ -484,12 +484,12 @@
 		}
 	}
 	if !answer.NotRun {
-		j.ran.Store(true)
+		j.mayHaveRun.Store(true)
 	}
 }
 
-// heardLeaving takes an upstream's word that it leaves.
-func (r *Relay) heardLeaving(now time.Time, j *job, u fleet.Upstream, answer *exchange.Answer) {
+// handleLeaving updates the fleet when an upstream announces that it is leaving.
+func (r *Relay) handleLeaving(now time.Time, j *job, u fleet.Upstream, answer *exchange.Answer) {
 	if !answer.Leaving {
 		return
 	}
@@ -499,20 +499,20 @@
 	r.Fleet.Leaves(now, fleet.Departure{ID: u.ID, Said: true, Born: u.Born}, sourceAnswer)
 }
 
-// RestartedError says that an upstream has started again, and lost what it had.
+// RestartedError says that an upstream has restarted and lost its requests.
 type RestartedError struct{ Upstream string }
 
 // Error implements error.
-func (e *RestartedError) Error() string { return "upstream " + e.Upstream + " has started again" }
+func (e *RestartedError) Error() string { return "upstream " + e.Upstream + " has restarted" }
 
-// record notes how an upstream fared, unless it has started again since.
-func (r *Relay) record(u fleet.Upstream, failed bool) {
+// recordResult records success or failure of an upstream, unless it has restarted since.
+func (r *Relay) recordResult(u fleet.Upstream, failed bool) {
 	if r.Fleet.Current(u) {
 		r.Reliability.Record(time.Now(), u.ID, failed)
 	}
 }
 
-// refuse ends a request with the system's own answer.
+// refuse ends a request with a refusal.
 func (r *Relay) refuse(log *logrus.Entry, req *exchange.Request, c exchange.Caller, err error) {
 	var refused refusal.Refusal
 	if !errors.As(err, &refused) {
@@ -527,20 +527,20 @@
 	c.Refuse(refused)
 }
 
-// lost tells what a caller is told after a send without an answer: it may have
-// run, so that nothing is promised.
-func lost(ctx context.Context, err error) refusal.Refusal {
+// refusalFor returns the refusal for a send without an answer. The request may have run,
+// so the refusal does not claim otherwise unless nothing was sent.
+func refusalFor(ctx context.Context, err error) refusal.Refusal {
 	var refused refusal.Refusal
 	var failed *exchange.FailedError
 	switch {
 	case errors.As(err, &refused):
 		return refused
 	case errors.As(err, &failed) && failed.NotSent:
-		return refusal.New(refusal.NoUpstream, "no upstream was reached").WithRetryAfter(comeLater)
+		return refusal.New(refusal.NoUpstream, "no upstream could be reached").WithRetryAfter(retryAfterAllBoxes)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return refusal.New(refusal.TimedOut, "no answer in time")
 	case ctx.Err() != nil:
-		return refusal.New(refusal.CallerGone, "the caller hung up")
+		return refusal.New(refusal.CallerGone, "the caller disconnected")
 	}
 	return refusal.New(refusal.NoAnswer, err.Error())
 }
--- a/relay/slow_test.go
+++ b/relay/slow_test.go
@@ -39,7 +39,7 @@
 	at, left int
 }
 
-var filling = strings.Repeat("x", 300)
+var padding = strings.Repeat("x", 300)
 
 func (b *floodBody) Next() (exchange.Event, error) {
 	if b.ctx.Err() != nil {
@@ -48,7 +48,7 @@
 	if b.left == 0 {
 		return exchange.Event{}, io.EOF
 	}
-	e := exchange.Event{ID: b.at, Raw: fmt.Appendf(nil, "id: %d\ndata: %s\n\n", b.at, filling)}
+	e := exchange.Event{ID: b.at, Raw: fmt.Appendf(nil, "id: %d\ndata: %s\n\n", b.at, padding)}
 	b.at++
 	b.left--
 	return e, nil
@@ -59,14 +59,14 @@
 func (*floodBody) Close()                        {}
 
 const (
-	// small socket buffers leave what a caller does not read to the box.
+	// small socket buffers, so that the relay buffers what a caller does not read
 	smallBuffer = 4 << 10
 	floodEvents = 400 // of 320 bytes: 128 KB
 )
 
-// slowSite serves streams to real sockets. running returns how many of those that
-// were asked for go on.
-func slowSite(t *testing.T, b *buffers.Buffers) (address string, running func(asked int) int) {
+// newSlowServer serves streams on real sockets. running returns the number of requested
+// streams that have not ended.
+func newSlowServer(t *testing.T, b *buffers.Buffers) (address string, running func(requested int) int) {
 	w := newWorld(t, reply{})
 	f := &flood{events: floodEvents}
 	w.relay.Buffers, w.relay.Sender = b, f
@@ -77,21 +77,20 @@
 	}
 	server.Start()
 	t.Cleanup(server.Close)
-	return server.Listener.Addr().String(), func(asked int) int {
-		return asked - int(f.sends.Load()) + w.runs.Len()
+	return server.Listener.Addr().String(), func(requested int) int {
+		return requested - int(f.sends.Load()) + w.runs.Len()
 	}
 }
 
-// askSlowly sends a request and reads no byte of its answer.
-func askSlowly(t *testing.T, address, id string) net.Conn {
+// sendSlowReader sends a request and does not read the answer.
+func sendSlowReader(t *testing.T, address, id string) net.Conn {
 	t.Helper()
-	c := ask(t, address, id)
+	c := sendRequest(t, address, id)
 	is.New(t).NoErr(c.(*net.TCPConn).SetReadBuffer(smallBuffer))
 	return c
 }
 
-// ask sends a request.
-func ask(t *testing.T, address, id string) net.Conn {
+func sendRequest(t *testing.T, address, id string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	is.New(t).NoErr(err)
@@ -101,7 +100,8 @@
 	return c
 }
 
-// readWhole reads an answer to its end and returns how many events came, in order.
+// readWhole reads an answer to its end, checks the order of its events and returns their
+// number.
 func readWhole(c net.Conn, each func()) (int, error) {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -114,7 +114,7 @@
 			continue
 		}
 		if lines.Text() != fmt.Sprint("id: ", next) {
-			return next, fmt.Errorf("%q in place of event %d", lines.Text(), next)
+			return next, fmt.Errorf("got %q, want event %d", lines.Text(), next)
 		}
 		next++
 		each()
@@ -122,102 +122,101 @@
 	return next, lines.Err()
 }
 
-// TestSlowReaders lets 300 callers stop reading in the middle of their answers, of
-// 38 MB together, at a box that holds 1 MB for them: what it holds stays bounded, and
-// callers that read get all their events. It answers a crowd on bad links.
+// TestSlowReaders guards against unbounded memory when 300 callers stop reading answers of
+// 38 MB together at a box with 1 MB of buffers. Callers that read must get all events.
 func TestSlowReaders(t *testing.T) {
 	is := is.New(t)
 	const slow, quick, stream, box = 300, 12, 64 << 10, 1 << 20
 	b := buffers.New(buffers.Limits{Stream: stream, Box: box})
-	address, running := slowSite(t, b)
+	address, running := newSlowServer(t, b)
 	for i := range slow {
-		askSlowly(t, address, fmt.Sprint("slow", i))
+		sendSlowReader(t, address, fmt.Sprint("slow", i))
 	}
-	for running(slow) > box/stream { // those that are left hold all that they may
+	for running(slow) > box/stream { // the remaining streams fill the buffers
 		time.Sleep(time.Millisecond)
 	}
 	var all sync.WaitGroup
 	for i := range quick {
-		c := ask(t, address, fmt.Sprint("quick", i))
+		c := sendRequest(t, address, fmt.Sprint("quick", i))
 		all.Go(func() {
 			events, err := readWhole(c, func() {
 				if held := b.Held(); held > box {
-					t.Errorf("%d bytes are held", held)
+					t.Errorf("%d bytes buffered", held)
 				}
 			})
 			if events != floodEvents || err != nil {
-				t.Errorf("%d events, %v", events, err)
+				t.Errorf("got %d events, error %v", events, err)
 			}
 		})
 	}
 	all.Wait()
-	is.True(b.Held() > 0) // slow ones were left as long as there was room
+	is.True(b.Held() > 0) // slow readers are kept while there is space
 }
 
-// TestPausedReaders lets callers stop, and read on after all that their stream may
-// hold is held: none lacks an event, and none came twice.
+// TestPausedReaders guards against lost and repeated events when callers pause until their
+// buffers are full and then read on.
 func TestPausedReaders(t *testing.T) {
 	const paused, stream = 20, 16 << 10
 	b := buffers.New(buffers.Limits{Stream: stream, Box: 2 * paused * stream})
-	address, _ := slowSite(t, b)
+	address, _ := newSlowServer(t, b)
 	var conns []net.Conn
 	for i := range paused {
-		conns = append(conns, askSlowly(t, address, fmt.Sprint("r", i)))
+		conns = append(conns, sendSlowReader(t, address, fmt.Sprint("r", i)))
 	}
-	for b.Held() < paused*(stream-512) { // each holds what it may
+	for b.Held() < paused*(stream-512) { // each stream's buffer is full
 		time.Sleep(time.Millisecond)
 	}
 	var all sync.WaitGroup
 	for _, c := range conns {
 		all.Go(func() {
 			if events, err := readWhole(c, func() {}); events != floodEvents || err != nil {
-				t.Errorf("%d events, %v", events, err)
+				t.Errorf("got %d events, error %v", events, err)
 			}
 		})
 	}
 	all.Wait()
-	for b.Held() > 0 { // the last bytes are noted
+	for b.Held() > 0 { // for the last writes to be recorded
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// boundedCaller notes how long each write may take.
+// boundedCaller records the minimum time that a write may take.
 type boundedCaller struct {
 	caller
-	by    time.Time
-	least time.Duration
+	by      time.Time
+	minTime time.Duration
 }
 
 func (c *boundedCaller) WriteBy(at time.Time) { c.by = at }
 
 func (c *boundedCaller) Write(p []byte) error {
-	c.least = min(c.least, time.Until(c.by))
+	c.minTime = min(c.minTime, time.Until(c.by))
 	return c.caller.Write(p)
 }
 
-// TestLongAnswerBound holds that the bound of a long answer's first writes does not
-// stand for the rest, which comes as its upstream sends it.
+// TestLongAnswerBound guards against the write deadline of an answer's buffered part
+// applying to the rest, which comes as fast as its upstream sends it.
 func TestLongAnswerBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, reply{body: strings.Repeat("b", 10<<10), rest: strings.Repeat("r", 40<<10)})
 		w.relay.Buffers = buffers.New(buffers.Limits{Stream: 1 << 16, Box: 1 << 20})
-		c := &boundedCaller{least: time.Hour}
+		c := &boundedCaller{minTime: time.Hour}
 		w.relay.Serve(t.Context(), request("/public/"), c)
 		is.Equal(c.body.Len(), 50<<10)
-		is.Equal(c.least, 15*time.Second)
+		is.Equal(c.minTime, 15*time.Second)
 	})
 }
 
-// TestDeadlineLost holds that a stream whose upstream is silent until the deadline is
-// counted as lost, also where its caller has taken all that came.
+// TestDeadlineLost guards against not counting a stream as lost whose upstream is silent
+// until the deadline, also if the caller has read all events.
 func TestDeadlineLost(t *testing.T) {
-	for name, path := range twice(map[string]string{"a draft": "/draft/"}) {
+	for name, path := range withAndWithoutBuffers(map[string]string{"a draft": "/draft/"}) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, reply{events: []int{0, 1}, silent: true})
-				w.relay.Buffers = buffered(name)
+				w.relay.Buffers = buffersFor(name)
 				c := w.serve(t.Context(), path)
 				is.True(c.aborted)
 				page := httptest.NewRecorder()
--- a/relay/stale.go
+++ b/relay/stale.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// comeStaleMost bounds when to come back while the store is silent for all.
-	comeStaleMost = 10 * time.Second
-	// comeStaleSpread is the part of that time by which callers are spread.
-	comeStaleSpread = 3
+	// maxStaleRetryAfter bounds the Retry-After while the store answers no box.
+	maxStaleRetryAfter = 10 * time.Second
+	// staleSpreadDivisor: callers are spread over wait/staleSpreadDivisor.
+	staleSpreadDivisor = 3
 )
 
-// comeStale tells when a request is to come back that this box's configuration is too old
-// for: at once, as another box may know better; where the store is silent for all, after
-// about as long as it has been.
-func (r *Relay) comeStale(request string) time.Duration {
+// staleRetryAfter returns the Retry-After of a request that is refused because the
+// configuration is stale: short, as another box may have a newer one, or about the length
+// of the outage if the store answers no box. Requests are spread so that they don't return
+// all at once.
+func (r *Relay) staleRetryAfter(request string) time.Duration {
 	if r.StoreSilence == nil {
-		return comeAgain
+		return retryAfterOtherBox
 	}
 	silent := r.StoreSilence()
-	if silent < comeLater {
-		return comeAgain
+	if silent < retryAfterAllBoxes {
+		return retryAfterOtherBox
 	}
-	wait := min(silent, comeStaleMost)
+	wait := min(silent, maxStaleRetryAfter)
 	hash := fnv.New32a()
 	hash.Write([]byte(request))
-	return wait + time.Duration(hash.Sum32())%(wait/comeStaleSpread)
+	return wait + time.Duration(hash.Sum32())%(wait/staleSpreadDivisor)
 }
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -6,56 +6,54 @@
 )
 
 const (
-	// stopSlack is how long before a stopping box is gone all its requests must
-	// have ended.
-	stopSlack = 500 * time.Millisecond
-	// stopTakes is how long after its notice a stopping box takes streams that
-	// may last longer than it does; the users' rule for planned stops holds their
-	// loss against it from 3 s on.
-	stopTakes = 2500 * time.Millisecond
-	// stopChance is with what chance a stream has to end before a stopping box is
-	// gone: another box would serve it, as it comes back, with more than half of its
-	// worth, and one that is broken off is lost. Where most boxes are being stopped
-	// there may be no other: stopChanceMost.
-	stopChance     = 0.7
-	stopChanceMost = 0.5
-	// paceGuess is the time between events until any stream of this box was seen.
-	paceGuess = 50 * time.Millisecond
-	// comeRestarted is when to come back where most boxes are being stopped: one
-	// that has stopped is back within its grace of 8 s, most well before.
-	comeRestarted = 3 * time.Second
+	// stopMargin is how long before the box exits all its requests must have ended.
+	stopMargin = 500 * time.Millisecond
+	// streamAcceptWindow is how long after its notice a stopping box accepts streams that
+	// may outlast it. A planned stop must lose no stream accepted 3 s or more after the
+	// notice.
+	streamAcceptWindow = 2500 * time.Millisecond
+	// minFinishChance is the minimum probability that a stream ends before the box exits:
+	// otherwise the caller is better served by another box. It is lower where most boxes
+	// are stopping, as there may be no other.
+	minFinishChance          = 0.7
+	minFinishChanceMostBoxes = 0.5
+	// defaultPace is the time between events before this box has seen any stream.
+	defaultPace = 50 * time.Millisecond
+	// retryAfterRestart is the Retry-After where most boxes are stopping: a stopped box is
+	// back within its grace period of 8 s, usually earlier.
+	retryAfterRestart = 3 * time.Second
 )
 
-// Stop is a planned stop that is under way.
+// Stop describes a planned stop in progress.
 type Stop struct {
-	Since     time.Duration // its notice
-	Remaining time.Duration // until the box is gone
-	MostBoxes bool          // most boxes are being stopped
+	Since     time.Duration // since its notice
+	Remaining time.Duration // until the box exits
+	MostBoxes bool          // most boxes are stopping
 }
 
-// fits tells whether a request ends before a stopping box is gone: surely, or,
-// for a stream early in the stop, as far as those like it tell.
-func (r *Relay) fits(j *job, stop Stop) bool {
-	if j.deadline.Sub(j.req.Arrived) <= stop.Remaining-stopSlack {
+// finishesBeforeStop reports whether a request ends before the box exits: certainly, or,
+// for a stream early in the stop, probably, given the lengths of similar answers.
+func (r *Relay) finishesBeforeStop(j *job, stop Stop) bool {
+	if j.deadline.Sub(j.req.Arrived) <= stop.Remaining-stopMargin {
 		return true
 	}
-	if !j.route.Streams || stop.Since > stopTakes {
+	if !j.route.Streams || stop.Since > streamAcceptWindow {
 		return false
 	}
-	pace := cmp.Or(r.UpstreamLoad.Pace(), paceGuess)
-	events := int((stop.Remaining - stopSlack - r.Prefill.Time(j.req.Prompt)) / pace)
-	chance := j.lengths.Within(j.kind(), events*j.eventTokens(), j.req.MaxTokens)
+	pace := cmp.Or(r.UpstreamLoad.Pace(), defaultPace)
+	events := int((stop.Remaining - stopMargin - r.Prefill.Time(j.req.Prompt)) / pace)
+	chance := j.lengths.Within(j.lengthKey(), events*j.eventTokens(), j.req.MaxTokens)
 	if stop.MostBoxes {
-		return chance >= stopChanceMost
+		return chance >= minFinishChanceMostBoxes
 	}
-	return chance >= stopChance
+	return chance >= minFinishChance
 }
 
-// comeBack tells when to come back: another box serves at once, unless most of
-// them are being stopped too.
-func (s Stop) comeBack() time.Duration {
+// retryAfter returns the Retry-After of a request refused for the stop: another box can
+// serve it at once, unless most boxes are stopping.
+func (s Stop) retryAfter() time.Duration {
 	if s.MostBoxes {
-		return comeRestarted
+		return retryAfterRestart
 	}
-	return comeAgain
+	return retryAfterOtherBox
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -16,145 +16,145 @@
 )
 
 const (
-	// goOnTries bounds how often a stream that was moved is asked for.
-	goOnTries = 2
-	// closedSlack is how long a run that was on its way to a hall may still go on
-	// there once that is known to be evacuated: it is lost otherwise. Halls have 5 s
-	// to receive their last request; a box knows of an evacuation 1.5 s late.
-	closedSlack = 2 * time.Second
+	// maxHandoffTries bounds the number of upstreams tried for a stream that was moved.
+	maxHandoffTries = 2
+	// evacuationGrace is how long a run on its way to a hall may still continue there
+	// after the hall is known to be evacuated. Halls accept requests for 5 s; a box learns
+	// of an evacuation up to 1.5 s late.
+	evacuationGrace = 2 * time.Second
 )
 
-// OrderError says that an upstream's events do not follow on each other.
+// OrderError says that the events of a stream have a gap.
 type OrderError struct{ Last, Got int }
 
 // Error implements error.
-func (e *OrderError) Error() string { return "events out of order" }
+func (e *OrderError) Error() string { return "gap in the events of a stream" }
 
-// TooLongError says that an answer in place of a stream is too long.
+// TooLongError says that an answer that is not a stream is too long to buffer.
 type TooLongError struct{}
 
 // Error implements error.
-func (*TooLongError) Error() string { return "an answer too long to be a failure" }
+func (*TooLongError) Error() string { return "answer is not a stream and too long to buffer" }
 
-// flow is a stream that is passed on.
-type flow struct {
-	job    *job
-	caller exchange.Caller
-	run    *runs.Run
-	sent   *sent
-	begun  bool // the head has gone out
-	last   int  // event passed on
-	count  int
-	passed time.Time     // when the last event went out
-	gap    time.Duration // the longest pause
-	gapAt  time.Time     // when it ended
-	moved  bool          // it has moved since the last event
-	moves  int
-	over   bool // the longest pause was over a move
+// forwarder is the state of a stream that is being forwarded.
+type forwarder struct {
+	job         *job
+	caller      exchange.Caller
+	run         *runs.Run
+	resp        *response
+	headSent    bool // the head has been written to the caller
+	lastEvent   int  // id of the last event forwarded
+	count       int
+	lastEventAt time.Time     // when the last event was forwarded
+	maxGap      time.Duration // the longest gap between two events
+	maxGapEnd   time.Time     // when the longest gap ended
+	moved       bool          // the run has moved since the last event
+	moves       int
+	maxGapMoved bool // the run moved during the longest gap
 }
 
-// stream serves a request whose answer is a stream.
-func (r *Relay) stream(ctx context.Context, j *job, c exchange.Caller) {
+// serveStream serves a request whose answer is a stream.
+func (r *Relay) serveStream(ctx context.Context, j *job, c exchange.Caller) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	f := &flow{job: j, caller: c, last: j.req.After}
+	f := &forwarder{job: j, caller: c, lastEvent: j.req.After}
 	err := r.open(ctx, f)
 	if err != nil {
-		r.refuse(j.log, j.req, c, j.truthful(lost(ctx, err)))
+		r.refuse(j.log, j.req, c, j.correctOutcome(refusalFor(ctx, err)))
 		return
 	}
 	if f.run == nil {
-		return // answered with something that is no stream
+		return // the answer was not a stream and has been delivered
 	}
 	var out *buffered
 	if r.Buffers != nil {
 		out = newBuffered(ctx, cancel, c, r.Buffers)
 		f.caller = out
 	}
-	leave := r.Runs.Add(f.run)
-	err = r.pass(ctx, f)
-	leave()
-	f.sent.close()
+	remove := r.Runs.Add(f.run)
+	err = r.forward(ctx, f)
+	remove()
+	f.resp.close()
 	if out != nil {
-		err = endOf(err, out.finish())
+		err = streamError(err, out.finish())
 	}
-	r.ended(ctx, f, err)
+	r.finishStream(ctx, f, err)
 }
 
 // open sends the request until an upstream answers with a stream.
-func (r *Relay) open(ctx context.Context, f *flow) error {
+func (r *Relay) open(ctx context.Context, f *forwarder) error {
 	j := f.job
 	for {
-		s, err := r.send(ctx, j, f.last)
+		resp, err := r.send(ctx, j, f.lastEvent)
 		if errors.As(err, new(refusal.Refusal)) {
-			return err // nobody may take it
+			return err // no upstream may serve it
 		}
-		o := outcome{sent: s, err: err}
-		if err == nil && s.answer.Status == http.StatusOK && s.answer.Sealed {
-			r.opened(f, s)
+		result := tryResult{resp: resp, err: err}
+		if err == nil && resp.answer.Status == http.StatusOK && resp.answer.Sealed {
+			r.recordOpened(f, resp)
 			return nil
 		}
-		if err == nil && s.answer.Status == http.StatusOK {
-			s.close()
-			o = outcome{err: &SealError{}}
+		if err == nil && resp.answer.Status == http.StatusOK {
+			resp.close()
+			result = tryResult{err: &SealError{}}
 		}
-		if o.err == nil && s.answer.Backoff == 0 {
-			r.record(s.upstream, true)
+		if result.err == nil && resp.answer.Backoff == 0 {
+			r.recordResult(resp.upstream, true)
 		}
-		if r.again(ctx, j, o) || o.err != nil && j.route.Resumable && r.mayResume(ctx, j) {
-			o.drop()
+		if r.mayRetry(ctx, j, result) || result.err != nil && j.route.Resumable && r.mayResume(ctx, j) {
+			result.discard()
 			continue
 		}
-		if o.err != nil {
-			return o.err
+		if result.err != nil {
+			return result.err
 		}
-		return r.notStream(ctx, f, o)
+		return r.deliverNonStream(ctx, f, result)
 	}
 }
 
-// opened notes that an upstream answers with a stream.
-func (r *Relay) opened(f *flow, s *sent) {
-	r.record(s.upstream, false)
+// recordOpened records that an upstream has answered with a stream.
+func (r *Relay) recordOpened(f *forwarder, resp *response) {
+	r.recordResult(resp.upstream, false)
 	r.Budget.Succeeded()
-	f.sent = s
-	f.run = runs.NewRun(f.job.req, s.upstream, f.job.eventTokens(), f.job.left, s.began)
+	f.resp = resp
+	f.run = runs.NewRun(f.job.req, resp.upstream, f.job.eventTokens(), f.job.remainingTokens, resp.startedAt)
 	f.run.MaxGap = f.job.route.Gap
 }
 
-// notStream passes on an upstream's answer that is no stream.
-func (r *Relay) notStream(ctx context.Context, f *flow, o outcome) error {
-	body, more, err := o.sent.answer.Body.All(wholeMost)
+// deliverNonStream delivers an upstream's answer that is not a stream.
+func (r *Relay) deliverNonStream(ctx context.Context, f *forwarder, result tryResult) error {
+	body, more, err := result.resp.answer.Body.All(maxBufferedAnswer)
 	if err == nil && more {
 		err = &TooLongError{}
 	}
 	if err != nil {
-		o.sent.close()
-		r.broke(ctx, f.job, broken{upstream: o.sent.upstream, began: o.sent.began}, err)
+		result.resp.close()
+		r.handleBroken(ctx, f.job, brokenSend{upstream: result.resp.upstream, startedAt: result.resp.startedAt}, err)
 		return &exchange.FailedError{Err: err}
 	}
-	if !o.sent.answer.NotRun {
-		r.Quarantine.Good(time.Now(), f.job.print) // it ran, and its upstream lives to say how it failed
+	if !result.resp.answer.NotRun {
+		r.Quarantine.Good(time.Now(), f.job.print) // the request ran, and its upstream is alive
 	}
-	o.body = body
-	r.deliver(ctx, f.job, f.caller, o)
+	result.body = body
+	r.deliver(ctx, f.job, f.caller, result)
 	return nil
 }
 
-// pass passes events on until the stream is whole; it goes on elsewhere where
-// the run was moved, or may be resumed.
-func (r *Relay) pass(ctx context.Context, f *flow) error {
+// forward forwards events until the stream is complete. A broken stream continues on
+// another upstream if the run was moved or may be resumed.
+func (r *Relay) forward(ctx context.Context, f *forwarder) error {
 	for {
-		err := r.events(ctx, f)
+		err := r.forwardEvents(ctx, f)
 		if err == nil || ctx.Err() != nil || errors.As(err, new(*callerError)) {
 			return err
 		}
-		f.job.log.WithError(err).WithFields(logrus.Fields{"upstream": f.sent.upstream.ID, "events": f.count, "stopping": f.run.IsStopping()}).Info("stream_broke")
-		f.sent.close()
-		if !f.run.IsStopping() { // the source of a move closes its stream
-			r.broke(ctx, f.job, broken{f.sent.upstream, f.sent.began, f.count, !f.sent.good.IsZero()}, err)
+		f.job.log.WithError(err).WithFields(logrus.Fields{"upstream": f.resp.upstream.ID, "events": f.count, "stopping": f.run.IsStopping()}).Info("stream_broke")
+		f.resp.close()
+		if !f.run.IsStopping() { // the source of a move closes its stream by itself
+			r.handleBroken(ctx, f.job, brokenSend{f.resp.upstream, f.resp.startedAt, f.count, !f.resp.lastHealthy.IsZero()}, err)
 		}
-		if goneOn, moved := r.goOn(ctx, f); moved {
-			if !goneOn {
+		if continued, moved := r.continueMoved(ctx, f); moved {
+			if !continued {
 				return err
 			}
 			continue
@@ -168,115 +168,116 @@
 	}
 }
 
-// callerError says that the caller could not be written to.
+// callerError says that writing to the caller failed.
 type callerError struct{ err error }
 
 func (e *callerError) Error() string { return "caller: " + e.err.Error() }
 
 func (e *callerError) Unwrap() error { return e.err }
 
-// events passes on one upstream's stream to its end.
-func (r *Relay) events(ctx context.Context, f *flow) error {
+// forwardEvents forwards one upstream's stream to its end.
+func (r *Relay) forwardEvents(ctx context.Context, f *forwarder) error {
 	for {
-		e, err := f.sent.answer.Body.Next()
+		e, err := f.resp.answer.Body.Next()
 		if err == io.EOF {
-			return f.end()
+			return f.complete()
 		}
 		if err != nil {
 			return err
 		}
 		if e.ID != exchange.NoEvent {
-			if e.ID <= f.last {
-				continue // had before the move
+			if e.ID <= f.lastEvent {
+				continue // a duplicate of one forwarded before
 			}
-			if f.count > 0 && e.ID != f.last+1 {
-				return &OrderError{Last: f.last, Got: e.ID}
+			if f.count > 0 && e.ID != f.lastEvent+1 {
+				return &OrderError{Last: f.lastEvent, Got: e.ID}
 			}
 		}
-		if err := r.event(f, e); err != nil {
+		if err := r.forwardEvent(f, e); err != nil {
 			return &callerError{err}
 		}
 	}
 }
 
-// end tells whether a stream that closed is whole: one that is being stopped
-// and has no length closes alike.
-func (f *flow) end() error {
-	if !f.sent.answer.Framed && f.run.IsStopping() {
+// complete handles the end of a stream. A run that is being stopped ends the same way if
+// the stream has no framing, so that is not taken for the end of the answer.
+func (f *forwarder) complete() error {
+	if !f.resp.answer.Framed && f.run.IsStopping() {
 		return io.ErrUnexpectedEOF
 	}
-	if f.begun {
+	if f.headSent {
 		return nil
 	}
-	f.begun = true
-	if err := f.caller.Answer(f.sent.answer, -1); err != nil {
+	f.headSent = true
+	if err := f.caller.Answer(f.resp.answer, -1); err != nil {
 		return &callerError{err}
 	}
 	return nil
 }
 
-// event passes on one event; the head goes out with the first, so that until
-// then the request may be sent elsewhere.
-func (r *Relay) event(f *flow, e exchange.Event) error {
+// forwardEvent forwards one event. The head is written with the first, so that until then
+// the request may be sent to another upstream.
+func (r *Relay) forwardEvent(f *forwarder, e exchange.Event) error {
 	now := time.Now()
-	if !f.begun {
-		f.begun = true
-		if err := f.caller.Answer(f.sent.answer, -1); err != nil {
+	if !f.headSent {
+		f.headSent = true
+		if err := f.caller.Answer(f.resp.answer, -1); err != nil {
 			return err
 		}
-		f.job.first = now.Sub(f.job.req.Arrived)
+		f.job.timeToFirst = now.Sub(f.job.req.Arrived)
 	} else {
-		f.paused(now.Sub(f.passed))
+		f.recordGap(now.Sub(f.lastEventAt))
 	}
-	f.passed = now
+	f.lastEventAt = now
 	if err := f.caller.Write(e.Raw); err != nil {
 		return err
 	}
-	f.sent.hung.Stop()
+	f.resp.hangTimer.Stop()
 	if f.count == 0 {
-		f.sent.entry.Started()
-		r.Prefill.Read(f.sent.alone, now.Sub(f.sent.began))
-		r.Speeds.Read(now, f.sent.upstream, f.sent.alone, now.Sub(f.sent.began))
+		f.resp.entry.Started()
+		r.Prefill.Read(f.resp.soloPrefill, now.Sub(f.resp.startedAt))
+		r.Speeds.Read(now, f.resp.upstream, f.resp.soloPrefill, now.Sub(f.resp.startedAt))
 	}
 	f.count++
-	r.lived(now, f)
-	f.grew()
+	r.recordHealthy(now, f)
+	f.recordTokens()
 	if r.Speeds != nil {
-		f.sent.pace.Event(now, r.UpstreamLoad.Load(now, f.sent.upstream.ID).Prefill > 0)
+		f.resp.pace.Event(now, r.UpstreamLoad.Load(now, f.resp.upstream.ID).Prefill > 0)
 	}
 	if e.ID != exchange.NoEvent {
-		f.last = e.ID
+		f.lastEvent = e.ID
 	}
 	f.run.Progress()
 	return nil
 }
 
-// paused notes a pause between two events.
-func (f *flow) paused(pause time.Duration) {
-	if pause > f.gap {
-		f.gap, f.gapAt, f.over = pause, f.passed.Add(pause), f.moved
+// recordGap records the time between two events.
+func (f *forwarder) recordGap(pause time.Duration) {
+	if pause > f.maxGap {
+		f.maxGap, f.maxGapEnd, f.maxGapMoved = pause, f.lastEventAt.Add(pause), f.moved
 	}
 	f.moved = false
 }
 
-// grew notes one more event's tokens.
-func (f *flow) grew() {
+// recordTokens records the tokens of one more event.
+func (f *forwarder) recordTokens() {
 	per, j := f.job.eventTokens(), f.job
 	made := f.count * per
-	j.lengths.Progress(j.kind(), made-per, made)
-	f.sent.entry.Made(f.passed, per, j.left(made))
+	j.lengths.Progress(j.lengthKey(), made-per, made)
+	f.resp.entry.Made(f.lastEventAt, per, j.remainingTokens(made))
 }
 
-// goOn goes on with a run that was moved. moved is false if it was not.
-func (r *Relay) goOn(ctx context.Context, f *flow) (goneOn, moved bool) {
+// continueMoved continues a run at the upstream to which it was moved. moved reports
+// whether it was moved.
+func (r *Relay) continueMoved(ctx context.Context, f *forwarder) (continued, moved bool) {
 	h, ok := f.run.AwaitHandoff(ctx)
 	if !ok {
 		return false, false
 	}
 	began := time.Now()
 	at := h.Target
-	for range goOnTries {
-		if since, closed := r.Fleet.Closed(at.Hall); closed && time.Since(since) > closedSlack {
+	for range maxHandoffTries {
+		if since, closed := r.Fleet.Closed(at.Hall); closed && time.Since(since) > evacuationGrace {
 			f.job.log.WithFields(logrus.Fields{"upstream": at.ID, "hall": at.Hall}).Warn("not_gone_on_evacuated")
 			at = h.Source
 			continue
@@ -287,10 +288,10 @@
 			continue
 		}
 		r.Picker.Sent(time.Now(), f.job.service, at)
-		s, err := r.sendTo(ctx, f.job, at, f.last, &h.Copy)
-		log := f.job.log.WithFields(logrus.Fields{"upstream": at.ID, "after": f.last, "copy": h.Copy.ID, "took_ms": time.Since(began).Milliseconds()})
-		if err == nil && s.answer.Status == http.StatusOK {
-			f.sent, f.moved = s, true
+		resp, err := r.sendTo(ctx, f.job, at, f.lastEvent, &h.Copy)
+		log := f.job.log.WithFields(logrus.Fields{"upstream": at.ID, "after": f.lastEvent, "copy": h.Copy.ID, "took_ms": time.Since(began).Milliseconds()})
+		if err == nil && resp.answer.Status == http.StatusOK {
+			f.resp, f.moved = resp, true
 			f.moves++
 			f.run.MovedTo(at)
 			r.Metrics.Retried(metrics.RetryMoved)
@@ -298,8 +299,8 @@
 			return true, true
 		}
 		if err == nil {
-			log = log.WithField("status", s.answer.Status)
-			s.close()
+			log = log.WithField("status", resp.answer.Status)
+			resp.close()
 		}
 		log.WithError(err).Warn("not_gone_on")
 		at = h.Source
@@ -307,39 +308,39 @@
 	return false, true
 }
 
-// mayResume tells whether one more upstream may be asked, and takes that from
-// the budget.
+// mayResume reports whether another upstream may be tried, and spends a retry from the
+// budget.
 func (r *Relay) mayResume(ctx context.Context, j *job) bool {
-	if ctx.Err() != nil || len(j.tried) >= j.route.Attempts || time.Until(j.deadline) < leastLeft || !r.Budget.Spend() {
+	if ctx.Err() != nil || len(j.tried) >= j.route.Attempts || time.Until(j.deadline) < minTimeLeft || !r.Budget.Spend() {
 		return false
 	}
 	r.Metrics.Retried(metrics.RetryResume)
 	return true
 }
 
-// resume asks another upstream for the events after the last.
-func (r *Relay) resume(ctx context.Context, f *flow) error {
-	s, err := r.send(ctx, f.job, f.last)
+// resume requests the events after the last one from another upstream.
+func (r *Relay) resume(ctx context.Context, f *forwarder) error {
+	resp, err := r.send(ctx, f.job, f.lastEvent)
 	if err != nil {
 		return err
 	}
-	if s.answer.Status != http.StatusOK || !s.answer.Sealed {
-		s.close()
+	if resp.answer.Status != http.StatusOK || !resp.answer.Sealed {
+		resp.close()
 		return &exchange.FailedError{Err: &SealError{}}
 	}
-	f.sent = s
-	f.run.MovedTo(s.upstream)
-	f.job.log.WithFields(logrus.Fields{"upstream": s.upstream.ID, "after": f.last}).Info("resumed")
+	f.resp = resp
+	f.run.MovedTo(resp.upstream)
+	f.job.log.WithFields(logrus.Fields{"upstream": resp.upstream.ID, "after": f.lastEvent}).Info("resumed")
 	return nil
 }
 
-// ended settles a stream.
-func (r *Relay) ended(ctx context.Context, f *flow, err error) {
-	r.Metrics.Streamed(f.count, f.job.first.Seconds(), f.gap.Seconds(), max(f.gap-f.job.route.Gap, 0).Seconds())
-	f.job.lengths.End(f.job.kind(), f.count*f.job.eventTokens(), err != nil)
+// finishStream records the outcome of a stream and ends the answer.
+func (r *Relay) finishStream(ctx context.Context, f *forwarder, err error) {
+	r.Metrics.Streamed(f.count, f.job.timeToFirst.Seconds(), f.maxGap.Seconds(), max(f.maxGap-f.job.route.Gap, 0).Seconds())
+	f.job.lengths.End(f.job.lengthKey(), f.count*f.job.eventTokens(), err != nil)
 	log := f.job.log.WithFields(logrus.Fields{
-		"upstream": f.sent.upstream.ID, "events": f.count, "first_ms": f.job.first.Milliseconds(), "gap_ms": f.gap.Milliseconds(),
-		"waited_ms": f.job.waited.Milliseconds(), "gap_after_ms": max(f.gapAt.Sub(f.job.req.Arrived), 0).Milliseconds(), "gap_moved": f.over, "moves": f.moves, "hall": f.sent.upstream.Hall,
+		"upstream": f.resp.upstream.ID, "events": f.count, "first_ms": f.job.timeToFirst.Milliseconds(), "gap_ms": f.maxGap.Milliseconds(),
+		"waited_ms": f.job.waited.Milliseconds(), "gap_after_ms": max(f.maxGapEnd.Sub(f.job.req.Arrived), 0).Milliseconds(), "gap_moved": f.maxGapMoved, "moves": f.moves, "hall": f.resp.upstream.Hall,
 		"aim_ms": f.job.route.Aim.Milliseconds(), "gap_aim_ms": f.job.route.Gap.Milliseconds(), "took_ms": time.Since(f.job.req.Arrived).Milliseconds(),
 	})
 	switch {
@@ -349,13 +350,13 @@
 		log.Info("streamed")
 	case r.Buffers != nil && slowReader(err) != "":
 		r.Metrics.SlowEnded(slowReader(err))
-		log.WithError(err).WithFields(heldOf(err)).WithField("reason", slowReader(err)).Warn("slow_reader_ended")
+		log.WithError(err).WithFields(slowReaderFields(err)).WithField("reason", slowReader(err)).Warn("slow_reader_ended")
 		f.caller.Abort()
 	case errors.Is(ctx.Err(), context.Canceled) || errors.As(err, new(*callerError)):
 		log.Info("caller_gone")
 		f.caller.Abort()
-	case !f.begun:
-		r.refuse(log, f.job.req, f.caller, f.job.truthful(lost(ctx, err)))
+	case !f.headSent:
+		r.refuse(log, f.job.req, f.caller, f.job.correctOutcome(refusalFor(ctx, err)))
 	default:
 		r.Metrics.Refused(refusal.GenerationLost)
 		r.Metrics.Ended(refusal.Failed)
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -18,91 +18,91 @@
 )
 
 const (
-	// wholeMost is how much of an answer is held until all of it is there, so
-	// that a broken one is never begun; a plain answer has some KB.
-	wholeMost = 256 << 10
-	// waitPart is the part of the aim after which a request that may run twice is
-	// tried elsewhere beside its first try: where an upstream hangs, the other half is
-	// left for an answer in time.
-	waitPart = 0.5
-	copySize = 16 << 10
+	// maxBufferedAnswer is how much of an answer is buffered before its head is written,
+	// so that a broken answer is not delivered in part.
+	maxBufferedAnswer = 256 << 10
+	// concurrentTryFraction of the aim is the delay after which a repeatable request is
+	// sent to a second upstream concurrently. It leaves time for an answer within the aim
+	// where the first upstream hangs.
+	concurrentTryFraction = 0.5
+	copySize              = 16 << 10
 )
 
-// outcome is what came of one send of a request with a whole answer.
-type outcome struct {
+// tryResult is the result of one try of a request with a whole answer.
+type tryResult struct {
 	upstream string
-	sent     *sent
+	resp     *response
 	body     []byte
 	more     bool
 	err      error
 }
 
-// race is a request with a whole answer whose tries may run beside each other.
+// race is a request with a whole answer whose tries may run concurrently.
 type race struct {
-	job      *job
-	outcomes chan outcome
-	cancels  map[string]context.CancelFunc // by upstream
-	running  int
+	job     *job
+	results chan tryResult
+	cancels map[string]context.CancelFunc // by upstream
+	running int
 }
 
-// whole serves a request whose answer is no stream.
-func (r *Relay) whole(ctx context.Context, j *job, c exchange.Caller) {
-	race := &race{job: j, cancels: map[string]context.CancelFunc{}, outcomes: make(chan outcome, max(j.route.Attempts, 1)+unreachedMost+1)}
-	last := r.run(ctx, race)
-	race.giveUp(last.upstream)
+// serveWhole serves a request whose answer is not a stream.
+func (r *Relay) serveWhole(ctx context.Context, j *job, c exchange.Caller) {
+	race := &race{job: j, cancels: map[string]context.CancelFunc{}, results: make(chan tryResult, max(j.route.Attempts, 1)+maxUnreached+1)}
+	last := r.runTries(ctx, race)
+	race.cancelExcept(last.upstream)
 	r.deliver(ctx, j, c, last)
 	race.close()
 }
 
-// run sends until there is an answer or nothing more may be tried.
-func (r *Relay) run(ctx context.Context, race *race) outcome {
+// runTries sends the request until there is an answer or no further try is allowed.
+func (r *Relay) runTries(ctx context.Context, race *race) tryResult {
 	j := race.job
-	if err := r.begin(ctx, race); err != nil {
-		return outcome{err: err}
+	if err := r.startTry(ctx, race); err != nil {
+		return tryResult{err: err}
 	}
-	second := time.NewTimer(time.Duration(waitPart * float64(j.route.Aim)))
+	second := time.NewTimer(time.Duration(concurrentTryFraction * float64(j.route.Aim)))
 	defer second.Stop()
 	for {
 		select {
 		case <-second.C:
-			r.beside(ctx, race)
-		case o := <-race.outcomes:
+			r.startConcurrentTry(ctx, race)
+		case result := <-race.results:
 			race.running--
-			if race.running > 0 && retryReason(j, o) != "" {
-				o.drop()
-				r.instead(ctx, race, o)
-				continue // the other try may still be answered
+			if race.running > 0 && retryReason(j, result) != "" {
+				result.discard()
+				r.replaceUnreached(ctx, race, result)
+				continue // the concurrent try may still be answered
 			}
-			if !r.next(ctx, race, o) {
-				return o
+			if !r.sendNext(ctx, race, result) {
+				return result
 			}
-			o.drop()
+			result.discard()
 		}
 	}
 }
 
-// next sends a request again after an outcome; false if it is not.
-func (r *Relay) next(ctx context.Context, race *race, o outcome) bool {
+// sendNext sends the request again after a failed try. It reports whether it did.
+func (r *Relay) sendNext(ctx context.Context, race *race, result tryResult) bool {
 	j := race.job
-	if notReached(o.err) && len(j.passed) < unreachedMost && ctx.Err() == nil {
-		r.notReached(j, o.upstream, o.err)
-	} else if !r.again(ctx, j, o) {
+	if isNotSent(result.err) && len(j.unreached) < maxUnreached && ctx.Err() == nil {
+		r.recordUnreached(j, result.upstream, result.err)
+	} else if !r.mayRetry(ctx, j, result) {
 		return false
 	}
-	if !o.more {
-		o.drop() // its answer is held here: nobody has to count it while the next one waits
+	if !result.more {
+		result.discard() // the answer is buffered here: its place is free while the next try waits
 	}
-	err := r.begin(ctx, race)
+	err := r.startTry(ctx, race)
 	if err != nil {
 		j.log.WithError(err).Info("not_sent_again")
 	}
 	return err == nil
 }
 
-// begin places a request and sends it; its outcome comes by the race's channel.
-func (r *Relay) begin(ctx context.Context, race *race) error {
+// startTry picks an upstream and sends the request; the result arrives on race.results.
+func (r *Relay) startTry(ctx context.Context, race *race) error {
 	j := race.job
-	u, err := r.placed(ctx, j)
+	u, err := r.placeForSend(ctx, j)
 	if err != nil {
 		return err
 	}
@@ -110,35 +110,35 @@
 	race.cancels[u.ID] = cancel
 	race.running++
 	j.tried = append(j.tried, u.ID)
-	shared, ask := r.sharesPlaces(j), j.placeAsk()
+	shared, ask := r.sharesPlaces(j), j.placeRequest()
 	go func() {
 		began := time.Now()
-		o := r.tryWhole(trying, j, u)
+		result := r.tryWhole(trying, j, u)
 		if shared {
-			r.freed(ask, u, o, time.Since(began))
+			r.releasePlace(ask, u, result, time.Since(began))
 		}
-		race.outcomes <- o
+		race.results <- result
 	}()
 	return nil
 }
 
-// freed gives a place back that the boxes share out. What an upstream refused or
-// failed tells nothing of how long its work takes.
-func (r *Relay) freed(ask places.Ask, u fleet.Upstream, o outcome, took time.Duration) {
-	if o.sent == nil || o.sent.answer.NotRun || o.sent.answer.Status >= http.StatusInternalServerError {
+// releasePlace releases a shared place. A rejection or a failure says nothing about how
+// long the upstream's work takes.
+func (r *Relay) releasePlace(ask places.Ask, u fleet.Upstream, result tryResult, took time.Duration) {
+	if result.resp == nil || result.resp.answer.NotRun || result.resp.answer.Status >= http.StatusInternalServerError {
 		r.Places.Dropped(ask, u, took)
 		return
 	}
 	r.Places.Answered(time.Now(), ask, u, took)
 }
 
-// beside sends a second try while the first runs on, if the budget has one and an
-// upstream has a place free. The first is not cut for it: it may be about to answer,
-// and what it did would be lost. Where all are busy the second would wait as long,
-// and others for it.
-func (r *Relay) beside(ctx context.Context, race *race) {
+// startConcurrentTry sends a second try while the first is running, if the retry budget
+// allows it and an upstream has a free place. The first is not cancelled, as it may be
+// about to answer. If all upstreams are busy, a second try would wait as long as the first
+// and delay others.
+func (r *Relay) startConcurrentTry(ctx context.Context, race *race) {
 	j := race.job
-	if !j.route.Repeatable || j.service.Engine != nil || len(j.tried) >= j.route.Attempts || time.Until(j.deadline) < leastLeft {
+	if !j.route.Repeatable || j.service.Engine != nil || len(j.tried) >= j.route.Attempts || time.Until(j.deadline) < minTimeLeft {
 		return
 	}
 	_, load, ok := r.Picker.Choose(time.Now(), j.want())
@@ -156,104 +156,105 @@
 	}
 	r.Metrics.Retried(metrics.RetryBeside)
 	j.log.WithFields(logrus.Fields{"why": metrics.RetryBeside, "tried": len(j.tried)}).Info("sent_again")
-	j.hurried = true // the first may be answered while this one waits
-	if err := r.begin(ctx, race); err != nil {
+	j.noWait = true // the first try may be answered while this one waits
+	if err := r.startTry(ctx, race); err != nil {
 		j.log.WithError(err).Info("not_sent_again")
 	}
-	j.hurried = false
+	j.noWait = false
 }
 
-// instead sends another try in place of one that reached nothing while the other runs:
-// it took none of the tries that the request may have.
-func (r *Relay) instead(ctx context.Context, race *race, o outcome) {
-	if notReached(o.err) && len(race.job.passed) < unreachedMost && ctx.Err() == nil {
-		r.notReached(race.job, o.upstream, o.err)
-		r.beside(ctx, race)
+// replaceUnreached sends another try in place of one that could not reach its upstream
+// while another is running; the failed one does not count.
+func (r *Relay) replaceUnreached(ctx context.Context, race *race, result tryResult) {
+	if isNotSent(result.err) && len(race.job.unreached) < maxUnreached && ctx.Err() == nil {
+		r.recordUnreached(race.job, result.upstream, result.err)
+		r.startConcurrentTry(ctx, race)
 	}
 }
 
-// giveUp ends the tries but the one whose answer is passed on.
-func (race *race) giveUp(but string) {
+// cancelExcept cancels all tries but the one at the given upstream.
+func (race *race) cancelExcept(except string) {
 	for upstream, cancel := range race.cancels {
-		if upstream != but {
+		if upstream != except {
 			cancel()
 		}
 	}
 }
 
-// close ends all tries and waits until they have ended.
+// close cancels all tries and waits until they have ended.
 func (race *race) close() {
-	race.giveUp("")
+	race.cancelExcept("")
 	for range race.running {
-		o := <-race.outcomes
-		o.drop()
+		result := <-race.results
+		result.discard()
 	}
 }
 
-// fields name the upstream of an outcome and its status, for the log.
-func (o outcome) fields() logrus.Fields {
-	if o.sent == nil {
-		return logrus.Fields{"upstream": o.upstream}
+// fields returns log fields on the upstream and the status of a result.
+func (t tryResult) fields() logrus.Fields {
+	if t.resp == nil {
+		return logrus.Fields{"upstream": t.upstream}
 	}
-	return logrus.Fields{"upstream": o.sent.upstream.ID, "status": o.sent.answer.Status}
+	return logrus.Fields{"upstream": t.resp.upstream.ID, "status": t.resp.answer.Status}
 }
 
-// drop closes an answer that is not passed on.
-func (o outcome) drop() {
-	if o.sent != nil {
-		o.sent.close()
+// discard closes an answer that is not delivered.
+func (t tryResult) discard() {
+	if t.resp != nil {
+		t.resp.close()
 	}
 }
 
-// notReached tells whether a send failed before any of it went out.
-func notReached(err error) bool {
+// isNotSent reports whether a send failed before any byte was sent.
+func isNotSent(err error) bool {
 	var failed *exchange.FailedError
 	return errors.As(err, &failed) && failed.NotSent
 }
 
-// tryWhole sends once and reads the whole answer.
-func (r *Relay) tryWhole(ctx context.Context, j *job, u fleet.Upstream) outcome {
-	s, err := r.sendTo(ctx, j, u, exchange.NoEvent, nil)
+// tryWhole sends the request once and reads the whole answer.
+func (r *Relay) tryWhole(ctx context.Context, j *job, u fleet.Upstream) tryResult {
+	resp, err := r.sendTo(ctx, j, u, exchange.NoEvent, nil)
 	if err != nil {
-		return outcome{upstream: u.ID, err: err}
+		return tryResult{upstream: u.ID, err: err}
 	}
-	body, rest, err := s.answer.Body.All(wholeMost)
-	s.hung.Stop()
-	bad := err != nil || s.answer.Status == http.StatusOK && !s.answer.Sealed
-	failed := bad || s.answer.NotRun || s.answer.Status >= http.StatusInternalServerError
-	if !errors.Is(ctx.Err(), context.Canceled) && s.answer.Backoff == 0 { // a rest is asked of this box alone
-		r.record(u, failed)
+	body, more, err := resp.answer.Body.All(maxBufferedAnswer)
+	resp.hangTimer.Stop()
+	bad := err != nil || resp.answer.Status == http.StatusOK && !resp.answer.Sealed
+	failed := bad || resp.answer.NotRun || resp.answer.Status >= http.StatusInternalServerError
+	if !errors.Is(ctx.Err(), context.Canceled) && resp.answer.Backoff == 0 { // a backoff concerns this box only
+		r.recordResult(u, failed)
 	}
 	if bad {
-		s.close()
+		resp.close()
 		if err == nil {
 			err = &SealError{}
 		}
-		r.broke(ctx, j, broken{upstream: u, began: s.began}, err)
-		return outcome{upstream: u.ID, err: err}
+		r.handleBroken(ctx, j, brokenSend{upstream: u, startedAt: resp.startedAt}, err)
+		return tryResult{upstream: u.ID, err: err}
 	}
-	if !s.answer.NotRun && !promisesNotRun(s.answer.Status) {
+	if !resp.answer.NotRun && !impliesNotRun(resp.answer.Status) {
 		r.Quarantine.Good(time.Now(), j.print)
 	}
-	return outcome{upstream: u.ID, sent: s, body: body, more: rest}
+	return tryResult{upstream: u.ID, resp: resp, body: body, more: more}
 }
 
 // SealError says that an answer lacks its upstream's seal.
 type SealError struct{}
 
 // Error implements error.
-func (*SealError) Error() string { return "an answer without a seal" }
+func (*SealError) Error() string { return "answer without a seal" }
 
-// again tells whether a request is sent once more, and takes that from the budget.
-func (r *Relay) again(ctx context.Context, j *job, o outcome) bool {
-	reason := retryReason(j, o)
-	if reason == "" || ctx.Err() != nil || len(j.tried) == 0 || len(j.tried) >= j.route.Attempts || time.Until(j.deadline) < leastLeft {
+// mayRetry reports whether a request may be sent again, and spends a retry from the
+// budget.
+func (r *Relay) mayRetry(ctx context.Context, j *job, result tryResult) bool {
+	reason := retryReason(j, result)
+	if reason == "" || ctx.Err() != nil || len(j.tried) == 0 || len(j.tried) >= j.route.Attempts || time.Until(j.deadline) < minTimeLeft {
 		if reason == "" {
 			r.Budget.Succeeded()
 		}
 		return false
 	}
-	log := j.log.WithFields(o.fields())
+	log := j.log.WithFields(result.fields())
 	if !r.Budget.Spend() {
 		log.WithField("why", reason).Warn("budget_spent")
 		return false
@@ -263,57 +264,57 @@
 	return true
 }
 
-// retryReason tells why a request may be sent again; empty if it may not.
-func retryReason(j *job, o outcome) string {
+// retryReason returns why a request may be sent again; empty if it may not.
+func retryReason(j *job, result tryResult) string {
 	switch {
-	case o.err != nil:
+	case result.err != nil:
 		if j.route.Repeatable {
 			return metrics.RetryEngineLost
 		}
-	case o.sent.answer.NotRun:
+	case result.resp.answer.NotRun:
 		return metrics.RetryNeverStarted
-	case o.sent.answer.Status >= http.StatusInternalServerError && j.route.Repeatable:
+	case result.resp.answer.Status >= http.StatusInternalServerError && j.route.Repeatable:
 		return metrics.RetryIdempotent
 	}
 	return ""
 }
 
-// deliver ends a request with what came of its last send.
-func (r *Relay) deliver(ctx context.Context, j *job, c exchange.Caller, o outcome) {
-	if o.err != nil {
-		r.refuse(j.log, j.req, c, j.truthful(lost(ctx, o.err)))
+// deliver ends a request with the result of its last try.
+func (r *Relay) deliver(ctx context.Context, j *job, c exchange.Caller, result tryResult) {
+	if result.err != nil {
+		r.refuse(j.log, j.req, c, j.correctOutcome(refusalFor(ctx, result.err)))
 		return
 	}
-	defer o.sent.close()
-	if o.sent.answer.NotRun {
-		r.refuse(j.log.WithFields(o.fields()), j.req, c,
-			j.truthful(refusal.New(refusal.UpstreamFull, "the upstream did not run it").WithRetryAfter(comeAgain)))
+	defer result.resp.close()
+	if result.resp.answer.NotRun {
+		r.refuse(j.log.WithFields(result.fields()), j.req, c,
+			j.correctOutcome(refusal.New(refusal.UpstreamFull, "the upstream rejected the request without running it").WithRetryAfter(retryAfterOtherBox)))
 		return
 	}
-	if promisesNotRun(o.sent.answer.Status) && !j.route.Repeatable && !j.route.Resumable {
-		r.refuse(j.log.WithFields(o.fields()), j.req, c,
-			refusal.New(refusal.NoAnswer, "the upstream does not say that it did not run it"))
+	if impliesNotRun(result.resp.answer.Status) && !j.route.Repeatable && !j.route.Resumable {
+		r.refuse(j.log.WithFields(result.fields()), j.req, c,
+			refusal.New(refusal.NoAnswer, "the upstream did not state whether it ran the request"))
 		return
 	}
-	length := len(o.body)
-	if o.more {
+	length := len(result.body)
+	if result.more {
 		length = -1
 	}
-	err := c.Answer(o.sent.answer, length)
+	err := c.Answer(result.resp.answer, length)
 	if err == nil {
-		err = r.writeWhole(ctx, c, o.body)
+		err = r.writeWhole(ctx, c, result.body)
 	}
-	if err == nil && o.more {
-		err = r.rest(o.sent.answer.Body, c)
+	if err == nil && result.more {
+		err = r.forwardRest(result.resp.answer.Body, c)
 	}
 	took := time.Since(j.req.Arrived)
 	r.Metrics.Answered(took)
-	log := j.log.WithFields(logrus.Fields{"upstream": o.sent.upstream.ID, "status": o.sent.answer.Status, "took_ms": took.Milliseconds(), "hall": o.sent.upstream.Hall, "aim_ms": j.route.Aim.Milliseconds()})
+	log := j.log.WithFields(logrus.Fields{"upstream": result.resp.upstream.ID, "status": result.resp.answer.Status, "took_ms": took.Milliseconds(), "hall": result.resp.upstream.Hall, "aim_ms": j.route.Aim.Milliseconds()})
 	if err != nil {
 		c.Abort()
 		if reason := slowReader(err); r.Buffers != nil && reason != "" {
 			r.Metrics.SlowEnded(reason)
-			log = log.WithFields(heldOf(err)).WithField("reason", reason)
+			log = log.WithFields(slowReaderFields(err)).WithField("reason", reason)
 		}
 		log.WithError(err).Info("answer_cut")
 		return
@@ -322,9 +323,9 @@
 	log.Info("answered")
 }
 
-// promisesNotRun tells whether callers take a status for the word that their
-// request has not run, and may then ask again.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers infer from a status that their request was not run
+// and may be repeated.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -332,13 +333,13 @@
 	return false
 }
 
-// rest passes on what is too long to be held.
-func (r *Relay) rest(body exchange.Body, c exchange.Caller) error {
+// forwardRest forwards the part of an answer that exceeds the buffer.
+func (r *Relay) forwardRest(body exchange.Body, c exchange.Caller) error {
 	buf := make([]byte, copySize)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if err := r.writeRest(c, buf[:n]); err != nil {
+			if err := r.writeUnbuffered(c, buf[:n]); err != nil {
 				return err
 			}
 		}
