--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,7 @@
-// Package retry keeps the budget of retries: a share of what succeeds, so
-// that retries never multiply the load of a fault. Only one layer retries:
-// package dispatch for generations and package front for service calls.
+// Package retry implements the retry budget: retries are limited to a share of successful
+// requests, so that they cannot multiply the load during a fault. On each path only one
+// layer retries: package relay for requests to upstreams, package dispatch for generations
+// and package front for service calls.
 package retry
 
 import (
@@ -11,65 +12,66 @@
 )
 
 const (
-	// earned is what each success adds to the budget.
-	earned = 0.1
-	// most is the largest budget that can be saved up.
-	most = 20.0
-	// MaxTries bounds how often one request is dispatched.
+	// defaultPerSuccess is the number of retries earned per success.
+	defaultPerSuccess = 0.1
+	// defaultLimit is the maximum number of retries saved up.
+	defaultLimit = 20.0
+	// MaxTries bounds the number of times one request is dispatched.
 	MaxTries = 3
 
-	firstWait = 20 * time.Millisecond
-	mostWait  = time.Second
+	initialWait = 20 * time.Millisecond
+	maxWait     = time.Second
 )
 
-// Budget is safe for use by several goroutines.
+// Budget is a token bucket of retries, filled by successes. It is safe for use by several
+// goroutines.
 type Budget struct {
-	mu     sync.Mutex
-	saved  float64
-	earned float64
-	most   float64
+	mu         sync.Mutex
+	tokens     float64
+	perSuccess float64
+	limit      float64
 }
 
-// New returns a full budget.
-func New() *Budget { return NewBudget(earned, most) }
+// New returns a full budget with the default limits.
+func New() *Budget { return NewBudget(defaultPerSuccess, defaultLimit) }
 
-// NewBudget returns a full budget that earns a part of a retry each time and
-// saves up no more than most.
-func NewBudget(earned, most float64) *Budget {
-	return &Budget{saved: most, earned: earned, most: most}
+// NewBudget returns a full budget that earns perSuccess retries per success and saves up
+// to limit retries.
+func NewBudget(perSuccess, limit float64) *Budget {
+	return &Budget{tokens: limit, perSuccess: perSuccess, limit: limit}
 }
 
-// Succeeded earns a part of a retry.
+// Succeeded adds what a success earns.
 func (b *Budget) Succeeded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.saved+b.earned, b.most)
+	b.tokens = min(b.tokens+b.perSuccess, b.limit)
 }
 
-// Resize changes the most that is saved up; what is saved beyond it is gone.
-func (b *Budget) Resize(most float64) {
+// Resize changes the limit; retries beyond it are lost.
+func (b *Budget) Resize(limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most, b.saved = most, min(b.saved, most)
+	b.limit, b.tokens = limit, min(b.tokens, limit)
 }
 
-// Spend takes one retry from the budget; false if there is none left.
+// Spend takes one retry from the budget and reports whether there was one.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-// Waits returns the waits between the tries of one request: exponential with
-// full jitter.
+// Waits returns the delays between the tries of one request: exponential backoff with full
+// jitter.
 func Waits() backoff.BackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstWait
-	b.MaxInterval = mostWait
+	b.InitialInterval = initialWait
+	b.MaxInterval = maxWait
 	b.RandomizationFactor = 1
 	return b
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestResize shares a budget out among more boxes, and then among fewer.
+// TestResize lowers and raises the limit of a budget.
 func TestResize(t *testing.T) {
 	is := is.New(t)
 	b := retry.NewBudget(1, 8)
@@ -53,7 +53,7 @@
 	is.True(b.Spend())
 	is.True(!b.Spend())
 	b.Resize(4)
-	is.True(!b.Spend()) // nothing is given by it
+	is.True(!b.Spend()) // raising the limit adds no retries
 	for range 9 {
 		b.Succeeded()
 	}
