--- a/refusal/reason.go
+++ b/refusal/reason.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Reason says why a request has no answer. Each reason has its own counter.
+// Reason says why a request was refused or failed. Metrics count each reason.
 type Reason string
 
-// The reasons, with what the caller may conclude from each in the table below.
+// The reasons. The table below gives the outcome and HTTP status of each.
 const (
 	BadRequest         Reason = "bad_request"
 	TooLarge           Reason = "too_large"
@@ -51,10 +51,10 @@
 	InternalUnexpected Reason = "internal"
 )
 
-// Outcome is what finally became of a request.
+// Outcome says whether a request has run.
 type Outcome string
 
-// The outcomes. NotRun is certain; Unknown may have run.
+// The outcomes. NotRun means certainly not run; Unknown means it may have run.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "not_run"
@@ -62,12 +62,12 @@
 	Unknown Outcome = "unknown"
 )
 
-type meaning struct {
+type reasonDefaults struct {
 	outcome Outcome
 	status  int
 }
 
-var meanings = map[Reason]meaning{
+var defaults = map[Reason]reasonDefaults{
 	BadRequest:         {NotRun, http.StatusBadRequest},
 	TooLarge:           {NotRun, http.StatusRequestEntityTooLarge},
 	NoKey:              {NotRun, http.StatusUnauthorized},
@@ -112,10 +112,10 @@
 	InternalUnexpected: {Failed, http.StatusInternalServerError},
 }
 
-// Reasons lists every reason, for counters and pages.
+// Reasons returns all reasons, in no particular order.
 func Reasons() []Reason {
-	all := make([]Reason, 0, len(meanings))
-	for r := range meanings {
+	all := make([]Reason, 0, len(defaults))
+	for r := range defaults {
 		all = append(all, r)
 	}
 	return all
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal is the one enumeration of why a request has no answer, and
-// how each reason reads to callers, logs and counters.
+// Package refusal defines why a request was refused or failed, and how each reason is
+// presented to callers, in logs and in metrics.
 package refusal
 
 import (
@@ -11,7 +11,8 @@
 	"petrelstep/wire"
 )
 
-// Refusal is the typed error that ends a request. Values are immutable.
+// Refusal is the error that ends a request without an upstream's answer. Values are
+// immutable.
 type Refusal struct {
 	reason  Reason
 	outcome Outcome
@@ -22,11 +23,11 @@
 	version int
 }
 
-// New returns the refusal for a reason with its default outcome.
+// New returns the refusal for a reason, with its default outcome.
 func New(reason Reason, detail string) Refusal {
-	m, ok := meanings[reason]
+	m, ok := defaults[reason]
 	if !ok {
-		m = meanings[InternalUnexpected]
+		m = defaults[InternalUnexpected]
 	}
 	return Refusal{reason: reason, outcome: m.outcome, detail: detail}
 }
@@ -34,25 +35,25 @@
 // WithOutcome returns a copy with an outcome other than the default of its reason.
 func (r Refusal) WithOutcome(o Outcome) Refusal { r.outcome = o; return r }
 
-// WithRetryAfter returns a copy that says when to come back.
+// WithRetryAfter returns a copy with a Retry-After.
 func (r Refusal) WithRetryAfter(d time.Duration) Refusal { r.after = d; return r }
 
-// WithPlaces returns a copy that lists the place of each mistake.
+// WithPlaces returns a copy with the paths of the invalid fields.
 func (r Refusal) WithPlaces(places []string) Refusal { r.places = places; return r }
 
-// WithRequest returns a copy that names the request.
+// WithRequest returns a copy with the id of the request.
 func (r Refusal) WithRequest(id string) Refusal { r.request = id; return r }
 
-// WithVersion returns a copy that gives the version now in force.
+// WithVersion returns a copy with the current version of a resource.
 func (r Refusal) WithVersion(v int) Refusal { r.version = v; return r }
 
-// Reason returns why.
+// Reason returns the reason.
 func (r Refusal) Reason() Reason { return r.reason }
 
-// Outcome returns what is known of whether the request has run.
+// Outcome returns whether the request has run, as far as is known.
 func (r Refusal) Outcome() Outcome { return r.outcome }
 
-// RetryAfter returns when to come back; zero says nothing.
+// RetryAfter returns when the caller may retry; 0 if unspecified.
 func (r Refusal) RetryAfter() time.Duration { return r.after }
 
 // Error implements error.
@@ -60,13 +61,13 @@
 
 // Status returns the HTTP status.
 func (r Refusal) Status() int {
-	if m, ok := meanings[r.reason]; ok {
+	if m, ok := defaults[r.reason]; ok {
 		return m.status
 	}
 	return http.StatusInternalServerError
 }
 
-// Body returns the wire form.
+// Body returns the JSON body.
 func (r Refusal) Body() wire.RefusalBody {
 	return wire.RefusalBody{
 		Ending:       wire.RefusalBodyEnding(r.outcome),
@@ -79,15 +80,15 @@
 	}
 }
 
-// Write sends the refusal as the whole HTTP answer.
+// Write writes the refusal as an HTTP response.
 func (r Refusal) Write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
 	if r.after > 0 {
-		// Retry-After counts whole seconds; rounding down would invite callers early.
+		// Retry-After is in whole seconds; round up, so that no caller retries early.
 		seconds := int64((r.after + time.Second - 1) / time.Second)
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	w.WriteHeader(r.Status())
-	// The caller may be gone; nothing is left to tell it then.
+	// The caller may have disconnected, so the error is ignored.
 	_ = json.NewEncoder(w).Encode(r.Body())
 }
