--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -430,7 +430,7 @@
 			var refused refusal.Refusal
 			is.True(errors.As(err, &refused))
 			is.Equal(refused.Reason(), refusal.WaitTooLong)
-			is.Equal(refused.Ending(), refusal.NotRun)
+			is.Equal(refused.Outcome(), refusal.NotRun)
 			retryAfter := refused.RetryAfter()
 			is.True(retryAfter >= 500*time.Millisecond && retryAfter <= 13*time.Second) // a third of its deadline
 			times[retryAfter] = true
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -121,7 +121,7 @@
 	var avoid []string
 	var last refusal.Refusal
 	waits := retry.Waits()
-	for n := range retry.Tries {
+	for n := range retry.MaxTries {
 		if n > 0 {
 			if !d.Budget.Spend() {
 				return nil, last
@@ -158,12 +158,12 @@
 }
 
 func worseOf(last, now refusal.Refusal) refusal.Refusal {
-	switch last.Ending() {
+	switch last.Outcome() {
 	case refusal.Unknown:
-		return now.WithEnding(refusal.Unknown)
+		return now.WithOutcome(refusal.Unknown)
 	case refusal.Failed:
-		if now.Ending() == refusal.NotRun {
-			return now.WithEnding(refusal.Failed)
+		if now.Outcome() == refusal.NotRun {
+			return now.WithOutcome(refusal.Failed)
 		}
 	}
 	return now
--- a/front/service.go
+++ b/front/service.go
@@ -68,7 +68,7 @@
 // repeatable tries a call elsewhere until it is answered, within the budget.
 func (f *Front) repeatable(w http.ResponseWriter, r *http.Request, call service.Call, targets []target) error {
 	var last error
-	for n := range retry.Tries {
+	for n := range retry.MaxTries {
 		if n > 0 {
 			if !f.Budget.Spend() {
 				break
@@ -90,7 +90,7 @@
 	if service.NotSent(last) {
 		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(comeAgain)
 	}
-	return refusal.New(refusal.UpstreamLost, "the service gave no answer").WithEnding(refusal.Unknown).WithRetryAfter(comeAgain)
+	return refusal.New(refusal.UpstreamLost, "the service gave no answer").WithOutcome(refusal.Unknown).WithRetryAfter(comeAgain)
 }
 
 // once carries out a call without a key: elsewhere only while no byte of it
