--- a/balance/places/line_test.go
+++ b/balance/places/line_test.go
@@ -27,25 +27,25 @@
 func crowd(asked int) (*world, *box) {
 	w := newWorld(load{boxes: 1, work: work, aim: aim, wait: 4 * time.Second})
 	b := w.boxes[0]
-	b.places.Crowded(time.Now(), w.service) // it gets to know the service
+	b.places.Overloaded(time.Now(), w.service) // it gets to know the service
 	time.Sleep(time.Second)
 	for range 8 {
-		c, _ := b.places.Take(context.Background(), w.request(0, time.Second))
+		c, _ := b.places.Acquire(context.Background(), w.request(0, time.Second))
 		time.Sleep(work)
 		b.places.Answered(time.Now(), w.request(0, time.Second), c.Upstream, work)
 	}
 	for id := range w.upstreams {
 		b.tally.Begin(id, upstreamload.Load{Requests: 4 * slots})
 	}
-	b.places.Told(time.Now(), "other", []wire.ServicePlaces{{Service: "plain", Asked: asked * 100}})
+	b.places.Update(time.Now(), "other", []wire.ServicePlaces{{Service: "plain", Asked: asked * 100}})
 	time.Sleep(time.Second)
-	b.places.Crowded(time.Now(), w.service)
+	b.places.Overloaded(time.Now(), w.service)
 	return w, b
 }
 
-func (w *world) request(urgency int, wait time.Duration) places.Ask {
+func (w *world) request(urgency int, wait time.Duration) places.Request {
 	now := time.Now()
-	return places.Ask{Urgency: urgency, Arrived: now, Aim: aim, Deadline: now.Add(wait), Want: picker.Want{Service: w.service}}
+	return places.Request{Urgency: urgency, Arrived: now, Aim: aim, Deadline: now.Add(wait), Want: picker.Want{Service: w.service}}
 }
 
 // TestCrowd takes places one after the other where the upstreams can do 300 a second.
@@ -71,13 +71,13 @@
 				is := is.New(t)
 				w, b := crowd(tt.asked)
 				for range tt.before {
-					go b.places.Take(t.Context(), w.request(0, time.Hour))
+					go b.places.Acquire(t.Context(), w.request(0, time.Hour))
 				}
 				synctest.Wait()
 				ask := w.request(0, tt.wait)
 				ask.Arrived = ask.Arrived.Add(-tt.aged)
 				began := time.Now()
-				_, err := b.places.Take(t.Context(), ask)
+				_, err := b.places.Acquire(t.Context(), ask)
 				took := time.Since(began)
 				var refused refusal.Refusal
 				if tt.refused != "" {
@@ -120,7 +120,7 @@
 				is := is.New(t)
 				w, b := crowd(600)
 				b.places.Shares = tt.over
-				others := places.Ask{Organisation: "large", Urgency: 5, Arrived: time.Now().Add(-aim), Aim: aim, Deadline: time.Now().Add(time.Minute), Want: picker.Want{Service: w.service}}
+				others := places.Request{Organisation: "large", Urgency: 5, Arrived: time.Now().Add(-aim), Aim: aim, Deadline: time.Now().Add(time.Minute), Want: picker.Want{Service: w.service}}
 				last := others
 				last.Organisation, last.Urgency, last.Deadline = "small", tt.urgency, last.Deadline.Add(time.Second)
 				if tt.inTime {
@@ -135,11 +135,11 @@
 }
 
 // order returns the organisations of requests that come one after the other, as they go.
-func (b *box) order(asks ...places.Ask) (got []string) {
+func (b *box) order(asks ...places.Request) (got []string) {
 	gone := make(chan string, len(asks))
 	for _, ask := range asks {
 		go func() {
-			if _, err := b.places.Take(context.Background(), ask); err == nil {
+			if _, err := b.places.Acquire(context.Background(), ask); err == nil {
 				gone <- ask.Organisation
 			}
 		}()
@@ -156,7 +156,7 @@
 func (w *world) drawn(b *box, times int) (map[string]int, error) {
 	drawn := map[string]int{}
 	for range times {
-		c, err := b.places.Take(context.Background(), w.request(0, time.Second))
+		c, err := b.places.Acquire(context.Background(), w.request(0, time.Second))
 		if err != nil {
 			return nil, err
 		}
@@ -220,9 +220,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, b := crowd(600)
-		is.True(b.places.Crowded(time.Now(), w.service))
+		is.True(b.places.Overloaded(time.Now(), w.service))
 		time.Sleep(3 * time.Second)
-		is.True(!b.places.Crowded(time.Now(), w.service))
+		is.True(!b.places.Overloaded(time.Now(), w.service))
 	})
 }
 
@@ -239,7 +239,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		b.places.Crowded(time.Now(), w.service)
+		b.places.Overloaded(time.Now(), w.service)
 		is.True(b.places.View(time.Now())[0].Can > 900)
 	})
 }
@@ -253,15 +253,15 @@
 		b := w.boxes[0]
 		for id := range w.upstreams {
 			u, _ := b.fleet.Get(id)
-			b.places.Crowded(time.Now(), w.service)
+			b.places.Overloaded(time.Now(), w.service)
 			b.places.Dropped(w.request(0, time.Second), u, time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		b.places.Crowded(time.Now(), w.service)
+		b.places.Overloaded(time.Now(), w.service)
 		_, err := w.drawn(b, 40) // more than metLeast
 		is.NoErr(err)
 		time.Sleep(time.Second)
-		b.places.Crowded(time.Now(), w.service)
+		b.places.Overloaded(time.Now(), w.service)
 		is.Equal(b.places.View(time.Now())[0].Can, 300)
 	})
 }
@@ -272,10 +272,10 @@
 		is := is.New(t)
 		hub, b := newWorld(load{boxes: 1, work: work}).boxes[0].places, newWorld(load{boxes: 1, work: work}).boxes[0].places
 		for name, asked := range map[string]int{"a": 100, "b": 250, "c": 1000} {
-			hub.Told(time.Now(), name, []wire.ServicePlaces{{Service: "plain", Asked: asked}})
+			hub.Update(time.Now(), name, []wire.ServicePlaces{{Service: "plain", Asked: asked}})
 		}
 		is.Equal(hub.Without(time.Now(), "b"), []wire.ServicePlaces{{Service: "plain", Asked: 1100}})
-		b.ToldSum(time.Now(), hub.Without(time.Now(), "b"))
+		b.UpdateSum(time.Now(), hub.Without(time.Now(), "b"))
 		is.Equal(b.Without(time.Now(), "nobody"), []wire.ServicePlaces{})
 	})
 }
@@ -286,7 +286,7 @@
 	box := w.boxes[0]
 	for b.Loop() {
 		ask := w.request(0, time.Second)
-		c, err := box.places.Take(b.Context(), ask)
+		c, err := box.places.Acquire(b.Context(), ask)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/balance/places/pick.go
+++ b/balance/places/pick.go
@@ -49,7 +49,7 @@
 
 // pick draws two upstreams and returns the one with less of this box's requests for
 // its places.
-func (p *Places) pick(now time.Time, ask Ask) (picker.Choice, error) {
+func (p *Places) pick(now time.Time, ask Request) (picker.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(now, ask.Want.Service)
--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -98,9 +98,9 @@
 	return &Places{Parts: parts, services: map[string]*service{}, others: peerstate.New[demand]()}
 }
 
-// Ask is a request that wants a place.
-type Ask struct {
-	Request      string
+// Request is a request that wants a place.
+type Request struct {
+	ID           string
 	Organisation string
 	Urgency      int // 0 goes first
 	Arrived      time.Time
@@ -109,15 +109,15 @@
 	Want         picker.Want
 }
 
-func (a Ask) aimAt() time.Time { return a.Arrived.Add(a.Aim) }
+func (a Request) aimAt() time.Time { return a.Arrived.Add(a.Aim) }
 
 // lineUntil is until when it may wait in line and be sent off at little cost, with as
 // much left for the asks that follow.
-func (a Ask) lineUntil() time.Time { return a.Arrived.Add(a.Aim / freshPart / 2) }
+func (a Request) lineUntil() time.Time { return a.Arrived.Add(a.Aim / freshPart / 2) }
 
-// Take returns an upstream for a request as soon as it may be sent. The error is a
+// Acquire returns an upstream for a request as soon as it may be sent. The error is a
 // refusal.Refusal: then the request has not been sent anywhere.
-func (p *Places) Take(ctx context.Context, ask Ask) (picker.Choice, error) {
+func (p *Places) Acquire(ctx context.Context, ask Request) (picker.Choice, error) {
 	now := time.Now()
 	w, err := p.enter(now, ask)
 	if err != nil {
@@ -132,7 +132,7 @@
 }
 
 // enter lets a request through, puts it in line or refuses it.
-func (p *Places) enter(now time.Time, ask Ask) (*waiter, error) {
+func (p *Places) enter(now time.Time, ask Request) (*waiter, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(now, ask.Want.Service)
@@ -161,7 +161,7 @@
 // late tells whether a request is refused now that would wait in line for some time and
 // then be answered in the usual one: it could not be served at all, or it is new and
 // has time to come back, or would be passed by newer ones until its caller leaves.
-func late(now time.Time, a Ask, wait, usual time.Duration, passed bool) bool {
+func late(now time.Time, a Request, wait, usual time.Duration, passed bool) bool {
 	age, left := now.Sub(a.Arrived), a.Deadline.Sub(now)
 	inTime := age+wait <= a.Aim/freshPart && age+wait+usual <= a.Aim
 	switch {
@@ -174,21 +174,21 @@
 	return returns
 }
 
-// Again returns another upstream for a request that has been let through.
-func (p *Places) Again(ask Ask) (picker.Choice, error) { return p.pick(time.Now(), ask) }
+// PickAnother returns another upstream for a request that has been let through.
+func (p *Places) PickAnother(ask Request) (picker.Choice, error) { return p.pick(time.Now(), ask) }
 
-// Went notes that a request goes to an upstream that it was not given here.
-func (p *Places) Went(ask Ask, at fleet.Upstream) {
+// RecordSent notes that a request goes to an upstream that it was not given here.
+func (p *Places) RecordSent(ask Request, at fleet.Upstream) {
 	p.of(ask, at, func(u *upstream) { u.own++ })
 }
 
-// Allowed notes that a limited upstream had something for the request that was given it.
-func (p *Places) Allowed(ask Ask, at fleet.Upstream) {
+// LimitGranted notes that a limited upstream had something for the request that was given it.
+func (p *Places) LimitGranted(ask Request, at fleet.Upstream) {
 	p.of(ask, at, func(u *upstream) { u.press = min(u.press*pressMore, pressMost) })
 }
 
-// Passed notes that a request does not go to the limited upstream that it was given.
-func (p *Places) Passed(ask Ask, at fleet.Upstream) {
+// LimitRefused notes that a request does not go to the limited upstream that it was given.
+func (p *Places) LimitRefused(ask Request, at fleet.Upstream) {
 	p.of(ask, at, func(u *upstream) {
 		u.own = max(u.own-1, 0)
 		u.press = max(u.press*pressLess, pressLeast)
@@ -196,7 +196,7 @@
 }
 
 // of changes what is known of an upstream.
-func (p *Places) of(ask Ask, at fleet.Upstream, change func(u *upstream)) {
+func (p *Places) of(ask Request, at fleet.Upstream, change func(u *upstream)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.services[ask.Want.Service.Name]; ok {
@@ -204,15 +204,15 @@
 	}
 }
 
-// Asked returns how many requests a second all boxes are asked for of a service.
-func (p *Places) Asked(now time.Time, r route.Service) float64 {
+// Demand returns how many requests a second all boxes are asked for of a service.
+func (p *Places) Demand(now time.Time, r route.Service) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service(now, r).all
 }
 
-// Usual returns how long an answer of a service takes.
-func (p *Places) Usual(now time.Time, r route.Service) time.Duration {
+// AnswerTime returns how long an answer of a service takes.
+func (p *Places) AnswerTime(now time.Time, r route.Service) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service(now, r).usual()
@@ -272,8 +272,8 @@
 	p.pump(now, s)
 }
 
-// Crowded tells whether requests for a service wait at the boxes.
-func (p *Places) Crowded(now time.Time, r route.Service) bool {
+// Overloaded tells whether requests for a service wait at the boxes.
+func (p *Places) Overloaded(now time.Time, r route.Service) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.service(now, r).crowded()
@@ -285,7 +285,7 @@
 	back := p.back(s)
 	p.Counter.Placed(Refused, now.Sub(w.ask.Arrived))
 	s.fields(now, p.Log).WithFields(logrus.Fields{
-		"request": w.ask.Request, "retry_after_ms": back.Milliseconds(), "aim_left_ms": w.ask.aimAt().Sub(now).Milliseconds(),
+		"request": w.ask.ID, "retry_after_ms": back.Milliseconds(), "aim_left_ms": w.ask.aimAt().Sub(now).Milliseconds(),
 	}).Info("place_refused")
 	return refusal.New(refusal.WaitTooLong, detail).WithRetryAfter(back)
 }
@@ -296,16 +296,16 @@
 	return back + time.Duration(p.Random.Float64()*float64(back)/spreadPart)
 }
 
-// Back returns when one that is sent off now is to come back: once those who wait are
+// RetryAfter returns when one that is sent off now is to come back: once those who wait are
 // served, not all in the same moment.
-func (p *Places) Back(now time.Time, r route.Service) time.Duration {
+func (p *Places) RetryAfter(now time.Time, r route.Service) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.back(p.service(now, r))
 }
 
 // Answered notes how long an upstream took to answer a request.
-func (p *Places) Answered(now time.Time, ask Ask, upstream fleet.Upstream, took time.Duration) {
+func (p *Places) Answered(now time.Time, ask Request, upstream fleet.Upstream, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.service(now, ask.Want.Service)
@@ -318,7 +318,7 @@
 // was not waited for any longer. If that took longer than answers do, an answer would
 // have taken longer still; a refusal at once tells nothing, least of all where nothing
 // is known yet.
-func (p *Places) Dropped(ask Ask, upstream fleet.Upstream, took time.Duration) {
+func (p *Places) Dropped(ask Request, upstream fleet.Upstream, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.services[ask.Want.Service.Name]; ok {
@@ -411,18 +411,18 @@
 	return listOf(sum)
 }
 
-// Covers notes, before a box's word is taken, whether it tells this box alone.
-func (p *Places) Covers(box string, only bool) { p.others.Covers(box, only, peerstate.Cover{}) }
+// SetCoverage notes, before a box's word is taken, whether it tells this box alone.
+func (p *Places) SetCoverage(box string, only bool) { p.others.Covers(box, only, peerstate.Cover{}) }
 
-// Told takes another box's word of what it is asked for.
-func (p *Places) Told(now time.Time, box string, list []wire.ServicePlaces) {
+// Update takes another box's word of what it is asked for.
+func (p *Places) Update(now time.Time, box string, list []wire.ServicePlaces) {
 	p.others.Told(now, box, demandsOf(list))
 }
 
 // Older makes what other boxes told older: this box's machine was suspended.
 func (p *Places) Older(by time.Duration) { p.others.Older(by) }
 
-// ToldSum takes a hub's word of what all other boxes are asked for.
-func (p *Places) ToldSum(now time.Time, list []wire.ServicePlaces) {
+// UpdateSum takes a hub's word of what all other boxes are asked for.
+func (p *Places) UpdateSum(now time.Time, list []wire.ServicePlaces) {
 	p.others.ToldSum(now, demandsOf(list))
 }
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -157,7 +157,7 @@
 			if i != j && w.hear(i, j) {
 				name := fmt.Sprint(j)
 				b.tally.Told(now, name, other.tally.Own())
-				b.places.Told(now, name, other.places.Own(now))
+				b.places.Update(now, name, other.places.Own(now))
 				b.reliability.Told(now, name, other.reliability.Own(now))
 			}
 		}
@@ -285,8 +285,8 @@
 	defer cancel()
 	want := picker.Want{Service: w.service}
 	for range 2 {
-		ask := places.Ask{Urgency: urgency, Arrived: arrived, Aim: w.aim, Deadline: deadline, Want: want}
-		c, err := b.places.Take(ctx, ask)
+		ask := places.Request{Urgency: urgency, Arrived: arrived, Aim: w.aim, Deadline: deadline, Want: want}
+		c, err := b.places.Acquire(ctx, ask)
 		var refused refusal.Refusal
 		if errors.As(err, &refused) {
 			return false, time.Since(arrived), refused.RetryAfter()
--- a/balance/places/service.go
+++ b/balance/places/service.go
@@ -227,7 +227,7 @@
 }
 
 // ask notes one more request. Further tries of one are not asked for anew.
-func (s *service) ask(now time.Time, a Ask) {
+func (s *service) ask(now time.Time, a Request) {
 	if len(a.Want.Avoid) > 0 {
 		return
 	}
@@ -330,7 +330,7 @@
 
 // waiter is a request in line.
 type waiter struct {
-	ask      Ask
+	ask      Request
 	service  *service
 	over     float64    // by how much its organisation is over its share
 	released chan error // nil: it may go
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -207,7 +207,7 @@
 // loose tells whether a limit is so far above all that the boxes are asked for that it
 // binds nobody.
 func (l *limiter) loose(now time.Time, service route.Service, perSecond float64) bool {
-	return l.places != nil && perSecond >= looseFrom*max(l.places.Asked(now, service), float64(l.members.Count(now)))
+	return l.places != nil && perSecond >= looseFrom*max(l.places.Demand(now, service), float64(l.members.Count(now)))
 }
 
 // ask asks the keeper, which is returned; empty if it is not heard.
--- a/edge/places.go
+++ b/edge/places.go
@@ -25,7 +25,7 @@
 // coversPlaces notes, before a box's word is taken, whether it tells this box alone.
 func (e *Edge) coversPlaces(box string, only bool) {
 	if e.places != nil {
-		e.places.Covers(box, only)
+		e.places.SetCoverage(box, only)
 	}
 }
 
@@ -40,14 +40,14 @@
 // toldPlaces takes another box's word of what it is asked for.
 func (e *Edge) toldPlaces(now time.Time, box string, list []wire.ServicePlaces) {
 	if e.places != nil {
-		e.places.Told(now, box, list)
+		e.places.Update(now, box, list)
 	}
 }
 
 // toldPlacesSum takes a hub's word of what all other boxes are asked for.
 func (e *Edge) toldPlacesSum(now time.Time, list []wire.ServicePlaces) {
 	if e.places != nil {
-		e.places.ToldSum(now, list)
+		e.places.UpdateSum(now, list)
 	}
 }
 
--- a/relay/limited.go
+++ b/relay/limited.go
@@ -67,12 +67,12 @@
 		}
 		if r.Limiter.UsedUp(time.Now(), u.ID) == 0 && r.Limiter.Take(ctx, j.limitAsk(u.ID, 0)).Granted {
 			if r.sharesPlaces(j) {
-				r.Places.Allowed(j.placeAsk(), u)
+				r.Places.LimitGranted(j.placeAsk(), u)
 			}
 			return u, load, nil
 		}
 		if r.sharesPlaces(j) {
-			r.Places.Passed(j.placeAsk(), u)
+			r.Places.LimitRefused(j.placeAsk(), u)
 		}
 		used = append(used, u.ID)
 	}
@@ -89,7 +89,7 @@
 	case first:
 		return r.takePlace(ctx, j)
 	}
-	c, err := r.Places.Again(ask)
+	c, err := r.Places.PickAnother(ask)
 	if err == nil {
 		r.Chooser.Sent(time.Now(), j.service, c.Upstream)
 	}
@@ -110,14 +110,14 @@
 				return u, 0, notAwaited(ctx)
 			}
 			if r.sharesPlaces(j) {
-				r.Places.Went(j.placeAsk(), c.Upstream)
+				r.Places.RecordSent(j.placeAsk(), c.Upstream)
 			}
 			return c.Upstream, c.Load, nil
 		}
 	}
 	back := max(in, limitBack)
 	if r.sharesPlaces(j) {
-		back = max(back, r.Places.Back(time.Now(), j.service))
+		back = max(back, r.Places.RetryAfter(time.Now(), j.service))
 	}
 	j.log.WithFields(logrus.Fields{"upstream": c.Upstream.ID, "in_ms": in.Milliseconds(), "worth_ms": worth.Milliseconds()}).Info("limit_refused")
 	return u, 0, refusal.New(refusal.UpstreamLimited, "upstreams of "+j.service.Name+" take no more for now").WithRetryAfter(back)
@@ -158,7 +158,7 @@
 	now := time.Now()
 	usual := leastLeft
 	if r.sharesPlaces(j) {
-		usual = max(usual, r.Places.Usual(now, j.service))
+		usual = max(usual, r.Places.AnswerTime(now, j.service))
 	}
 	age, left := now.Sub(j.req.Arrived), j.deadline.Sub(now)-usual
 	inTime := j.route.Aim - age - usual
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -366,16 +366,16 @@
 
 // takePlace waits until a request may go to a plain upstream.
 func (r *Relay) takePlace(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
-	c, err := r.Places.Take(ctx, j.placeAsk())
+	c, err := r.Places.Acquire(ctx, j.placeAsk())
 	if err == nil {
 		r.Chooser.Sent(time.Now(), j.service, c.Upstream)
 	}
 	return c.Upstream, c.Load, err
 }
 
-func (j *job) placeAsk() places.Ask {
-	return places.Ask{
-		Request: j.req.ID, Organisation: j.organisation, Urgency: j.urgency, Arrived: j.req.Arrived, Aim: j.route.Aim, Deadline: j.deadline, Want: j.want(),
+func (j *job) placeAsk() places.Request {
+	return places.Request{
+		ID: j.req.ID, Organisation: j.organisation, Urgency: j.urgency, Arrived: j.req.Arrived, Aim: j.route.Aim, Deadline: j.deadline, Want: j.want(),
 	}
 }
 
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -124,7 +124,7 @@
 
 // freed gives a place back that the boxes share out. What an upstream refused or
 // failed tells nothing of how long its work takes.
-func (r *Relay) freed(ask places.Ask, u fleet.Upstream, o outcome, took time.Duration) {
+func (r *Relay) freed(ask places.Request, u fleet.Upstream, o outcome, took time.Duration) {
 	if o.sent == nil || o.sent.answer.NotRun || o.sent.answer.Status >= http.StatusInternalServerError {
 		r.Places.Dropped(ask, u, took)
 		return
@@ -143,7 +143,7 @@
 	}
 	_, load, ok := r.Chooser.Choose(time.Now(), j.want())
 	why := metrics.NotBesideBudget
-	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Crowded(time.Now(), j.service) {
+	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Overloaded(time.Now(), j.service) {
 		why = metrics.NotBesideNoRoom
 	}
 	if r.Quarantine.Standing(time.Now(), j.print).Kind != quarantine.Free {
