--- a/admission/crowd_test.go
+++ b/admission/crowd_test.go
@@ -425,7 +425,7 @@
 			entry.Started()
 			late = now.Sub(ask.Arrived) > ask.Aim
 			if alone {
-				c.speeds[box].Read(now, upstream, ask.Prompt, now.Sub(sent))
+				c.speeds[box].RecordPrefill(now, upstream, ask.Prompt, now.Sub(sent))
 			}
 		} else {
 			paused = paused || now.Sub(last) > pauseMost
@@ -536,7 +536,7 @@
 			for j, to := range c.tallies {
 				if i != j {
 					to.Told(time.Now(), fmt.Sprint("b", i), from.Own())
-					c.speeds[j].Told(time.Now(), fmt.Sprint("b", i), c.speeds[i].Own(time.Now()))
+					c.speeds[j].Update(time.Now(), fmt.Sprint("b", i), c.speeds[i].Own(time.Now()))
 				}
 			}
 		}
--- a/admission/room.go
+++ b/admission/room.go
@@ -53,7 +53,7 @@
 		if !short || now.Sub(a.waited) > waitedFor {
 			return grantOf(ask, c), true
 		}
-		if over := a.leftOver(ask, c) + int((c.Cost+c.Line)*float64(lateWeight*ask.Service.Engine.Memory)); best < 0 || over < least {
+		if over := a.leftOver(ask, c) + int((c.Cost+c.LateChance)*float64(lateWeight*ask.Service.Engine.Memory)); best < 0 || over < least {
 			best, least = i, over
 		}
 	}
@@ -132,7 +132,7 @@
 	if left < 0 {
 		return l.Prefill <= ask.Prompt
 	}
-	inTime := c.Reading*a.reading.Time(l.Prefill+ask.Prompt).Seconds() <= (left + a.reading.Time(ask.Prompt)).Seconds()
+	inTime := c.PrefillRatio*a.reading.Time(l.Prefill+ask.Prompt).Seconds() <= (left + a.reading.Time(ask.Prompt)).Seconds()
 	return inTime && (l.Prefill <= ask.Prompt || a.short(ask))
 }
 
--- a/balance/speeds/cost.go
+++ b/balance/speeds/cost.go
@@ -50,9 +50,9 @@
 // lasting is how many streams run there whose pauses are at risk.
 func lasting(l upstreamload.Load) float64 { return float64(min(l.Requests, l.Coming/lastingTokens)) }
 
-// Gave notes that the keeper of a queue sends a request to an upstream where so much
+// Assigned notes that the keeper of a queue sends a request to an upstream where so much
 // runs: what it makes late there costs the next one nothing more.
-func (s *Speeds) Gave(now time.Time, u fleet.Upstream, n Need, l upstreamload.Load) {
+func (s *Speeds) Assigned(now time.Time, u fleet.Upstream, n Need, l upstreamload.Load) {
 	if s == nil || n.Gap == 0 {
 		return
 	}
@@ -82,33 +82,33 @@
 	return max(there-late, 0)
 }
 
-// Judged is what an upstream is worth to a request.
-type Judged struct {
-	Cost    float64 // requests that it makes late there, itself included
-	Line    float64 // chance that its first event is late, by the prompts before it
-	Reading float64 // how many times as long as usual a prompt takes to be read
+// Evaluation is what an upstream is worth to a request.
+type Evaluation struct {
+	Cost         float64 // requests that it makes late there, itself included
+	LateChance   float64 // chance that its first event is late, by the prompts before it
+	PrefillRatio float64 // how many times as long as usual a prompt takes to be read
 }
 
-// WithLine returns it for a request that has usually so long to wait there for prompts
+// WithQueueWait returns it for a request that has usually so long to wait there for prompts
 // before it. Engines read more slowly than was reckoned where much runs beside, so that
 // the chance to be late grows with the square of the part of its time that they take.
-func (j Judged) WithLine(n Need, line time.Duration) Judged {
+func (j Evaluation) WithQueueWait(n Need, line time.Duration) Evaluation {
 	if n.First > 0 && !n.Moves {
-		part := min(j.Reading*line.Seconds()/n.First.Seconds(), 1)
-		j.Line = part * part
+		part := min(j.PrefillRatio*line.Seconds()/n.First.Seconds(), 1)
+		j.LateChance = part * part
 	}
 	return j
 }
 
-// Judge weighs some upstreams of one service for a request; nil where nothing is known
+// Evaluate weighs some upstreams of one service for a request; nil where nothing is known
 // of any.
-func (s *Speeds) Judge(now time.Time, service string, list []fleet.Upstream, loads []upstreamload.Load, n Need) []Judged {
+func (s *Speeds) Evaluate(now time.Time, service string, list []fleet.Upstream, loads []upstreamload.Load, n Need) []Evaluation {
 	if s == nil || n.Gap == 0 || len(list) == 0 {
 		return nil
 	}
 	v := s.view(now, service)
 	risks := v.risks(n.Gap)
-	judged := make([]Judged, len(list))
+	judged := make([]Evaluation, len(list))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gaps[service] = n.Gap
@@ -117,7 +117,7 @@
 	}
 	for i, u := range list {
 		r := risks.of(u)
-		judged[i] = Judged{Cost: r.cost(n, s.inTime(u, loads[i])), Reading: r.reading}
+		judged[i] = Evaluation{Cost: r.cost(n, s.inTime(u, loads[i])), PrefillRatio: r.reading}
 	}
 	return judged
 }
--- a/balance/speeds/many_test.go
+++ b/balance/speeds/many_test.go
@@ -25,7 +25,7 @@
 	for i := range met {
 		told = append(told, wire.UpstreamSpeed{Upstream: fmt.Sprint("e", 3*i), Alone: 4, AloneLog: 13})
 	}
-	s.ToldSum(now, told)
+	s.UpdateSum(now, told)
 	return s, now
 }
 
@@ -41,7 +41,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s, now := manyIdle(tt.engines, tt.met)
-			s.Renew(now, "llm")
+			s.Refresh(now, "llm")
 			is.Equal(len(s.beliefs), tt.met)
 			is.Equal(len(s.views["llm"].keys), tt.met)
 		})
@@ -53,11 +53,11 @@
 	for _, engines := range []int{1000, 3000, 10000, 20000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			s, now := manyIdle(engines, 300)
-			s.Renew(now, "llm")
+			s.Refresh(now, "llm")
 			for b.Loop() {
 				now = now.Add(viewEvery)
-				s.ToldSum(now, nil)
-				s.Renew(now, "llm")
+				s.UpdateSum(now, nil)
+				s.Refresh(now, "llm")
 			}
 		})
 	}
--- a/balance/speeds/report.go
+++ b/balance/speeds/report.go
@@ -26,7 +26,7 @@
 		id, born := split(key)
 		s.log.WithFields(logrus.Fields{
 			"upstream": id, "born": born, "service": service, "class": class, "was": was, "gap_aim_ms": gap.Milliseconds(),
-			"alone_ms": speed.Alone().Milliseconds(), "beside_ms": speed.Beside().Milliseconds(), "read_us": speed.Read().Microseconds(),
+			"alone_ms": speed.Alone().Milliseconds(), "beside_ms": speed.Concurrent().Milliseconds(), "read_us": speed.Prefill().Microseconds(),
 			"alone_weight": speed.alone.weight, "beside_weight": speed.beside.weight, "read_weight": speed.read.weight,
 			"age_ms": now.Sub(speed.seen).Milliseconds(),
 		}).Info("engine_class")
@@ -50,8 +50,8 @@
 			class = speed.Class(gap)
 		}
 		list = append(list, wire.UpstreamBelief{
-			Upstream: id, Class: string(class), AloneMs: int(speed.Alone().Milliseconds()), BesideMs: int(speed.Beside().Milliseconds()),
-			ReadUs: int(speed.Read().Microseconds()), AgeMs: int(now.Sub(speed.seen).Milliseconds()),
+			Upstream: id, Class: string(class), AloneMs: int(speed.Alone().Milliseconds()), BesideMs: int(speed.Concurrent().Milliseconds()),
+			ReadUs: int(speed.Prefill().Microseconds()), AgeMs: int(now.Sub(speed.seen).Milliseconds()),
 		})
 	}
 	slices.SortFunc(list, func(x, y wire.UpstreamBelief) int { return strings.Compare(x.Upstream, y.Upstream) })
--- a/balance/speeds/speed.go
+++ b/balance/speeds/speed.go
@@ -23,14 +23,14 @@
 
 // The classes of an engine.
 const (
-	Unknown Class = "unknown"
-	Beside  Class = "beside" // also while a prompt is read beside
-	Alone   Class = "alone"  // only while none is
-	Never   Class = "never"
+	Unknown    Class = "unknown"
+	Concurrent Class = "beside" // also while a prompt is read beside
+	Alone      Class = "alone"  // only while none is
+	Never      Class = "never"
 )
 
 // Classes lists all classes.
-func Classes() []Class { return []Class{Unknown, Beside, Alone, Never} }
+func Classes() []Class { return []Class{Unknown, Concurrent, Alone, Never} }
 
 // forecast is a time that is expected, as a logarithm of seconds.
 type forecast struct{ log, weight float64 }
@@ -69,11 +69,11 @@
 // Alone returns the usual time between events; 0 where it is not known, as of all.
 func (s Speed) Alone() time.Duration { return s.alone.time() }
 
-// Beside returns it while a prompt is read beside.
-func (s Speed) Beside() time.Duration { return s.beside.time() }
+// Concurrent returns it while a prompt is read beside.
+func (s Speed) Concurrent() time.Duration { return s.beside.time() }
 
-// Read returns the time to read a token of a prompt.
-func (s Speed) Read() time.Duration { return s.read.time() }
+// Prefill returns the time to read a token of a prompt.
+func (s Speed) Prefill() time.Duration { return s.read.time() }
 
 // Seen returns when anything was last seen of it.
 func (s Speed) Seen() time.Time { return s.seen }
@@ -92,7 +92,7 @@
 	case risk.beside >= clearly:
 		return Alone
 	}
-	return Beside
+	return Concurrent
 }
 
 // risk is the chance that an engine breaks a pause, and how many times as long as usual
--- a/balance/speeds/speeds.go
+++ b/balance/speeds/speeds.go
@@ -96,8 +96,8 @@
 	return &Stream{speeds: s, upstream: u, gaps: make([]time.Duration, 0, window)}
 }
 
-// Read notes how long a prompt took to be read that found no other before it.
-func (s *Speeds) Read(now time.Time, u fleet.Upstream, tokens int, took time.Duration) {
+// RecordPrefill notes how long a prompt took to be read that found no other before it.
+func (s *Speeds) RecordPrefill(now time.Time, u fleet.Upstream, tokens int, took time.Duration) {
 	if s == nil || tokens < leastRead || took < time.Duration(tokens) {
 		return // less than can be told by the clock has no logarithm
 	}
@@ -204,15 +204,15 @@
 	return rowsOf(list)
 }
 
-// Covers notes, before a box's word is taken, whether it tells this box alone.
-func (s *Speeds) Covers(box string, only bool) {
+// SetCoverage notes, before a box's word is taken, whether it tells this box alone.
+func (s *Speeds) SetCoverage(box string, only bool) {
 	if s != nil {
 		s.others.Covers(box, only, peerstate.Cover{})
 	}
 }
 
-// Told takes another box's word of what it saw.
-func (s *Speeds) Told(now time.Time, box string, list []wire.UpstreamSpeed) {
+// Update takes another box's word of what it saw.
+func (s *Speeds) Update(now time.Time, box string, list []wire.UpstreamSpeed) {
 	if s != nil {
 		s.others.Told(now, box, recordsOf(list))
 	}
@@ -225,8 +225,8 @@
 	}
 }
 
-// ToldSum takes a hub's word of what all other boxes saw.
-func (s *Speeds) ToldSum(now time.Time, list []wire.UpstreamSpeed) {
+// UpdateSum takes a hub's word of what all other boxes saw.
+func (s *Speeds) UpdateSum(now time.Time, list []wire.UpstreamSpeed) {
 	if s != nil {
 		s.others.ToldSum(now, recordsOf(list))
 	}
@@ -248,9 +248,9 @@
 	return s.view(now, u.Service).speeds[keyOf(u)]
 }
 
-// Renew keeps what is believed of a service's engines: what others told lapses within
+// Refresh keeps what is believed of a service's engines: what others told lapses within
 // seconds, and a box that has weighed nothing meanwhile may have to keep the queue next.
-func (s *Speeds) Renew(now time.Time, service string) {
+func (s *Speeds) Refresh(now time.Time, service string) {
 	if s != nil {
 		s.view(now, service)
 	}
--- a/balance/speeds/speeds_test.go
+++ b/balance/speeds/speeds_test.go
@@ -74,7 +74,7 @@
 		"nothing": {func(_ *Speeds, now time.Time) time.Time { return now }, Unknown},
 		"fast": {func(s *Speeds, now time.Time) time.Time {
 			return streams(s, now, "e", ms(16), ms(50), 180)
-		}, Beside},
+		}, Concurrent},
 		"slow, no prompt was ever read": {func(s *Speeds, now time.Time) time.Time {
 			return streams(s, now, "e", ms(40), 0, 180)
 		}, Alone},
@@ -87,12 +87,12 @@
 		"one lost packet": {func(s *Speeds, now time.Time) time.Time {
 			now = streams(s, now, "e", ms(16), 0, 180)
 			return streams(s, now.Add(ms(250)), "e", ms(16), 0, 48)
-		}, Beside},
+		}, Concurrent},
 		"noise of half a second": {func(s *Speeds, now time.Time) time.Time {
 			now = streams(s, now, "e", ms(16), ms(50), 180)
 			now = streams(s, now, "e", ms(40), ms(125), 12)
 			return streams(s, now, "e", ms(16), ms(50), 48)
-		}, Beside},
+		}, Concurrent},
 		"turned slow for four seconds": {func(s *Speeds, now time.Time) time.Time {
 			now = streams(s, now, "e", ms(16), ms(50), 180)
 			return streams(s, now, "e", ms(80), ms(240), 50)
@@ -104,7 +104,7 @@
 		"and back": {func(s *Speeds, now time.Time) time.Time {
 			now = streams(s, now, "e", ms(80), 0, 75)
 			return streams(s, now, "e", ms(16), ms(50), 400)
-		}, Beside},
+		}, Concurrent},
 		"nothing streamed since": {func(s *Speeds, now time.Time) time.Time {
 			now = streams(s, now, "e", ms(40), 0, 180)
 			for range 40 { // as a box looks
@@ -116,9 +116,9 @@
 		"one short answer, by its like": {func(s *Speeds, now time.Time) time.Time {
 			for i, each := range []int{16, 34, 16, 34} {
 				streams(s, now, fmt.Sprint("like", i), ms(each), ms(3*each), 180)
-				s.Read(now, engine(fmt.Sprint("like", i)), 3000, 3000*time.Duration(each)*5*time.Microsecond)
+				s.RecordPrefill(now, engine(fmt.Sprint("like", i)), 3000, 3000*time.Duration(each)*5*time.Microsecond)
 			}
-			s.Read(now, engine("e"), 2000, 2000*170*time.Microsecond)
+			s.RecordPrefill(now, engine("e"), 2000, 2000*170*time.Microsecond)
 			return streams(s, now, "e", ms(34), 0, 4)
 		}, Alone},
 	}
@@ -137,11 +137,11 @@
 // and goes on to when they are gone; a new incarnation is unknown.
 func TestTold(t *testing.T) {
 	tests := map[string]func(from, to *Speeds, now time.Time){
-		"by the box itself": func(from, to *Speeds, now time.Time) { to.Told(now, "b", from.Own(now)) },
+		"by the box itself": func(from, to *Speeds, now time.Time) { to.Update(now, "b", from.Own(now)) },
 		"by a hub": func(from, to *Speeds, now time.Time) {
 			hub := newSpeeds()
-			hub.Told(now, "b", from.Own(now))
-			to.ToldSum(now, hub.Without(now, "c"))
+			hub.Update(now, "b", from.Own(now))
+			to.UpdateSum(now, hub.Without(now, "c"))
 		},
 	}
 	for name, tell := range tests {
@@ -166,7 +166,7 @@
 	s := New(&all, noCount{}, logs.New(io.Discard, "info", "b"))
 	now := streams(s, time.Now(), "e", ms(40), 0, 180)
 	s.Of(now, engine("e"))
-	s.Gave(now, engine("e"), Need{Gap: gap, Long: true}, upstreamload.Load{})
+	s.Assigned(now, engine("e"), Need{Gap: gap, Long: true}, upstreamload.Load{})
 	all = nil
 	now = now.Add(keptFor + time.Second)
 	s.Of(now, engine("e"))
@@ -212,20 +212,20 @@
 	list := []fleet.Upstream{engine("slow"), engine("new")}
 	loads := []upstreamload.Load{{Requests: 4, Coming: 2000}, {Requests: 1, Coming: 600}}
 	now, long := time.Now(), Need{Gap: gap, Long: true}
-	is.Equal(s.Judge(now, "llm", list, loads, long), nil)
-	is.Equal((*Speeds)(nil).Judge(now, "llm", list, loads, long), nil)
+	is.Equal(s.Evaluate(now, "llm", list, loads, long), nil)
+	is.Equal((*Speeds)(nil).Evaluate(now, "llm", list, loads, long), nil)
 	now = streams(s, now, "slow", ms(40), 0, 180).Add(viewEvery)
-	is.Equal(s.Judge(now, "llm", list, loads, Need{Long: true}), nil)
-	before := s.Judge(now, "llm", list, loads, long)
+	is.Equal(s.Evaluate(now, "llm", list, loads, Need{Long: true}), nil)
+	before := s.Evaluate(now, "llm", list, loads, long)
 	is.True(before[0].Cost > 1)                // four are in time
 	is.True(before[1].Cost < before[0].Cost/2) // one is, as its like
-	s.Gave(now, list[0], Need{Gap: gap}, loads[0])
-	after := s.Judge(now, "llm", list, loads, long)
+	s.Assigned(now, list[0], Need{Gap: gap}, loads[0])
+	after := s.Evaluate(now, "llm", list, loads, long)
 	is.True(after[0].Cost < 0.9*before[0].Cost)
 	loads[0] = upstreamload.Load{}
-	s.Judge(now, "llm", list, loads, long) // what was late has ended
+	s.Evaluate(now, "llm", list, loads, long) // what was late has ended
 	loads[0] = upstreamload.Load{Requests: 4, Coming: 2000}
-	is.Equal(s.Judge(now, "llm", list, loads, long)[0].Cost, before[0].Cost)
+	is.Equal(s.Evaluate(now, "llm", list, loads, long)[0].Cost, before[0].Cost)
 }
 
 // BenchmarkJudge is one decision before so many engines, with what is believed of them
@@ -245,7 +245,7 @@
 			loads := make([]upstreamload.Load, engines)
 			for b.Loop() {
 				now = now.Add(5 * time.Millisecond) // 200 requests a second
-				s.Judge(now, "llm", list, loads, Need{Gap: gap, Long: true})
+				s.Evaluate(now, "llm", list, loads, Need{Gap: gap, Long: true})
 			}
 		})
 	}
@@ -283,15 +283,15 @@
 	s := newSpeeds("e")
 	now := streams(s, time.Now(), "e", ms(16), 0, 180)
 	for _, took := range []time.Duration{-time.Second, 0, 1, 2999} {
-		s.Read(now, engine("e"), 3000, took)
+		s.RecordPrefill(now, engine("e"), 3000, took)
 	}
-	is.Equal(s.Of(now, engine("e")).Read(), 0*time.Second)
-	judged := s.Judge(now, "llm", []fleet.Upstream{engine("e")}, make([]upstreamload.Load, 1), Need{Gap: gap, Long: true})
-	is.Equal(judged[0].Reading, 1.0)
+	is.Equal(s.Of(now, engine("e")).Prefill(), 0*time.Second)
+	judged := s.Evaluate(now, "llm", []fleet.Upstream{engine("e")}, make([]upstreamload.Load, 1), Need{Gap: gap, Long: true})
+	is.Equal(judged[0].PrefillRatio, 1.0)
 }
 
-// TestWithLine shows the chance that prompts before a request make its first event late.
-func TestWithLine(t *testing.T) {
+// TestWithQueueWait shows the chance that prompts before a request make its first event late.
+func TestWithQueueWait(t *testing.T) {
 	tests := map[string]struct {
 		need    Need
 		reading float64
@@ -307,7 +307,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(Judged{Reading: tt.reading}.WithLine(tt.need, tt.line).Line, tt.want)
+			is.New(t).Equal(Evaluation{PrefillRatio: tt.reading}.WithQueueWait(tt.need, tt.line).LateChance, tt.want)
 		})
 	}
 }
--- a/balance/speeds/view_test.go
+++ b/balance/speeds/view_test.go
@@ -21,7 +21,7 @@
 		s := newSpeeds(ids...)
 		for i, id := range ids[1:] {
 			streams(s, now, id, ms(16+3*i), ms(50+7*i), 48)
-			s.Read(now, engine(id), 3000, ms(500+31*i))
+			s.RecordPrefill(now, engine(id), 3000, ms(500+31*i))
 		}
 		v := s.view(now.Add(time.Second), "llm")
 		return v, v.risks(gap).like
--- a/edge/speeds.go
+++ b/edge/speeds.go
@@ -14,7 +14,7 @@
 		return
 	}
 	for _, service := range table.Engines() {
-		e.speeds.Renew(now, service)
+		e.speeds.Refresh(now, service)
 	}
 }
 
--- a/edge/words.go
+++ b/edge/words.go
@@ -76,8 +76,8 @@
 	e.sharing.told(now, box, w.uses)
 	e.toldPlaces(now, box, w.places)
 	if w.paced {
-		e.speeds.Covers(box, only)
-		e.speeds.Told(now, box, w.speeds)
+		e.speeds.SetCoverage(box, only)
+		e.speeds.Update(now, box, w.speeds)
 	}
 }
 
@@ -88,7 +88,7 @@
 	e.sharing.toldSum(now, w.uses)
 	e.toldPlacesSum(now, w.places)
 	if w.paced {
-		e.speeds.ToldSum(now, w.speeds)
+		e.speeds.UpdateSum(now, w.speeds)
 	}
 }
 
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -120,7 +120,7 @@
 	Upstream fleet.Upstream
 	Running  upstreamload.Load
 	Load     float64
-	speeds.Judged
+	speeds.Evaluation
 	Held bool // it is cold or limited, and may get no more for now
 }
 
@@ -137,7 +137,7 @@
 
 // Gave notes that the keeper of a queue sends a request to an upstream.
 func (c *Picker) Gave(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
-	c.Speeds.Gave(now, u, n, running)
+	c.Speeds.Assigned(now, u, n, running)
 }
 
 // Sent notes that a request goes to an upstream.
@@ -195,7 +195,7 @@
 	ranked := make([]Choice, len(list))
 	for i, s := range order {
 		u := list[s.at]
-		ranked[i] = Choice{Upstream: u, Running: loads[s.at], Load: s.load, Judged: judged[s.at], Held: c.held(now, w, u) || c.usedUp(now, w, u)}
+		ranked[i] = Choice{Upstream: u, Running: loads[s.at], Load: s.load, Evaluation: judged[s.at], Held: c.held(now, w, u) || c.usedUp(now, w, u)}
 	}
 	return ranked
 }
@@ -279,21 +279,21 @@
 // judge weighs how fast upstreams are for a request, and returns what that is in
 // scores: by what is known of them, or, where nothing is or that is off, by the paces of
 // what streams there.
-func (c *Picker) judge(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Judged, scores []float64) {
+func (c *Picker) judge(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Evaluation, scores []float64) {
 	scores = make([]float64, len(list))
-	judged = c.Speeds.Judge(now, w.Service.Name, list, loads, w.Need)
+	judged = c.Speeds.Evaluate(now, w.Service.Name, list, loads, w.Need)
 	if judged == nil {
-		judged = make([]speeds.Judged, len(list))
+		judged = make([]speeds.Evaluation, len(list))
 		usual := usualPace(loads)
 		for i, l := range loads {
-			judged[i].Reading = 1
+			judged[i].PrefillRatio = 1
 			scores[i] = slowness(l.Pace(), usual)
 		}
 		return judged, scores
 	}
 	for i, l := range loads {
-		judged[i] = judged[i].WithLine(w.Need, c.Reading.Time(l.Prefill))
-		scores[i] = late * (judged[i].Cost + judged[i].Line)
+		judged[i] = judged[i].WithQueueWait(w.Need, c.Reading.Time(l.Prefill))
+		scores[i] = late * (judged[i].Cost + judged[i].LateChance)
 	}
 	return judged, scores
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -236,7 +236,7 @@
 	if f.count == 0 {
 		f.sent.entry.Started()
 		r.Prefill.Read(f.sent.alone, now.Sub(f.sent.began))
-		r.Speeds.Read(now, f.sent.upstream, f.sent.alone, now.Sub(f.sent.began))
+		r.Speeds.RecordPrefill(now, f.sent.upstream, f.sent.alone, now.Sub(f.sent.began))
 	}
 	f.count++
 	r.lived(now, f)
