--- a/admission/admission.go
+++ b/admission/admission.go
@@ -100,12 +100,12 @@
 
 // Shares tells how organisations fare that compete for room.
 type Shares interface {
-	Gave(now time.Time, p shares.Party, work float64)
+	Assigned(now time.Time, p shares.Party, work float64)
 	Refused(now time.Time, p shares.Party, work float64)
 	// Waited notes that a request found no room at once.
 	Waited(now time.Time)
-	// Weigh works the shares out, from the work that waits too.
-	Weigh(now time.Time, waits map[shares.Party]float64)
+	// Recompute works the shares out, from the work that waits too.
+	Recompute(now time.Time, waits map[shares.Party]float64)
 	Standing(p shares.Party) shares.Standing
 }
 
@@ -293,7 +293,7 @@
 	a.ranking.Gave(now, g.Upstream, a.need(w.ask), g.running)
 	a.loads.Promise(now, w.ask.Box, g.Upstream.ID, loadOf(w.ask))
 	if a.shares != nil {
-		a.shares.Gave(now, w.ask.party(), a.Work(w.ask))
+		a.shares.Assigned(now, w.ask.party(), a.Work(w.ask))
 	}
 	a.line(now, w).WithFields(logrus.Fields{"upstream": g.Upstream.ID, "load": g.Load, "cost": g.Cost}).Info("admitted")
 	w.settled <- outcome{grant: g}
@@ -335,7 +335,7 @@
 	if a.shares != nil {
 		s := w.standing
 		line = line.WithFields(logrus.Fields{
-			"organisation": w.ask.Organisation, "share": int(s.Share), "given_work": int(s.Given), "owed": int(s.Owed()), "over": s.Over, "starved": s.Starved,
+			"organisation": w.ask.Organisation, "share": int(s.Share), "given_work": int(s.Given), "owed": int(s.Deficit()), "over": s.Over, "starved": s.Starved,
 		})
 	}
 	return line.WithFields(logrus.Fields{
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -318,17 +318,17 @@
 // fares gives organisations fixed standings.
 type fares map[string]shares.Standing
 
-func (fares) Gave(time.Time, shares.Party, float64)     {}
-func (fares) Refused(time.Time, shares.Party, float64)  {}
-func (fares) Waited(time.Time)                          {}
-func (fares) Weigh(time.Time, map[shares.Party]float64) {}
-func (f fares) Standing(p shares.Party) shares.Standing { return f[p.Organisation] }
+func (fares) Assigned(time.Time, shares.Party, float64)     {}
+func (fares) Refused(time.Time, shares.Party, float64)      {}
+func (fares) Waited(time.Time)                              {}
+func (fares) Recompute(time.Time, map[shares.Party]float64) {}
+func (f fares) Standing(p shares.Party) shares.Standing     { return f[p.Organisation] }
 
 // TestTurns lets requests of two organisations wait for an engine that is full, and
 // then ends what runs there.
 func TestTurns(t *testing.T) {
-	over, owed, bound := shares.Standing{Bound: true, Over: true, Part: 1}, shares.Standing{}, shares.Standing{Bound: true, Part: 1}
-	starved := shares.Standing{Bound: true, Starved: true}
+	over, owed, bound := shares.Standing{Capped: true, Over: true, Fraction: 1}, shares.Standing{}, shares.Standing{Capped: true, Fraction: 1}
+	starved := shares.Standing{Capped: true, Starved: true}
 	tests := map[string]struct {
 		first, second shares.Standing
 		urgency       int           // of the first; the second's is 1
@@ -386,7 +386,7 @@
 				is := is.New(t)
 				ask := draft("a")
 				ask.Organisation = "acme"
-				s.Took(time.Now(), shares.Party{Organisation: "acme", Rank: ask.Urgency}, 1000, true)
+				s.RecordOwn(time.Now(), shares.Party{Organisation: "acme", Rank: ask.Urgency}, 1000, true)
 				is.NoErr(w.ask(t.Context(), ask))
 				is.Equal(len(s.Own(time.Now())) > 0, full)
 			})
@@ -399,7 +399,7 @@
 func TestOverShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorldOf(1, fares{"crowd": {Bound: true, Over: true}})
+		w := newWorldOf(1, fares{"crowd": {Capped: true, Over: true}})
 		w.fill("e0", slots, 30000)
 		waits := draft("a")
 		waits.Patience, waits.Aim = time.Minute, time.Minute
--- a/admission/chance.go
+++ b/admission/chance.go
@@ -184,7 +184,7 @@
 // reasonOf tells why a request has no room: others wait that go before it, or its
 // organisation asks for more than its share.
 func reasonOf(w *waiter) refusal.Reason {
-	if w.standing.Bound {
+	if w.standing.Capped {
 		return refusal.OverShare
 	}
 	return refusal.WaitTooLong
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -73,7 +73,7 @@
 		"expected_ms": expected.Milliseconds(), "given": int(a.wait.rate(now, a.rank(w.ask))), "leaves": int(leaves), "demand": int(a.demand.rate(now)), "returning": len(a.returns),
 		"back_ms": after.Milliseconds(),
 	}).Info("sent_off")
-	a.returns[w.ask.Mark] = sentOff{back: now.Add(after), tokens: w.ask.Prompt + w.ask.Answer, bound: w.standing.Bound}
+	a.returns[w.ask.Mark] = sentOff{back: now.Add(after), tokens: w.ask.Prompt + w.ask.Answer, bound: w.standing.Capped}
 	w.settled <- outcome{err: refusal.New(reasonOf(w), "no engine has room in time").WithRetryAfter(after)}
 }
 
@@ -81,7 +81,7 @@
 // come back before it has had what newcomers leave.
 func (a *Admission) comeBack(now time.Time, w *waiter, leaves float64) time.Duration {
 	ask := w.ask
-	before := float64(ask.Prompt + ask.Answer + a.returns.tokens(w.standing.Bound))
+	before := float64(ask.Prompt + ask.Answer + a.returns.tokens(w.standing.Capped))
 	after := comeMost
 	if left := max(leaves-a.demand.rate(now), leastLeft*leaves); left > 0 {
 		after = min(seconds(before/left), comeMost)
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -37,7 +37,7 @@
 	for _, w := range a.waiting {
 		waits[w.ask.party()] += a.Work(w.ask)
 	}
-	a.shares.Weigh(now, waits)
+	a.shares.Recompute(now, waits)
 	for _, w := range a.waiting {
 		w.standing = a.shares.Standing(w.ask.party())
 	}
@@ -49,7 +49,7 @@
 // one that holds memory for a moment: it takes what is too small for others.
 func (a *Admission) turn(now time.Time, w *waiter) int {
 	switch {
-	case !w.standing.Bound || a.short(w.ask) || a.overdue(now, w.ask):
+	case !w.standing.Capped || a.short(w.ask) || a.overdue(now, w.ask):
 		return 0
 	case !w.standing.Over:
 		return 1
@@ -68,7 +68,7 @@
 	if !a.undecided(now, w) || w.standing.Starved || a.turn(now, w) == 0 {
 		return 1
 	}
-	return 1 - goOn*(1-w.standing.Part)
+	return 1 - goOn*(1-w.standing.Fraction)
 }
 
 // refused notes that an organisation's request was refused for the first time.
--- a/balance/shares/shares.go
+++ b/balance/shares/shares.go
@@ -37,17 +37,17 @@
 
 // Standing is how a party fares. Values are immutable.
 type Standing struct {
-	Share   float64 // the work that it may be given within the span
-	Given   float64 // the work that it was given
-	Bound   bool    // it asks for more than its share
-	Part    float64 // of what its rank is given, what those have who ask for more
-	Over    bool    // it was given more than its share
-	Starved bool    // it is served less than floorPart as often as all
+	Share    float64 // the work that it may be given within the span
+	Given    float64 // the work that it was given
+	Capped   bool    // it asks for more than its share
+	Fraction float64 // of what its rank is given, what those have who ask for more
+	Over     bool    // it was given more than its share
+	Starved  bool    // it is served less than floorPart as often as all
 }
 
-// Owed is the work that an organisation has not been given of its share; below 0 it
+// Deficit is the work that an organisation has not been given of its share; below 0 it
 // was given more.
-func (s Standing) Owed() float64 { return s.Share - s.Given }
+func (s Standing) Deficit() float64 { return s.Share - s.Given }
 
 // Party is an organisation's requests of one rank. Ranks go before each other, shares
 // are those of the parties of a rank.
@@ -116,8 +116,8 @@
 	return &Shares{weight: weight, decided: book{}, own: book{}, others: peerstate.New[use](), served: 1}
 }
 
-// Gave notes that this box gave an organisation room for work.
-func (s *Shares) Gave(now time.Time, p Party, work float64) {
+// Assigned notes that this box gave an organisation room for work.
+func (s *Shares) Assigned(now time.Time, p Party, work float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.decided.add(now, p, use{given: work})
@@ -132,9 +132,9 @@
 	s.decided.add(now, p, use{refused: work})
 }
 
-// Took notes what came of a request of this box's own caller, whoever decided it. It
+// RecordOwn notes what came of a request of this box's own caller, whoever decided it. It
 // is what others are told.
-func (s *Shares) Took(now time.Time, p Party, work float64, given bool) {
+func (s *Shares) RecordOwn(now time.Time, p Party, work float64, given bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if given {
@@ -146,7 +146,7 @@
 }
 
 // Waited notes that room is short: a request of any organisation found none at once.
-// Weigh cannot tell, as among those that wait are some that have come just now and
+// Recompute cannot tell, as among those that wait are some that have come just now and
 // find room.
 func (s *Shares) Waited(now time.Time) {
 	s.mu.Lock()
@@ -154,9 +154,9 @@
 	s.short = now
 }
 
-// Weigh works the shares out anew: from the work that was given, and the work that
+// Recompute works the shares out anew: from the work that was given, and the work that
 // waits. What more urgent ranks take is not there for the others.
-func (s *Shares) Weigh(now time.Time, waits map[Party]float64) {
+func (s *Shares) Recompute(now time.Time, waits map[Party]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waits, s.demand = waits, s.uses(now)
@@ -265,12 +265,12 @@
 	}
 	bound := l.work * s.weight(p.Organisation)
 	return Standing{
-		Share:   min(asks, bound),
-		Given:   u.given,
-		Bound:   asks > bound,
-		Part:    l.part,
-		Over:    u.given > bound,
-		Starved: u.refused > 0 && u.given < floorPart*s.served*(u.given+u.refused),
+		Share:    min(asks, bound),
+		Given:    u.given,
+		Capped:   asks > bound,
+		Fraction: l.part,
+		Over:     u.given > bound,
+		Starved:  u.refused > 0 && u.given < floorPart*s.served*(u.given+u.refused),
 	}
 }
 
@@ -319,8 +319,8 @@
 	return s.ownUses(now)
 }
 
-// Covers notes, before a box's word is taken, whether it tells this box alone.
-func (s *Shares) Covers(box string, only bool) { s.others.Covers(box, only, peerstate.Cover{}) }
+// SetCoverage notes, before a box's word is taken, whether it tells this box alone.
+func (s *Shares) SetCoverage(box string, only bool) { s.others.Covers(box, only, peerstate.Cover{}) }
 
 // listOf returns the parties with the most work.
 func listOf(uses map[string]use) []wire.OrganisationUse {
@@ -335,16 +335,16 @@
 	return list[:min(len(list), toldMost)]
 }
 
-// Told takes another box's word of its callers.
-func (s *Shares) Told(now time.Time, box string, list []wire.OrganisationUse) {
+// Update takes another box's word of its callers.
+func (s *Shares) Update(now time.Time, box string, list []wire.OrganisationUse) {
 	s.others.Told(now, box, usesOf(list))
 }
 
 // Older makes what other boxes told older: this box's machine was suspended.
 func (s *Shares) Older(by time.Duration) { s.others.Older(by) }
 
-// ToldSum takes a hub's word of all other boxes' callers.
-func (s *Shares) ToldSum(now time.Time, list []wire.OrganisationUse) {
+// UpdateSum takes a hub's word of all other boxes' callers.
+func (s *Shares) UpdateSum(now time.Time, list []wire.OrganisationUse) {
 	s.others.ToldSum(now, usesOf(list))
 }
 
--- a/balance/shares/shares_test.go
+++ b/balance/shares/shares_test.go
@@ -25,7 +25,7 @@
 	waits := map[shares.Party]float64{}
 	for name, d := range deeds {
 		p := shares.Party{Organisation: name, Rank: d.rank}
-		s.Gave(now, p, d.given)
+		s.Assigned(now, p, d.given)
 		if d.refused > 0 {
 			s.Refused(now, p, d.refused)
 		}
@@ -33,7 +33,7 @@
 			waits[p] = d.waits
 		}
 	}
-	s.Weigh(now, waits)
+	s.Recompute(now, waits)
 	return s
 }
 
@@ -73,10 +73,10 @@
 			is := is.New(t)
 			got := weigh(time.Now(), tt.weight, tt.deeds).Standing(party("a"))
 			is.Equal(int(got.Share+0.5), int(tt.share))
-			is.Equal(got.Bound, tt.bound)
+			is.Equal(got.Capped, tt.bound)
 			is.Equal(got.Over, tt.over)
 			is.Equal(got.Starved, tt.starved)
-			is.True(tt.part == 0 || tt.part == got.Part)
+			is.True(tt.part == 0 || tt.part == got.Fraction)
 		})
 	}
 }
@@ -87,8 +87,8 @@
 	now := time.Now()
 	s := weigh(now, nil, map[string]deed{"a": {given: 10000}, "b": {given: 10}})
 	later := now.Add(40 * time.Second)
-	s.Gave(later, party("b"), 100)
-	s.Weigh(later, map[shares.Party]float64{party("a"): 200, party("b"): 200})
+	s.Assigned(later, party("b"), 100)
+	s.Recompute(later, map[shares.Party]float64{party("a"): 200, party("b"): 200})
 	a, b := s.Standing(party("a")), s.Standing(party("b"))
 	is.True(!a.Over) // what it had before the crowd
 	is.True(b.Over)  // what it did not ask for before
@@ -100,15 +100,15 @@
 	is := is.New(t)
 	now := time.Now()
 	box := shares.New(nil)
-	box.Took(now, party("a"), 900, true)
-	box.Took(now, party("a"), 300, false)
-	box.Took(now, party("b"), 100, true)
+	box.RecordOwn(now, party("a"), 900, true)
+	box.RecordOwn(now, party("a"), 300, false)
+	box.RecordOwn(now, party("b"), 100, true)
 	is.Equal(len(box.Own(now)), 2)
 
 	keeper := shares.New(nil)
-	keeper.Gave(now, party("a"), 500) // of those that the box tells of
-	keeper.Told(now, "box", box.Own(now))
-	keeper.Weigh(now, map[shares.Party]float64{party("b"): 200})
+	keeper.Assigned(now, party("a"), 500) // of those that the box tells of
+	keeper.Update(now, "box", box.Own(now))
+	keeper.Recompute(now, map[shares.Party]float64{party("b"): 200})
 	a := keeper.Standing(party("a"))
 	is.Equal(int(a.Given), 900)
 	is.True(a.Over)
@@ -124,7 +124,7 @@
 	is := is.New(t)
 	now := time.Now()
 	s := shares.New(nil)
-	s.Took(now, party("a"), 900, true)
+	s.RecordOwn(now, party("a"), 900, true)
 	is.Equal(len(s.Own(now)), 0)
 }
 
@@ -137,12 +137,12 @@
 			waits := map[shares.Party]float64{}
 			for i := range organisations {
 				name := party(fmt.Sprint("o", i))
-				s.Gave(now, name, float64(1000+i))
+				s.Assigned(now, name, float64(1000+i))
 				waits[name] = 500
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Weigh(now, waits)
+				s.Recompute(now, waits)
 			}
 		})
 	}
--- a/edge/sharing.go
+++ b/edge/sharing.go
@@ -50,9 +50,9 @@
 	var refused refusal.Refusal
 	switch {
 	case err == nil:
-		s.shares.Took(now, party, work, true)
+		s.shares.RecordOwn(now, party, work, true)
 	case errors.As(err, &refused) && refused.RetryAfter() > 0 && s.first(now, ask.Mark):
-		s.shares.Took(now, party, work, false)
+		s.shares.RecordOwn(now, party, work, false)
 	}
 }
 
@@ -93,7 +93,7 @@
 // covers notes, before a box's word is taken, whether it tells this box alone.
 func (s *sharing) covers(box string, only bool) {
 	if s.shares != nil {
-		s.shares.Covers(box, only)
+		s.shares.SetCoverage(box, only)
 	}
 }
 
@@ -108,13 +108,13 @@
 // told takes another box's word of its callers.
 func (s *sharing) told(now time.Time, box string, uses []wire.OrganisationUse) {
 	if s.shares != nil {
-		s.shares.Told(now, box, uses)
+		s.shares.Update(now, box, uses)
 	}
 }
 
 // toldSum takes a hub's word of all other boxes' callers.
 func (s *sharing) toldSum(now time.Time, uses []wire.OrganisationUse) {
 	if s.shares != nil {
-		s.shares.ToldSum(now, uses)
+		s.shares.UpdateSum(now, uses)
 	}
 }
