--- a/edge/limits.go
+++ b/edge/limits.go
@@ -174,7 +174,7 @@
 		return
 	}
 	l.parts.Press(now, upstream, l.partRate(perSecond))
-	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, upstream), Goes: true}
+	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Report(now, upstream), Goes: true}
 	go func() { _, _ = l.askKeeper(context.Background(), now, service, ask) }()
 }
 
@@ -212,7 +212,7 @@
 
 // ask asks the keeper, which is returned; empty if it is not heard.
 func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitAsk) (turn ratelimit.Turn, by string) {
-	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, a.Upstream), Urgency: a.Urgency, WaitMs: int(a.Wait.Milliseconds())}
+	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Report(now, a.Upstream), Urgency: a.Urgency, WaitMs: int(a.Wait.Milliseconds())}
 	answer, by := l.askKeeper(ctx, now, a.Service, ask)
 	return ratelimit.Turn{Granted: answer.Granted, In: time.Duration(answer.InMs) * time.Millisecond}, by
 }
@@ -246,7 +246,7 @@
 func (l *limiter) AllowFor(ask wire.AllowAsk) wire.AllowAnswer {
 	l.timer.Check()
 	now := time.Now()
-	l.limits.Told(now, []wire.UpstreamLimit{ask.Limit}, false)
+	l.limits.Update(now, []wire.UpstreamLimit{ask.Limit}, false)
 	id := ask.Limit.Upstream
 	perSecond, _, limited := l.limits.Of(now, id)
 	if !limited { // it takes all again
@@ -314,7 +314,7 @@
 
 // hearLimits takes a hub's word.
 func (e *Edge) hearLimits(now time.Time, a wire.GossipAnswer) {
-	e.limits.Told(now, a.Limits, true)
+	e.limits.Update(now, a.Limits, true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	m := e.known[a.Sender.Box]
--- a/edge/limits_bench_test.go
+++ b/edge/limits_bench_test.go
@@ -56,7 +56,7 @@
 		now = now.Add(time.Second)
 		for i := range limited {
 			at, u := c.all[random.IntN(len(c.all))], fleet.Upstream{ID: fmt.Sprintf("i-%010d", i)}
-			at.limits.Heard(now, now, u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 10 + 10*random.Float64()}, true)
+			at.limits.Observe(now, now, u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 10 + 10*random.Float64()}, true)
 		}
 	}
 }
@@ -66,8 +66,8 @@
 func BenchmarkAsk(b *testing.B) {
 	e := newCrowd(b, 350, 13, 0).all[0]
 	u := fleet.Upstream{ID: "i-04608fde89"}
-	e.limits.Heard(time.Now(), time.Now(), u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 16}, true)
-	ask := wire.AllowAsk{Box: "front-sighthill-2", Limit: e.limits.Word(time.Now(), u.ID), Urgency: 1}
+	e.limits.Observe(time.Now(), time.Now(), u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 16}, true)
+	ask := wire.AllowAsk{Box: "front-sighthill-2", Limit: e.limits.Report(time.Now(), u.ID), Urgency: 1}
 	size := encoded(b, ask) + encoded(b, wire.AllowAnswer{Granted: true, InMs: 20})
 	for b.Loop() {
 		e.AllowFor(ask)
--- a/edge/limits_strikes_test.go
+++ b/edge/limits_strikes_test.go
@@ -329,11 +329,11 @@
 				c := w.crowd
 				at := c.all[len(c.all)-1]
 				u, _ := at.fleet.Get("e1")
-				at.limits.Heard(time.Now(), time.Now(), u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}, true)
+				at.limits.Observe(time.Now(), time.Now(), u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}, true)
 				tt.meanwhile(ctx, t, c, at)
 				t.Log("all know it after", c.until(t, "knows the limit", contact, func(e *Edge) bool { return len(e.limits.All()) == 1 }))
 				time.Sleep(time.Second)
-				at.limits.Heard(time.Now(), time.Now(), u, exchange.Limit{}, true)
+				at.limits.Observe(time.Now(), time.Now(), u, exchange.Limit{}, true)
 				t.Log("that it has ended after", c.until(t, "knows that it has ended", contact, func(e *Edge) bool { return len(e.limits.All()) == 0 }))
 				w.stop(end)
 			})
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -57,7 +57,7 @@
 
 // Limits takes what upstreams say that they take.
 type Limits interface {
-	Heard(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool)
+	Observe(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool)
 }
 
 // Reports reads an upstream's own word.
@@ -121,7 +121,7 @@
 		word.Born = 0 // only the answer's head holds
 	}
 	w.rests.Asked(time.Now(), u, word.Rest)
-	w.limits.Heard(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
+	w.limits.Observe(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
 	w.fleet.Started(time.Now(), u.ID, word.Born, sourceReport)
 	if word.Leaves {
 		w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Said: true, Born: cmp.Or(word.Born, u.Born)}, sourceReport)
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -41,7 +41,7 @@
 	whole bool
 }
 
-func (h *heard) Heard(_, _ time.Time, _ fleet.Upstream, said exchange.Limit, whole bool) {
+func (h *heard) Observe(_, _ time.Time, _ fleet.Upstream, said exchange.Limit, whole bool) {
 	h.said, h.whole = said, whole
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -475,7 +475,7 @@
 func (r *Relay) headCame(j *job, u fleet.Upstream, sent time.Time, answer *exchange.Answer) {
 	if answer.Status != http.StatusMisdirectedRequest { // that is another upstream's
 		now := time.Now()
-		r.Limits.Heard(now, sent, u, answer.Limit, answer.Whole && !answer.NotRun)
+		r.Limits.Observe(now, sent, u, answer.Limit, answer.Whole && !answer.NotRun)
 		r.heardLeaving(now, j, u, answer)
 		if answer.Rest > 0 {
 			r.Rest.Asked(now, u, answer.Rest)
--- a/upstreamlimits/peers.go
+++ b/upstreamlimits/peers.go
@@ -48,8 +48,8 @@
 	return list, l.changes
 }
 
-// Word returns what is known of one upstream.
-func (l *Tracker) Word(now time.Time, upstream string) wire.UpstreamLimit {
+// Report returns what is known of one upstream.
+func (l *Tracker) Report(now time.Time, upstream string) wire.UpstreamLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	have, ok := l.list[upstream]
@@ -67,8 +67,8 @@
 	return w
 }
 
-// Told takes what a hub, or another box, knows, with ages as of now at the latest.
-func (l *Tracker) Told(now time.Time, list []wire.UpstreamLimit, hub bool) {
+// Update takes what a hub, or another box, knows, with ages as of now at the latest.
+func (l *Tracker) Update(now time.Time, list []wire.UpstreamLimit, hub bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	source := fromPeer
--- a/upstreamlimits/upstreamlimits.go
+++ b/upstreamlimits/upstreamlimits.go
@@ -133,10 +133,10 @@
 	return list
 }
 
-// Heard takes what an upstream says in an answer to a request that was sent at a time.
+// Observe takes what an upstream says in an answer to a request that was sent at a time.
 // One that has not run the request, or whose answer may be another's (whole is false),
 // may leave out what still holds; so may one that was asked before it named its limit.
-func (l *Tracker) Heard(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool) {
+func (l *Tracker) Observe(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool) {
 	if l == nil {
 		return
 	}
--- a/upstreamlimits/upstreamlimits_test.go
+++ b/upstreamlimits/upstreamlimits_test.go
@@ -64,7 +64,7 @@
 			began := time.Now()
 			at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 			for _, h := range tt.heads {
-				l.Heard(at(h.came), at(h.sent), fleet.Upstream{ID: "u", Born: h.born}, h.said, h.whole)
+				l.Observe(at(h.came), at(h.sent), fleet.Upstream{ID: "u", Born: h.born}, h.said, h.whole)
 			}
 			perSecond, _, limited := l.Of(at(40).Add(easesFor), "u")
 			is.Equal(perSecond, tt.holds)
@@ -104,9 +104,9 @@
 		t.Run(name, func(t *testing.T) {
 			l, _ := box()
 			now := time.Now()
-			l.Told(now, tt.has[:min(1, len(tt.has))], false)
-			l.Told(now, tt.has[min(1, len(tt.has)):], false)
-			l.Told(now, []wire.UpstreamLimit{tt.told}, false)
+			l.Update(now, tt.has[:min(1, len(tt.has))], false)
+			l.Update(now, tt.has[min(1, len(tt.has)):], false)
+			l.Update(now, []wire.UpstreamLimit{tt.told}, false)
 			perSecond, _, _ := l.Of(now.Add(easesFor), "u")
 			is.New(t).Equal(perSecond, tt.holds)
 		})
@@ -119,9 +119,9 @@
 	a, _ := box()
 	b, _ := box()
 	now := time.Now()
-	a.Heard(now, now, fleet.Upstream{ID: "u"}, named(2), true)
-	b.Heard(now.Add(300*time.Millisecond), now, fleet.Upstream{ID: "u"}, named(5), true)
-	b.Heard(now, now, fleet.Upstream{ID: "v"}, named(1), true)
+	a.Observe(now, now, fleet.Upstream{ID: "u"}, named(2), true)
+	b.Observe(now.Add(300*time.Millisecond), now, fleet.Upstream{ID: "u"}, named(5), true)
+	b.Observe(now, now, fleet.Upstream{ID: "v"}, named(1), true)
 	afterA, afterB := 0, 0
 	told := 0
 	for range 10 {
@@ -129,10 +129,10 @@
 		var list []wire.UpstreamLimit
 		list, afterA = a.Since(now, afterA, true)
 		told = len(list)
-		b.Told(now.Add(100*time.Millisecond), list, true)
+		b.Update(now.Add(100*time.Millisecond), list, true)
 		list, afterB = b.Since(now, afterB, true)
 		told += len(list)
-		a.Told(now.Add(100*time.Millisecond), list, true)
+		a.Update(now.Add(100*time.Millisecond), list, true)
 	}
 	is.Equal(told, 0)
 	is.Equal(a.All(), []string{"u", "v"})
@@ -144,9 +144,9 @@
 	is := is.New(t)
 	l, _ := box()
 	began := time.Now()
-	l.Heard(began, began, fleet.Upstream{ID: "u"}, named(2), true)
+	l.Observe(began, began, fleet.Upstream{ID: "u"}, named(2), true)
 	ended := began.Add(time.Second)
-	l.Heard(ended, began.Add(time.Millisecond), fleet.Upstream{ID: "u"}, exchange.Limit{}, true)
+	l.Observe(ended, began.Add(time.Millisecond), fleet.Upstream{ID: "u"}, exchange.Limit{}, true)
 	for after, want := range map[time.Duration]float64{0: 6, 100 * time.Millisecond: 12, 400 * time.Millisecond: 96} {
 		perSecond, _, limited := l.Of(ended.Add(after), "u")
 		is.True(limited && math.Abs(perSecond-want) < 0.01)
@@ -162,7 +162,7 @@
 	l, c := box()
 	now := time.Now()
 	for i := range 1000 {
-		l.Heard(now.Add(time.Duration(i)*10*time.Millisecond), now, fleet.Upstream{ID: "u"}, named(10+float64(i%3)), true)
+		l.Observe(now.Add(time.Duration(i)*10*time.Millisecond), now, fleet.Upstream{ID: "u"}, named(10+float64(i%3)), true)
 	}
 	is.True(c[Changed] <= 5) // one each two seconds
 	rough, _ := l.Since(now, 1, false)
@@ -170,10 +170,10 @@
 	_, last := l.Since(now, 0, false)
 	rough, _ = l.Since(now, last, false)
 	is.Equal(len(rough), 0) // other boxes are told of nothing that small
-	l.Heard(now.Add(10*time.Second), now, fleet.Upstream{ID: "u"}, named(1), true)
-	is.Equal(l.Word(now.Add(10*time.Second), "u").PerSecond, 1.0)
+	l.Observe(now.Add(10*time.Second), now, fleet.Upstream{ID: "u"}, named(1), true)
+	is.Equal(l.Report(now.Add(10*time.Second), "u").PerSecond, 1.0)
 	for i := range 2 * tellMost {
-		l.Heard(now, now, fleet.Upstream{ID: fmt.Sprint(i)}, named(1), true)
+		l.Observe(now, now, fleet.Upstream{ID: fmt.Sprint(i)}, named(1), true)
 	}
 	first, last := l.Since(now, 0, true)
 	is.Equal(len(first), tellMost)
@@ -189,16 +189,16 @@
 	l, c := box()
 	now := time.Now()
 	for _, id := range []string{"ends", "gone", "stays", "starts"} {
-		l.Heard(now, now, fleet.Upstream{ID: id}, named(1), true)
+		l.Observe(now, now, fleet.Upstream{ID: id}, named(1), true)
 	}
-	l.Heard(now.Add(2*time.Second), now.Add(time.Second), fleet.Upstream{ID: "ends"}, exchange.Limit{}, true)
+	l.Observe(now.Add(2*time.Second), now.Add(time.Second), fleet.Upstream{ID: "ends"}, exchange.Limit{}, true)
 	l.Forget("starts")
 	l.Tick(now.Add(2*endedFor), func(id string) bool { return id == "stays" })
 	is.Equal(l.All(), []string{"stays"})
 	is.Equal(len(l.list), 1)
 	is.Equal(c[Ended], 1)
 	l.Older(time.Minute)
-	is.True(l.Word(now, "stays").AgeMs >= 60_000)
+	is.True(l.Report(now, "stays").AgeMs >= 60_000)
 }
 
 // BenchmarkMemory is what the limits of 2,200 upstreams take of a box.
@@ -208,7 +208,7 @@
 	for b.Loop() {
 		l, _ := box()
 		for i := range 2200 {
-			l.Heard(now, now, fleet.Upstream{ID: fmt.Sprint("i-0000000", i)}, named(16), true)
+			l.Observe(now, now, fleet.Upstream{ID: fmt.Sprint("i-0000000", i)}, named(16), true)
 		}
 	}
 }
