--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -48,7 +48,7 @@
 
 // Counter counts changes.
 type Counter interface {
-	Rested(change string)
+	BackoffChanged(change string)
 }
 
 // span is one upstream's rest.
@@ -92,8 +92,8 @@
 // none tells, without a lock, whether there is no rest at all.
 func (r *Tracker) none() bool { return r == nil || r.count.Load() == 0 }
 
-// Asked takes an upstream's word that it wants nothing for a time.
-func (r *Tracker) Asked(now time.Time, u fleet.Upstream, d time.Duration) {
+// Requested takes an upstream's word that it wants nothing for a time.
+func (r *Tracker) Requested(now time.Time, u fleet.Upstream, d time.Duration) {
 	if r == nil || d <= 0 {
 		return
 	}
@@ -153,9 +153,9 @@
 	return s.wait(now)
 }
 
-// Without returns the upstreams of a list to which something may go. The list is not
+// Available returns the upstreams of a list to which something may go. The list is not
 // changed.
-func (r *Tracker) Without(now time.Time, list []fleet.Upstream) []fleet.Upstream {
+func (r *Tracker) Available(now time.Time, list []fleet.Upstream) []fleet.Upstream {
 	if r.none() {
 		return list
 	}
@@ -190,9 +190,9 @@
 	return true
 }
 
-// MayExcept tells whether what can go nowhere else may go to an upstream: where it rests, as
+// AllowException tells whether what can go nowhere else may go to an upstream: where it rests, as
 // long as there are few exceptions.
-func (r *Tracker) MayExcept(now time.Time, upstream string) bool {
+func (r *Tracker) AllowException(now time.Time, upstream string) bool {
 	if r.none() {
 		return true
 	}
@@ -228,8 +228,8 @@
 	return names[:min(len(names), namesMost)]
 }
 
-// Back returns when a caller is to come back that would have to wait so long.
-func (r *Tracker) Back(wait time.Duration) time.Duration {
+// RetryAfter returns when a caller is to come back that would have to wait so long.
+func (r *Tracker) RetryAfter(wait time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return wait + time.Duration(r.random.Int64N(int64(wait/backPart)+1))
@@ -286,6 +286,6 @@
 }
 
 func (r *Tracker) note(change, upstream string, fields logrus.Fields) {
-	r.counter.Rested(change)
+	r.counter.BackoffChanged(change)
 	r.log.WithFields(fields).WithFields(logrus.Fields{"upstream": upstream, "change": change}).Info("upstream_rest")
 }
--- a/backoff/backoff_test.go
+++ b/backoff/backoff_test.go
@@ -15,8 +15,8 @@
 
 type counts map[string]int
 
-// Rested implements Counter.
-func (c counts) Rested(change string) { c[change]++ }
+// BackoffChanged implements Counter.
+func (c counts) BackoffChanged(change string) { c[change]++ }
 
 func box() (*Tracker, counts) {
 	c := counts{}
@@ -62,7 +62,7 @@
 			for _, w := range tt.words {
 				u := fleet.Upstream{ID: "u", Service: "s", Born: w.born}
 				if w.rest > 0 {
-					r.Asked(ms(w.at), u, time.Duration(w.rest)*time.Millisecond)
+					r.Requested(ms(w.at), u, time.Duration(w.rest)*time.Millisecond)
 				} else {
 					r.Answered(ms(w.at), ms(w.sent), u)
 				}
@@ -92,7 +92,7 @@
 		"not answered yet":        {func(*Tracker, time.Time, time.Time) {}, 100 * time.Millisecond, false},
 		"lost":                    {func(*Tracker, time.Time, time.Time) {}, trialTime, true},
 		"answered":                {func(r *Tracker, now, sent time.Time) { r.Answered(now, sent, u) }, 100 * time.Millisecond, true},
-		"turned away with a rest": {func(r *Tracker, now, _ time.Time) { r.Asked(now, u, time.Second) }, 100 * time.Millisecond, false},
+		"turned away with a rest": {func(r *Tracker, now, _ time.Time) { r.Requested(now, u, time.Second) }, 100 * time.Millisecond, false},
 		"an old answer":           {func(r *Tracker, now, sent time.Time) { r.Answered(now, sent.Add(-5*time.Second), u) }, 100 * time.Millisecond, false},
 	}
 	for name, tt := range tests {
@@ -100,7 +100,7 @@
 			is := is.New(t)
 			r, _ := box()
 			now := time.Now()
-			r.Asked(now, u, time.Second)
+			r.Requested(now, u, time.Second)
 			now = now.Add(3 * time.Second)
 			is.True(r.MaySend(now, "u"))
 			is.True(!r.MaySend(now, "u"))
@@ -117,13 +117,13 @@
 	r, c := box()
 	now := time.Now()
 	u := fleet.Upstream{ID: "u"}
-	is.True(r.MayExcept(now, "u"))
-	r.Asked(now, u, time.Minute)
-	is.True(r.MayExcept(now, "u"))
-	r.Asked(now.Add(time.Second), u, 2*time.Minute) // the first is not over
-	is.True(r.MayExcept(now.Add(time.Second), "u"))
-	is.True(!r.MayExcept(now.Add(time.Second), "u"))
-	is.True(r.MayExcept(now.Add(time.Hour), "u"))
+	is.True(r.AllowException(now, "u"))
+	r.Requested(now, u, time.Minute)
+	is.True(r.AllowException(now, "u"))
+	r.Requested(now.Add(time.Second), u, 2*time.Minute) // the first is not over
+	is.True(r.AllowException(now.Add(time.Second), "u"))
+	is.True(!r.AllowException(now.Add(time.Second), "u"))
+	is.True(r.AllowException(now.Add(time.Hour), "u"))
 	is.Equal(c[Excepted], 2)
 }
 
@@ -136,7 +136,7 @@
 	now := time.Now()
 	for i := range uint64(boxes) {
 		r := New(rand.New(rand.NewPCG(i, 8)), counts{}, logs.New(io.Discard, "error", "b"))
-		r.Asked(now, fleet.Upstream{ID: "u"}, 8*time.Second)
+		r.Requested(now, fleet.Upstream{ID: "u"}, 8*time.Second)
 		wait := r.Wait(now, "u") - 8*time.Second
 		is.True(wait >= 0 && wait <= spreadMost)
 		tenths[wait.Milliseconds()/100]++
@@ -153,14 +153,14 @@
 	r, c := box()
 	now := time.Now()
 	for _, id := range []string{"ends", "starts", "stays"} {
-		r.Asked(now, fleet.Upstream{ID: id}, 10*time.Second)
+		r.Requested(now, fleet.Upstream{ID: id}, 10*time.Second)
 	}
 	r.Forget("starts")
 	is.Equal(r.Wait(now, "starts"), time.Duration(0))
 	r.Older(4 * time.Second)
 	is.True(r.Wait(now, "ends") >= 6*time.Second)
 	is.True(r.Wait(now, "ends") <= 7*time.Second)
-	r.Asked(now, fleet.Upstream{ID: "stays"}, time.Hour)
+	r.Requested(now, fleet.Upstream{ID: "stays"}, time.Hour)
 	r.Tick(now.Add(2 * time.Minute))
 	is.Equal(len(r.View(now)), 1)
 	is.Equal(r.View(now)[0].Upstream, "stays")
@@ -172,10 +172,10 @@
 func TestNone(t *testing.T) {
 	is := is.New(t)
 	var none *Tracker
-	none.Asked(time.Now(), fleet.Upstream{ID: "u"}, time.Minute)
+	none.Requested(time.Now(), fleet.Upstream{ID: "u"}, time.Minute)
 	none.Answered(time.Now(), time.Now(), fleet.Upstream{ID: "u"})
 	is.True(none.MaySend(time.Now(), "u"))
-	is.True(none.MayExcept(time.Now(), "u"))
+	is.True(none.AllowException(time.Now(), "u"))
 	is.Equal(none.Wait(time.Now(), "u"), time.Duration(0))
 	is.Equal(len(none.Names(time.Now(), "s")), 0)
 	none.Tick(time.Now())
@@ -186,7 +186,7 @@
 	r, _ := box()
 	now := time.Now()
 	for i := range 1000 {
-		r.Asked(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
+		r.Requested(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
 	}
 	is.New(t).Equal(len(r.Names(now, "s")), namesMost)
 }
@@ -198,14 +198,14 @@
 			r, _ := box()
 			now := time.Now()
 			for i := range resting {
-				r.Asked(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
+				r.Requested(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
 			}
 			var list []fleet.Upstream
 			for i := range 1000 {
 				list = append(list, fleet.Upstream{ID: fmt.Sprint("v", i), Service: "s"})
 			}
 			for b.Loop() {
-				r.Without(now, list)
+				r.Available(now, list)
 				r.MaySend(now, "other")
 			}
 		})
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -315,8 +315,8 @@
 	m.allowed.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// Rested counts a change of a rest that an upstream asked this box for.
-func (m *Metrics) Rested(change string) {
+// BackoffChanged counts a change of a rest that an upstream asked this box for.
+func (m *Metrics) BackoffChanged(change string) {
 	m.rests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", change)))
 }
 
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -220,7 +220,7 @@
 func (c *Picker) candidates(now time.Time, w Want) []fleet.Upstream {
 	list := c.Fleet.Serving(w.Service.Name)
 	if w.Own {
-		list = c.Rest.Without(now, list)
+		list = c.Rest.Available(now, list)
 	}
 	if w.Sample && len(list) > sampleAbove {
 		list = c.sampleByHall(list, w.Hall)
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -51,7 +51,7 @@
 
 // Rests knows who has asked this box for rest.
 type Rests interface {
-	Asked(now time.Time, u fleet.Upstream, d time.Duration)
+	Requested(now time.Time, u fleet.Upstream, d time.Duration)
 	Wait(now time.Time, upstream string) time.Duration
 }
 
@@ -120,7 +120,7 @@
 		w.log.WithError(err).WithField("upstream", u.ID).Debug("report_not_read")
 		word.Born = 0 // only the answer's head holds
 	}
-	w.rests.Asked(time.Now(), u, word.Rest)
+	w.rests.Requested(time.Now(), u, word.Rest)
 	w.limits.Observe(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
 	w.fleet.Started(time.Now(), u.ID, word.Born, sourceReport)
 	if word.Leaves {
--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -26,7 +26,7 @@
 	log := j.log.WithFields(logrus.Fields{"upstream": upstream, "in_ms": wait.Milliseconds(), "worth_ms": worth.Milliseconds()})
 	if wait > worth {
 		log.Info("rest_refused")
-		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" have asked for rest").WithRetryAfter(r.Rest.Back(wait))
+		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" have asked for rest").WithRetryAfter(r.Rest.RetryAfter(wait))
 	}
 	log.Info("rest_awaited")
 	if !r.waitFor(ctx, wait) {
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -27,7 +27,7 @@
 func (w *world) asks(service string, count int, d time.Duration) {
 	for i := range count {
 		u, _ := w.fleet.Get(fmt.Sprint(service, i))
-		w.relay.Rest.Asked(time.Now(), u, d)
+		w.relay.Rest.Requested(time.Now(), u, d)
 	}
 }
 
@@ -111,7 +111,7 @@
 		is := is.New(t)
 		w := newWorld(t, reply{events: []int{0}})
 		rests := w.rested()
-		w.relay.Admitter = &placed{fleet: w.fleet, news: func(u fleet.Upstream) { rests.Asked(time.Now(), u, time.Minute) }}
+		w.relay.Admitter = &placed{fleet: w.fleet, news: func(u fleet.Upstream) { rests.Requested(time.Now(), u, time.Minute) }}
 		c := w.serve(t.Context(), "/draft/")
 		is.Equal(c.body.String(), "0;")
 		is.Equal(len(w.sender.sends), 1)
--- a/relay/broke.go
+++ b/relay/broke.go
@@ -25,7 +25,7 @@
 	}
 	now := time.Now()
 	engine, found := j.service.Engine != nil, liveness.Unknown
-	if !engine || r.Rest.MayExcept(now, s.upstream.ID) { // a look at an engine is a request
+	if !engine || r.Rest.AllowException(now, s.upstream.ID) { // a look at an engine is a request
 		found = r.Liveness.Look(ctx, s.upstream, engine)
 	}
 	r.Metrics.Broke(found)
--- a/relay/check.go
+++ b/relay/check.go
@@ -33,7 +33,7 @@
 	}
 	may := r.Rest.MaySend
 	if from != nil {
-		may = r.Rest.MayExcept
+		may = r.Rest.AllowException
 	}
 	if !may(time.Now(), u.ID) {
 		return &exchange.FailedError{NotSent: true, Err: &RestingError{Upstream: u.ID}}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -478,7 +478,7 @@
 		r.Limits.Observe(now, sent, u, answer.Limit, answer.Whole && !answer.NotRun)
 		r.heardLeaving(now, j, u, answer)
 		if answer.Rest > 0 {
-			r.Rest.Asked(now, u, answer.Rest)
+			r.Rest.Requested(now, u, answer.Rest)
 		} else {
 			r.Rest.Answered(now, sent, u)
 		}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -674,9 +674,9 @@
 		w.fleet.CloseHall(time.Now().Add(-m.closed), "leith")
 	}
 	if m.broken > 0 {
-		w.rested().Asked(time.Now(), fleet.Upstream{ID: "llm3", Service: "llm"}, time.Minute)
+		w.rested().Requested(time.Now(), fleet.Upstream{ID: "llm3", Service: "llm"}, time.Minute)
 		for range m.broken - 1 {
-			is.True(w.relay.Rest.MayExcept(time.Now(), "llm3"))
+			is.True(w.relay.Rest.AllowException(time.Now(), "llm3"))
 		}
 	}
 	c := w.serve(t.Context(), "/draft/")
