--- a/picker/picker.go
+++ b/picker/picker.go
@@ -167,11 +167,11 @@
 // moves there is not held: turns give an upstream one copy at a time, and the run
 // would be lost.
 func (c *Picker) held(now time.Time, w Want, u fleet.Upstream) bool {
-	return c.Warmup != nil && now.Before(u.Cold) && !w.Moves && !c.Warmup.May(now, u.ID, c.limit(w.Service))
+	return c.Warmup != nil && now.Before(u.Cold) && !w.Moves && !c.Warmup.MaySend(now, u.ID, c.limit(w.Service))
 }
 
 func (c *Picker) limit(s route.Service) warmup.Limit {
-	return warmup.Limit{PerSecond: s.ColdPerSecond, Part: c.Part(s)}
+	return warmup.Limit{PerSecond: s.ColdPerSecond, Allocation: c.Part(s)}
 }
 
 // Ranked returns the upstreams that were weighed, the one with the most room
--- a/warmup/warmup.go
+++ b/warmup/warmup.go
@@ -25,8 +25,8 @@
 
 // Limit is what an upstream bears while it is cold. Values are immutable.
 type Limit struct {
-	PerSecond float64 // requests of all boxes together; 0 for no bound
-	Part      float64 // of them that this box may send
+	PerSecond  float64 // requests of all boxes together; 0 for no bound
+	Allocation float64 // of them that this box may send
 }
 
 type allowance struct {
@@ -46,8 +46,8 @@
 	return &Warmup{random: random, slots: map[string]*allowance{}}
 }
 
-// May tells whether one more request may go to a cold upstream now.
-func (w *Warmup) May(now time.Time, upstream string, l Limit) bool {
+// MaySend tells whether one more request may go to a cold upstream now.
+func (w *Warmup) MaySend(now time.Time, upstream string, l Limit) bool {
 	if l.PerSecond <= 0 {
 		return true
 	}
@@ -92,7 +92,7 @@
 // draw returns how many requests a slot allows: the box's part, rounded at random
 // so that the boxes' sum is right in the mean.
 func (w *Warmup) draw(l Limit) int {
-	whole, part := math.Modf(used * l.PerSecond * l.Part)
+	whole, part := math.Modf(used * l.PerSecond * l.Allocation)
 	if w.random.Float64() < part {
 		whole++
 	}
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -21,7 +21,7 @@
 func press(boxes int, part float64, seed uint64) (most int, mean float64) {
 	const lasts, every = 10 * time.Second, 20 * time.Millisecond
 	began := time.Now()
-	l := warmup.Limit{PerSecond: 20, Part: part}
+	l := warmup.Limit{PerSecond: 20, Allocation: part}
 	all := make([]*warmup.Warmup, boxes)
 	for i := range all {
 		all[i] = warmup.New(rand.New(rand.NewPCG(seed, uint64(i))))
@@ -29,7 +29,7 @@
 	var sent []time.Duration
 	for at := time.Duration(0); at < lasts; at += every {
 		for _, w := range all {
-			for now := began.Add(at); w.May(now, "u", l); {
+			for now := began.Add(at); w.MaySend(now, "u", l); {
 				w.Sent(now, "u", l)
 				sent = append(sent, at)
 			}
@@ -69,18 +69,18 @@
 
 // TestSlots follows one box's allowance for one upstream.
 func TestSlots(t *testing.T) {
-	l := warmup.Limit{PerSecond: 4, Part: 1} // two a slot
+	l := warmup.Limit{PerSecond: 4, Allocation: 1} // two a slot
 	now := time.Now()
 	is := is.New(t)
 	w := warmup.New(rand.New(rand.NewPCG(1, 1)))
 	for range 2 {
-		is.True(w.May(now, "u", l))
+		is.True(w.MaySend(now, "u", l))
 		w.Sent(now, "u", l)
 	}
-	is.True(!w.May(now, "u", l))
-	is.True(w.May(now, "other", l))
-	is.True(w.May(now.Add(time.Second), "u", l))
-	is.True(w.May(now, "u", warmup.Limit{})) // no bound
+	is.True(!w.MaySend(now, "u", l))
+	is.True(w.MaySend(now, "other", l))
+	is.True(w.MaySend(now.Add(time.Second), "u", l))
+	is.True(w.MaySend(now, "u", warmup.Limit{})) // no bound
 	for i := range 100 {
 		w.Sent(now.Add(time.Duration(i)*time.Minute), fmt.Sprint("u", i), l) // none is kept for long
 	}
