--- a/prefill/prefill.go
+++ b/prefill/prefill.go
@@ -30,9 +30,9 @@
 	return &Prefill{tokens: guess * guessWeight.Seconds(), took: guessWeight.Seconds()}
 }
 
-// Read notes that so many tokens, a prompt's and those before it, were read in a
+// Observe notes that so many tokens, a prompt's and those before it, were read in a
 // time.
-func (p *Prefill) Read(tokens int, took time.Duration) {
+func (p *Prefill) Observe(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
--- a/prefill/prefill_test.go
+++ b/prefill/prefill_test.go
@@ -26,7 +26,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := prefill.New()
 			for range 200 {
-				p.Read(tt.tokens, tt.took)
+				p.Observe(tt.tokens, tt.took)
 			}
 			got := p.Time(1000)
 			is.New(t).True(got > tt.want*95/100 && got < tt.want*105/100)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -235,7 +235,7 @@
 	f.sent.hung.Stop()
 	if f.count == 0 {
 		f.sent.entry.Started()
-		r.Prefill.Read(f.sent.alone, now.Sub(f.sent.began))
+		r.Prefill.Observe(f.sent.alone, now.Sub(f.sent.began))
 		r.Speeds.RecordPrefill(now, f.sent.upstream, f.sent.alone, now.Sub(f.sent.began))
 	}
 	f.count++
