--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -69,7 +69,7 @@
 	peers     *peer.Peers
 	spread    *broadcast.Broadcaster
 
-	lengths *outputlen.Lengths
+	lengths *outputlen.Estimator
 	loads   *engineload.Tracker
 	health  *health.Health
 	quota   *quota.Quota
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -67,7 +67,7 @@
 	Engines   Engines
 	Loads     *engineload.Tracker
 	Health    *health.Health
-	Lengths   *outputlen.Lengths
+	Lengths   *outputlen.Estimator
 	Quota     *quota.Quota
 	Budget    *retry.Budget
 	Flights   *inflight.Tracker
--- a/inflight/inflight.go
+++ b/inflight/inflight.go
@@ -62,7 +62,7 @@
 type Tracker struct {
 	mu       sync.Mutex
 	homes    Homes
-	lengths  *outputlen.Lengths
+	lengths  *outputlen.Estimator
 	engines  Canceller
 	comeback time.Duration
 	all      map[string]*Generation
@@ -70,7 +70,7 @@
 }
 
 // New returns an empty registry; callers have comeback to take their streams up.
-func New(homes Homes, lengths *outputlen.Lengths, engines Canceller, comeback time.Duration) *Tracker {
+func New(homes Homes, lengths *outputlen.Estimator, engines Canceller, comeback time.Duration) *Tracker {
 	return &Tracker{homes: homes, lengths: lengths, engines: engines, comeback: comeback, all: map[string]*Generation{}}
 }
 
--- a/outputlen/outputlen.go
+++ b/outputlen/outputlen.go
@@ -48,18 +48,18 @@
 	curve   *survival.Curve
 }
 
-// Lengths is the learned knowledge of one box. It is safe for use by several
+// Estimator is the learned knowledge of one box. It is safe for use by several
 // goroutines.
-type Lengths struct {
+type Estimator struct {
 	mu     sync.Mutex
 	groups map[Key]*group
 }
 
 // New returns an estimator that knows nothing.
-func New() *Lengths { return &Lengths{groups: map[Key]*group{}} }
+func New() *Estimator { return &Estimator{groups: map[Key]*group{}} }
 
 // Progress tells that a generation grew from so many tokens to so many.
-func (l *Lengths) Progress(k Key, from, to int) {
+func (l *Estimator) Progress(k Key, from, to int) {
 	first, last := survival.RangeOf(from), survival.RangeOf(to)
 	if first == last {
 		return
@@ -76,7 +76,7 @@
 
 // End tells that a generation ended after so many tokens; Progress has told
 // of the way up to there. A cut generation would have gone on.
-func (l *Lengths) End(k Key, at int, cut bool) {
+func (l *Estimator) End(k Key, at int, cut bool) {
 	r := survival.RangeOf(at)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,27 +95,27 @@
 }
 
 // Curve returns the survival curve of a group. It is not changed afterwards.
-func (l *Lengths) Curve(k Key) *survival.Curve {
+func (l *Estimator) Curve(k Key) *survival.Curve {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.curveOf(k)
 }
 
-// Left returns how many tokens a generation that has made so many is expected to
+// Remaining returns how many tokens a generation that has made so many is expected to
 // make yet, up to its limit; 0 stands for none.
-func (l *Lengths) Left(k Key, made, most int) int {
+func (l *Estimator) Remaining(k Key, made, most int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if most <= 0 {
 		most = made + noLimit
 	}
 	weight, unknown := l.believed(k), float64(max(most-made, 0))/2
-	return max(int(weight*l.curveOf(k).RestUpTo(made, most)+(1-weight)*unknown), 1)
+	return max(int(weight*l.curveOf(k).RemainingUpTo(made, most)+(1-weight)*unknown), 1)
 }
 
-// Within returns the chance that a generation of at most so many tokens has no
+// ChanceWithin returns the chance that a generation of at most so many tokens has no
 // more than some.
-func (l *Lengths) Within(k Key, tokens, most int) float64 {
+func (l *Estimator) ChanceWithin(k Key, tokens, most int) float64 {
 	limit := most
 	if limit <= 0 {
 		limit = noLimit
@@ -131,19 +131,19 @@
 
 // believed is how far the curve of a kind counts. While few have ended, one is
 // taken to end anywhere up to its limit.
-func (l *Lengths) believed(k Key) float64 {
+func (l *Estimator) believed(k Key) float64 {
 	ends := l.group(Key{Class: k.Class}).total
 	return ends / (ends + shrink)
 }
 
 // Groups returns how many groups are known.
-func (l *Lengths) Groups() int {
+func (l *Estimator) Groups() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.groups)
 }
 
-func (l *Lengths) curveOf(k Key) *survival.Curve {
+func (l *Estimator) curveOf(k Key) *survival.Curve {
 	g := l.group(k)
 	if g.curve != nil && g.stale < refreshEnds {
 		return g.curve
@@ -166,7 +166,7 @@
 	return g.curve
 }
 
-func (l *Lengths) each(k Key, f func(*group)) {
+func (l *Estimator) each(k Key, f func(*group)) {
 	for {
 		f(l.group(k))
 		wide, ok := k.wider()
@@ -177,7 +177,7 @@
 	}
 }
 
-func (l *Lengths) group(k Key) *group {
+func (l *Estimator) group(k Key) *group {
 	g, ok := l.groups[k]
 	if !ok {
 		g = &group{}
--- a/outputlen/outputlen_test.go
+++ b/outputlen/outputlen_test.go
@@ -17,7 +17,7 @@
 
 // learn draws lengths by the seed and tells the estimator; those longer than
 // cut are cut off there.
-func learn(l *outputlen.Lengths, k outputlen.Key, n int, median float64, cut int) {
+func learn(l *outputlen.Estimator, k outputlen.Key, n int, median float64, cut int) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range n {
 		tokens := int(median * math.Exp(rng.NormFloat64()))
@@ -124,9 +124,9 @@
 	is := is.New(t)
 	l := outputlen.New()
 	k := outputlen.Key{Organisation: "o", Model: "m", Class: "draft"}
-	is.Equal(l.Left(k, 0, 2000), 1000)
-	is.Equal(l.Left(k, 500, 2000), 750)
-	is.Equal(l.Within(k, 500, 2000), 0.25)
+	is.Equal(l.Remaining(k, 0, 2000), 1000)
+	is.Equal(l.Remaining(k, 500, 2000), 750)
+	is.Equal(l.ChanceWithin(k, 500, 2000), 0.25)
 	for range 200 {
 		for _, tokens := range []int{300, 1200} {
 			l.Progress(k, 0, tokens)
@@ -134,10 +134,10 @@
 		}
 	}
 	near := func(got, want, by float64) bool { return got > want-by && got < want+by }
-	is.True(near(float64(l.Left(k, 0, 2000)), 750, 150))
-	is.True(near(float64(l.Left(k, 500, 2000)), 700, 150)) // the short ones have ended
-	is.True(l.Left(k, 1990, 2000) <= 10)
-	is.True(near(l.Within(k, 600, 2000), 0.5, 0.1))
-	is.Equal(l.Within(k, 2000, 2000), 1.0)
-	is.True(l.Left(k, 0, 0) > 0) // one without a limit
+	is.True(near(float64(l.Remaining(k, 0, 2000)), 750, 150))
+	is.True(near(float64(l.Remaining(k, 500, 2000)), 700, 150)) // the short ones have ended
+	is.True(l.Remaining(k, 1990, 2000) <= 10)
+	is.True(near(l.ChanceWithin(k, 600, 2000), 0.5, 0.1))
+	is.Equal(l.ChanceWithin(k, 2000, 2000), 1.0)
+	is.True(l.Remaining(k, 0, 0) > 0) // one without a limit
 }
--- a/outputlen/survival/survival.go
+++ b/outputlen/survival/survival.go
@@ -94,8 +94,8 @@
 // Mean returns the expected length, in tokens.
 func (c *Curve) Mean() float64 { return c.mean }
 
-// Rest returns the expected number of tokens still to come after so many.
-func (c *Curve) Rest(tokens int) float64 {
+// Remaining returns the expected number of tokens still to come after so many.
+func (c *Curve) Remaining(tokens int) float64 {
 	s := c.Survival(tokens)
 	if s < 1e-9 {
 		return float64(max(tokens, 1))
@@ -103,9 +103,9 @@
 	return c.area(tokens) / s
 }
 
-// RestUpTo returns the expected number of tokens still to come after so many, of
+// RemainingUpTo returns the expected number of tokens still to come after so many, of
 // one that ends at a limit at the latest.
-func (c *Curve) RestUpTo(tokens, most int) float64 {
+func (c *Curve) RemainingUpTo(tokens, most int) float64 {
 	s := c.Survival(tokens)
 	if s < 1e-9 || most <= tokens {
 		return math.Min(float64(max(tokens, 1)), float64(max(most-tokens, 0)))
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -77,7 +77,7 @@
 	Rest        *backoff.Tracker        // that upstreams ask for; nil: none is kept
 	Budget      *retry.Budget
 	Runs        *runs.Runs
-	Lengths     *outputlen.Lengths // of answers, in tokens
+	Lengths     *outputlen.Estimator // of answers, in tokens
 	Prefill     *prefill.Prefill
 	Metrics     *metrics.Metrics
 	Stopping    func() (Stop, bool)  // false unless this box is being stopped
@@ -116,7 +116,7 @@
 	log          *logrus.Entry
 	first        time.Duration // to the first event or the whole answer
 	waited       time.Duration // for room
-	lengths      *outputlen.Lengths
+	lengths      *outputlen.Estimator
 	print        fingerprint.Fingerprint
 	ran          atomic.Bool      // it may have been run by an upstream
 	ended        atomic.Bool      // an upstream has ended under its last try
@@ -130,7 +130,7 @@
 }
 
 // left returns how many tokens of the answer are expected once so many were made.
-func (j *job) left(made int) int { return j.lengths.Left(j.kind(), made, j.req.Most) }
+func (j *job) left(made int) int { return j.lengths.Remaining(j.kind(), made, j.req.Most) }
 
 // Serve answers a request.
 func (r *Relay) Serve(ctx context.Context, req *exchange.Request, c exchange.Caller) {
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -44,7 +44,7 @@
 	}
 	pace := cmp.Or(r.Tally.Pace(), paceGuess)
 	events := int((stop.Left - stopSlack - r.Prefill.Time(j.req.Prompt)) / pace)
-	chance := j.lengths.Within(j.kind(), events*j.eventTokens(), j.req.Most)
+	chance := j.lengths.ChanceWithin(j.kind(), events*j.eventTokens(), j.req.Most)
 	if stop.Most {
 		return chance >= stopChanceMost
 	}
