--- a/balance/places/demand.go
+++ b/balance/places/demand.go
@@ -10,76 +10,76 @@
 )
 
 const (
-	// rateOver is over how long requests a second are averaged: a few periods of
-	// gossip, so that what is told is not older than what it tells of.
-	rateOver = time.Second
-	// tellFrom is how many requests a second are worth telling of; fewer take no
-	// place that others would miss.
-	tellFrom = 0.1
-	// forgetBelow is how few requests a second a service is forgotten with: none came
-	// for some twenty seconds, and what was learned of its upstreams is old.
-	forgetBelow = 1e-9
-	// parts is in what parts of a request a second demand is told.
-	parts = 100
+	// rateWindow is the time constant of request rates: a few report intervals, so that
+	// a report is not older than what it covers.
+	rateWindow = time.Second
+	// minReportedRate is the rate, in requests per second, below which a service is not
+	// reported: the other boxes would not notice the difference.
+	minReportedRate = 0.1
+	// forgetRate is the rate, in requests per second, below which a service is dropped.
+	// It is reached about twenty seconds after the last request.
+	forgetRate = 1e-9
+	// rateScale is the number of units per request and second in reports.
+	rateScale = 100
 )
 
-// demand is what boxes are asked for, in requests a second.
+// demand is the demand for a service, in requests per second.
 type demand struct {
-	asked float64
-	known float64 // of these, by boxes that know how long work takes
-	busy  float64 // places that these take
+	requests  float64
+	timed     float64 // the part of requests at boxes that know the service time
+	busySlots float64 // mean number of slots that these occupy
 }
 
-// Plus returns the sum of both.
+// Plus implements peerstate.Sum.
 func (d demand) Plus(o demand) demand {
-	return demand{d.asked + o.asked, d.known + o.known, d.busy + o.busy}
+	return demand{d.requests + o.requests, d.timed + o.timed, d.busySlots + o.busySlots}
 }
 
-// Minus returns the demand without another.
+// Minus implements peerstate.Sum.
 func (d demand) Minus(o demand) demand {
-	return demand{d.asked - o.asked, d.known - o.known, d.busy - o.busy}
+	return demand{d.requests - o.requests, d.timed - o.timed, d.busySlots - o.busySlots}
 }
 
-// work returns how long work takes by the boxes that know; 0 if none does.
-func (d demand) work() time.Duration {
-	if d.known < tellFrom {
+// serviceTime returns the mean service time of the boxes that know it; 0 if none does.
+func (d demand) serviceTime() time.Duration {
+	if d.timed < minReportedRate {
 		return 0
 	}
-	return seconds(d.busy / d.known)
+	return seconds(d.busySlots / d.timed)
 }
 
-func listOf(demands map[string]demand) []wire.ServicePlaces {
+func toWire(demands map[string]demand) []wire.ServicePlaces {
 	list := make([]wire.ServicePlaces, 0, len(demands))
 	for name, d := range demands {
-		list = append(list, wire.ServicePlaces{Service: name, Asked: int(d.asked * parts), Known: int(d.known * parts), Busy: int(d.busy * parts)})
+		list = append(list, wire.ServicePlaces{Service: name, Asked: int(d.requests * rateScale), Known: int(d.timed * rateScale), Busy: int(d.busySlots * rateScale)})
 	}
 	slices.SortFunc(list, func(a, b wire.ServicePlaces) int { return cmp.Compare(a.Service, b.Service) })
 	return list
 }
 
-func demandsOf(list []wire.ServicePlaces) map[string]demand {
+func fromWire(list []wire.ServicePlaces) map[string]demand {
 	demands := make(map[string]demand, len(list))
 	for _, s := range list {
-		demands[s.Service] = demand{float64(s.Asked) / parts, float64(s.Known) / parts, float64(s.Busy) / parts}
+		demands[s.Service] = demand{float64(s.Asked) / rateScale, float64(s.Known) / rateScale, float64(s.Busy) / rateScale}
 	}
 	return demands
 }
 
-// rate counts events, the older the less.
+// rate is an exponentially decaying count of events.
 type rate struct {
 	at    time.Time
 	count float64
 }
 
 func (r *rate) add(now time.Time, n float64) {
-	r.count = r.count*fade(now.Sub(r.at), rateOver) + n
+	r.count = r.count*decay(now.Sub(r.at), rateWindow) + n
 	r.at = now
 }
 
-// a returns how many events there are a second.
-func (r *rate) a(now time.Time) float64 {
-	return r.count * fade(now.Sub(r.at), rateOver) / rateOver.Seconds()
+// perSecond returns the current rate.
+func (r *rate) perSecond(now time.Time) float64 {
+	return r.count * decay(now.Sub(r.at), rateWindow) / rateWindow.Seconds()
 }
 
-// fade is what is left of a count after some time.
-func fade(since, over time.Duration) float64 { return math.Exp(-float64(since) / float64(over)) }
+// decay returns the fraction of a count that is left after some time.
+func decay(since, over time.Duration) float64 { return math.Exp(-float64(since) / float64(over)) }
--- a/balance/places/pick.go
+++ b/balance/places/pick.go
@@ -9,87 +9,90 @@
 )
 
 const (
-	// fullUse is the use of places from which an upstream has no more than leastWeight
-	// of its like; both keep the boxes' answers to old news from growing: one that is
-	// passed by by all is empty when they look again.
-	fullUse     = 1.25
-	leastWeight = 0.2
-	// farFrom and farWhole are from which use of the own hall's places on others are
-	// taken as well, and as much: half of them free keeps requests from waiting, and
-	// bytes between halls are paid for.
-	farFrom  = 0.3
-	farWhole = 0.6
-	// farLeast is the weight of another hall's upstream in calm, so that what this box
-	// knows of it does not grow old.
-	farLeast = 0.02
-	// missingWeight is that of one whose entry has lapsed and that may come back.
+	// fullUtilization is the utilization from which an upstream gets minWeight of its
+	// usual weight. Both dampen the boxes' reaction to outdated reports: an upstream
+	// that all avoid is empty by the next report.
+	fullUtilization = 1.25
+	minWeight       = 0.2
+	// remoteFrom and remoteFull are the utilizations of the box's own hall from which
+	// upstreams of other halls are chosen as well, and as often as local ones. With
+	// half of the local slots free hardly any request waits, and traffic between halls
+	// costs money.
+	remoteFrom = 0.3
+	remoteFull = 0.6
+	// minRemoteWeight is the weight of upstreams of other halls while the own hall has
+	// capacity, so that this box's measurements of them stay recent.
+	minRemoteWeight = 0.02
+	// missingWeight is the weight of an upstream whose entry has expired and which may
+	// return.
 	missingWeight = 0.05
-	// pressFirst is how many times as often as its limit gives one a limited upstream is
-	// asked for at first, if all boxes ask alike. Each ask that is granted makes it
-	// pressMore times as much, each other pressLess times, so that four in ten are
-	// granted: requests come by chance, and with as many asks as there is to give
-	// a tenth would stay unused.
-	pressFirst = 4
-	pressMore  = 3
-	pressLess  = 0.5
-	// pressLeast and pressMost bound that, for boxes whose requests go elsewhere, and for
-	// one that has all the demand for an upstream.
-	pressLeast = 0.5
-	pressMost  = 100
-	// leastAsks is how many times a second all boxes ask for a limited upstream at least,
-	// while it may have something: one that takes next to nothing is else found to take
-	// all again some seconds late.
-	leastAsks = 5
-	// leastRest is the part of all requests that is kept for those that name no limit,
-	// so that each of them is drawn.
-	leastRest = 0.001
-	// coldBack is when to come back where all upstreams are cold, or there is none.
-	coldBack = 500 * time.Millisecond
+	// initialRequestRatio is the initial rate of requests for a limited upstream, as a
+	// multiple of its limit. Each request that the limit admits multiplies the ratio by
+	// grantedFactor, each other by refusedFactor, so that four in ten are admitted:
+	// arrivals are random, and at a ratio of 1 a tenth of the limit would stay unused.
+	initialRequestRatio = 4
+	grantedFactor       = 3
+	refusedFactor       = 0.5
+	// minRequestRatio and maxRequestRatio bound the ratio, for boxes whose requests go
+	// elsewhere and for a box that receives all the demand.
+	minRequestRatio = 0.5
+	maxRequestRatio = 100
+	// minLimitedRate is the minimum rate, in requests per second of all boxes, at which
+	// a limited upstream is tried while its limit is not exhausted. Otherwise a limit
+	// that is lifted would be noticed seconds late.
+	minLimitedRate = 5
+	// minUnlimitedFraction is the fraction of all requests that is left for unlimited
+	// upstreams, so that each of them is chosen sometimes.
+	minUnlimitedFraction = 0.001
+	// coldRetryAfter is the Retry-After where all upstreams are cold, or there is none.
+	coldRetryAfter = 500 * time.Millisecond
 )
 
-// pick draws two upstreams and returns the one with less of this box's requests for
-// its places.
-func (p *Places) pick(now time.Time, ask Request) (picker.Choice, error) {
+// pick draws two upstreams by weight and returns the one with the lower utilization by
+// this box's requests.
+func (p *Places) pick(now time.Time, req Request) (picker.Choice, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.service(now, ask.Want.Service)
-	list := p.Ranker.Ranked(now, ask.Want)
+	s := p.service(now, req.Want.Service)
+	list := p.Ranker.Ranked(now, req.Want)
 	weights, usedUp := p.weights(now, s, list)
 	at := p.draw(weights)
 	switch {
 	case at < 0 && usedUp:
-		return picker.Choice{}, refusal.New(refusal.UpstreamLimited, "upstreams of "+s.service.Name+" take no more for now").WithRetryAfter(leastBack)
+		return picker.Choice{}, refusal.New(refusal.UpstreamLimited, "upstreams of "+s.service.Name+" have exhausted their rate limits").WithRetryAfter(minRetryAfter)
 	case at < 0 && len(list) > 0:
-		return picker.Choice{}, refusal.New(refusal.UpstreamCold, "upstreams of "+s.service.Name+" are cold").WithRetryAfter(coldBack)
+		return picker.Choice{}, refusal.New(refusal.UpstreamCold, "upstreams of "+s.service.Name+" are cold").WithRetryAfter(coldRetryAfter)
 	case at < 0:
-		return picker.Choice{}, refusal.New(refusal.NoUpstream, "no upstream of "+s.service.Name).WithRetryAfter(coldBack)
+		return picker.Choice{}, refusal.New(refusal.NoUpstream, "no upstream of "+s.service.Name).WithRetryAfter(coldRetryAfter)
 	}
-	// Few of a box's requests are at a limited one, which says nothing of how empty it is.
-	if other := p.draw(weights); !p.limited(list[at]) && !p.limited(list[other]) && s.filledBy(list[other]) < s.filledBy(list[at]) {
+	// A box has few requests at a limited upstream, so that its own utilization says
+	// little.
+	if other := p.draw(weights); !p.limited(list[at]) && !p.limited(list[other]) && s.ownUtilization(list[other]) < s.ownUtilization(list[at]) {
 		at = other
 	}
-	s.upstream(list[at].Upstream.ID).own++
+	s.upstream(list[at].Upstream.ID).inFlight++
 	return list[at], nil
 }
 
-// filledBy returns the share of an upstream's places that this box's requests take.
-func (s *service) filledBy(c picker.Choice) float64 {
-	return float64(s.upstream(c.Upstream.ID).own) / float64(max(c.Upstream.Slots, 1))
+// ownUtilization returns the fraction of an upstream's slots in use by this box's
+// requests.
+func (s *service) ownUtilization(c picker.Choice) float64 {
+	return float64(s.upstream(c.Upstream.ID).inFlight) / float64(max(c.Upstream.Slots, 1))
 }
 
-// weights returns how often each upstream is drawn, and whether a limited one has nothing
-// to give for now. A limited one is asked for as often as if it was not, but no more than
-// some times what is given out of its limit (press); the others share the rest.
+// weights returns the weight of each upstream, and whether the limit of one is
+// exhausted. A limited upstream is chosen as often as if it had no limit, but at most
+// at requestRatio times its limit; the other upstreams share the rest.
 func (p *Places) weights(now time.Time, s *service, list []picker.Choice) (weights []float64, usedUp bool) {
 	weights = make([]float64, len(list))
-	parts := make([]float64, len(list)) // limited ones' parts of all requests
-	sum, rest, taken := 0.0, 0.0, 0.0
+	fractions := make([]float64, len(list)) // fraction of all requests for limited upstreams
+	sum, unlimitedSum, limitedSum := 0.0, 0.0, 0.0
 	for i, c := range list {
-		weights[i] = p.weight(now, s, c, s.near)
+		weights[i] = p.weight(now, s, c, s.localUtilization)
 		sum += weights[i]
 		if !p.limited(c) {
-			weights[i] = p.weight(now, s, c, s.nearFree)
-			rest += weights[i]
+			weights[i] = p.weight(now, s, c, s.localUnlimited)
+			unlimitedSum += weights[i]
 		}
 	}
 	for i, c := range list {
@@ -101,38 +104,38 @@
 			weights[i], usedUp = 0, true
 			continue
 		}
-		asks := max(s.upstream(c.Upstream.ID).press*limit, leastAsks)
-		parts[i] = min(weights[i]/sum, asks/max(s.all, tellFrom))
-		taken += parts[i]
+		rate := max(s.upstream(c.Upstream.ID).requestRatio*limit, minLimitedRate)
+		fractions[i] = min(weights[i]/sum, rate/max(s.totalDemand, minReportedRate))
+		limitedSum += fractions[i]
 	}
-	for i, part := range parts {
+	for i, fraction := range fractions {
 		switch {
-		case part == 0:
-		case rest == 0 || taken > 1-leastRest:
-			weights[i] = part
+		case fraction == 0:
+		case unlimitedSum == 0 || limitedSum > 1-minUnlimitedFraction:
+			weights[i] = fraction
 		default:
-			weights[i] = part / (1 - taken) * rest
+			weights[i] = fraction / (1 - limitedSum) * unlimitedSum
 		}
 	}
 	return weights, usedUp
 }
 
-// limited tells whether an upstream names how much it takes.
+// limited reports whether an upstream has a limit.
 func (p *Places) limited(c picker.Choice) bool {
 	_, limited := limitOf(p.Limits, c.Upstream.ID)
 	return limited
 }
 
-// weight is how often an upstream is drawn while so much of the own hall is used.
-func (p *Places) weight(now time.Time, s *service, c picker.Choice, near float64) float64 {
+// weight returns the weight of an upstream at a utilization of the box's own hall.
+func (p *Places) weight(now time.Time, s *service, c picker.Choice, localUse float64) float64 {
 	if c.Held {
 		return 0
 	}
 	u := s.upstream(c.Upstream.ID)
-	sound := 1 - p.Failing(now, c.Upstream.ID)
-	weight := float64(max(c.Upstream.Slots, 1)) * max(fullUse-u.use, leastWeight) * max(sound*sound, leastWeight*leastWeight) / s.slower(u)
+	healthy := 1 - p.Failing(now, c.Upstream.ID)
+	weight := float64(max(c.Upstream.Slots, 1)) * max(fullUtilization-u.utilization, minWeight) * max(healthy*healthy, minWeight*minWeight) / s.slowdown(u)
 	if c.Upstream.Hall != p.Hall {
-		weight *= min(max((near-farFrom)/(farWhole-farFrom), farLeast), 1)
+		weight *= min(max((localUse-remoteFrom)/(remoteFull-remoteFrom), minRemoteWeight), 1)
 	}
 	if c.Upstream.State == fleet.Missing {
 		weight *= missingWeight
@@ -140,7 +143,7 @@
 	return weight
 }
 
-// draw draws one by weight; below 0 if there is none.
+// draw returns the index of a random upstream by weight; -1 if all weights are 0.
 func (p *Places) draw(weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -1,7 +1,7 @@
-// Package places decides where requests for plain upstreams go, and when. The boxes
-// send at the same upstreams without asking each other: each draws upstreams at
-// random by what they can do, and sends no more than its part of what all can do
-// once the boxes together are asked for more.
+// Package places decides to which upstream, and when, requests for plain services go.
+// Boxes choose independently: each picks upstreams at random, weighted by their
+// capacity, and once the total demand exceeds the capacity each sends no more than its
+// allocation and queues or rejects the rest.
 package places
 
 import (
@@ -24,102 +24,105 @@
 )
 
 const (
-	// leastBack and mostBack bound when one that is sent off is to come back: sooner
-	// the line has not changed, later callers do not wait.
-	leastBack = 50 * time.Millisecond
-	mostBack  = 2 * time.Second
-	// backPart is the part of its time that a caller can wait before it comes back, so
-	// that enough is left to be served.
-	backPart = 3
-	// spreadPart is the part of that time by which those who come back are spread.
-	spreadPart = 3
-	// freshPart is the part of the aim within which being sent off costs a caller
-	// little: it can still be served as if it had come later.
-	freshPart = 4
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejected request:
+	// before the minimum the queue has hardly changed, and after the maximum clients
+	// give up.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	// retryWaitDivisor is the fraction of a client's remaining time that it may wait
+	// before it retries, so that enough is left to be served.
+	retryWaitDivisor = 3
+	// jitterDivisor is the fraction of Retry-After that is added as random jitter.
+	jitterDivisor = 3
+	// earlyDivisor is the fraction of the latency target within which a rejection costs
+	// a client little: its retry can still be served in time.
+	earlyDivisor = 4
 )
 
 // Outcomes of requests that could not be sent at once.
 const (
 	Waited  = "waited"
 	Refused = "refused"
-	Left    = "left" // its caller left, or its time was over
+	Left    = "left" // the client disconnected or its deadline passed
 )
 
-// Ranker knows the upstreams of a service.
+// Ranker lists the upstreams of a service.
 type Ranker interface {
-	// Ranked returns those that a request may go to, with what runs there.
+	// Ranked returns the upstreams that a request may go to, with their load.
 	Ranked(now time.Time, w picker.Want) []picker.Choice
 }
 
-// Limits knows which upstreams name how much they take.
+// Limits returns the rate limits that upstreams announce.
 type Limits interface {
-	// Limit returns how many requests a second are given out of what an upstream takes;
-	// false if it takes all.
+	// Limit returns how many requests per second may be sent to a limited upstream;
+	// false if the upstream has no limit.
 	Limit(upstream string) (perSecond float64, limited bool)
-	// UsedUp returns for how long nothing more is to be had there.
+	// UsedUp returns for how long the limit of an upstream is exhausted.
 	UsedUp(now time.Time, upstream string) time.Duration
 }
 
-// Shares knows who has had how much.
+// Shares returns how much of a service each organisation uses.
 type Shares interface {
-	// Over returns by how much an organisation is over its share of a service.
+	// Over returns by how much an organisation exceeds its share of a service.
 	Over(now time.Time, service, organisation string) float64
 }
 
-// Counter counts what became of requests that had to wait or were refused.
+// Counter counts the outcomes of requests that waited or were refused.
 type Counter interface {
-	// Placed counts an outcome, and how long the request waited for it.
+	// Placed counts an outcome and the time that the request waited for it.
 	Placed(outcome string, waited time.Duration)
 }
 
-// Parts are what places work with.
+// Parts are the dependencies of Places.
 type Parts struct {
 	Ranker  Ranker
-	Failing func(now time.Time, upstream string) float64 // share of sends that failed of late
-	Limits  Limits                                       // nil: nobody names a limit
-	Shares  Shares                                       // nil: all organisations alike
+	Failing func(now time.Time, upstream string) float64 // fraction of recent requests that failed
+	Limits  Limits                                       // nil: no upstream has a limit
+	Shares  Shares                                       // nil: all organisations are treated alike
 	Counter Counter
 	Hall    string // of the box
 	Random  *rand.Rand
 	Log     *logrus.Entry
 }
 
-// Places is safe for use by several goroutines.
+// Places assigns requests to the upstreams of plain services. It is safe for concurrent
+// use.
 type Places struct {
 	Parts
 
-	mu       sync.Mutex // guards what follows and Random
+	mu       sync.Mutex // guards Random and the fields below
 	services map[string]*service
 	others   *peerstate.Totals[demand]
 }
 
-// New returns places of a box that has met nothing yet.
+// New returns Places with no state.
 func New(parts Parts) *Places {
 	return &Places{Parts: parts, services: map[string]*service{}, others: peerstate.New[demand]()}
 }
 
-// Request is a request that wants a place.
+// Request is a request that needs an upstream.
 type Request struct {
 	ID           string
 	Organisation string
-	Urgency      int // 0 goes first
+	Urgency      int // 0 is the most urgent
 	Arrived      time.Time
-	Aim          time.Duration
+	Aim          time.Duration // target for the whole answer
 	Deadline     time.Time
 	Want         picker.Want
 }
 
-func (a Request) aimAt() time.Time { return a.Arrived.Add(a.Aim) }
+func (r Request) due() time.Time { return r.Arrived.Add(r.Aim) }
 
-// lineUntil is until when it may wait in line and be sent off at little cost, with as
-// much left for the asks that follow.
-func (a Request) lineUntil() time.Time { return a.Arrived.Add(a.Aim / freshPart / 2) }
+// queueUntil is the time up to which the request may be queued and still be rejected at
+// little cost, leaving as much for its further tries.
+func (r Request) queueUntil() time.Time { return r.Arrived.Add(r.Aim / earlyDivisor / 2) }
 
-// Acquire returns an upstream for a request as soon as it may be sent. The error is a
-// refusal.Refusal: then the request has not been sent anywhere.
-func (p *Places) Acquire(ctx context.Context, ask Request) (picker.Choice, error) {
+// Acquire returns an upstream as soon as the request may be sent, queueing it if
+// necessary. An error is a refusal.Refusal; the request has then not been sent
+// anywhere.
+func (p *Places) Acquire(ctx context.Context, req Request) (picker.Choice, error) {
 	now := time.Now()
-	w, err := p.enter(now, ask)
+	w, err := p.admit(now, req)
 	if err != nil {
 		return picker.Choice{}, err
 	}
@@ -128,97 +131,97 @@
 			return picker.Choice{}, err
 		}
 	}
-	return p.pick(time.Now(), ask)
+	return p.pick(time.Now(), req)
 }
 
-// enter lets a request through, puts it in line or refuses it.
-func (p *Places) enter(now time.Time, ask Request) (*waiter, error) {
+// admit lets a request pass, queues it or refuses it.
+func (p *Places) admit(now time.Time, req Request) (*waiter, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.service(now, ask.Want.Service)
-	s.ask(now, ask)
+	s := p.service(now, req.Want.Service)
+	s.recordRequest(now, req)
 	s.refill(now)
-	if !s.crowded() {
+	if !s.overloaded() {
 		s.releaseAll()
 		return nil, nil
 	}
-	w := &waiter{ask: ask, service: s, released: make(chan error, 1)}
+	w := &waiter{request: req, service: s, released: make(chan error, 1)}
 	if p.Shares != nil {
-		w.over = p.Shares.Over(now, ask.Want.Service.Name, ask.Organisation)
+		w.excess = p.Shares.Over(now, req.Want.Service.Name, req.Organisation)
 	}
-	if s.goesFirst(now, w) {
+	if s.skipsQueue(now, w) {
 		s.tokens--
 		return nil, nil
 	}
-	if late(now, ask, s.waitOf(now, w), s.usual(), s.passes(now)) {
-		return nil, p.refuse(now, s, w, "its place in line is too far back")
+	if rejectNow(now, req, s.queueWait(now, w), s.answerTime(), s.overtaken(now)) {
+		return nil, p.refuse(now, s, w, "the queue is too long")
 	}
 	s.waiting = append(s.waiting, w)
-	p.pump(now, s)
+	p.releaseWaiting(now, s)
 	return w, nil
 }
 
-// late tells whether a request is refused now that would wait in line for some time and
-// then be answered in the usual one: it could not be served at all, or it is new and
-// has time to come back, or would be passed by newer ones until its caller leaves.
-func late(now time.Time, a Request, wait, usual time.Duration, passed bool) bool {
-	age, left := now.Sub(a.Arrived), a.Deadline.Sub(now)
-	inTime := age+wait <= a.Aim/freshPart && age+wait+usual <= a.Aim
+// rejectNow reports whether to refuse a request that would be queued for wait and then
+// answered within usual: if it would miss its deadline, or if it is new and either has
+// time to retry or would be overtaken by newer requests until its client gives up.
+func rejectNow(now time.Time, r Request, wait, usual time.Duration, overtaken bool) bool {
+	age, left := now.Sub(r.Arrived), r.Deadline.Sub(now)
+	inTime := age+wait <= r.Aim/earlyDivisor && age+wait+usual <= r.Aim
 	switch {
 	case wait+usual > left:
 		return true
 	case inTime:
 		return false
 	}
-	returns := age <= a.Aim/freshPart && (passed || wait <= left/backPart && wait+a.Aim <= left)
-	return returns
+	canRetry := age <= r.Aim/earlyDivisor && (overtaken || wait <= left/retryWaitDivisor && wait+r.Aim <= left)
+	return canRetry
 }
 
-// PickAnother returns another upstream for a request that has been let through.
-func (p *Places) PickAnother(ask Request) (picker.Choice, error) { return p.pick(time.Now(), ask) }
+// PickAnother returns another upstream for a request that has been admitted.
+func (p *Places) PickAnother(req Request) (picker.Choice, error) { return p.pick(time.Now(), req) }
 
-// RecordSent notes that a request goes to an upstream that it was not given here.
-func (p *Places) RecordSent(ask Request, at fleet.Upstream) {
-	p.of(ask, at, func(u *upstream) { u.own++ })
+// RecordSent records that a request goes to an upstream that Acquire did not choose.
+func (p *Places) RecordSent(req Request, at fleet.Upstream) {
+	p.withUpstream(req, at, func(u *upstream) { u.inFlight++ })
 }
 
-// LimitGranted notes that a limited upstream had something for the request that was given it.
-func (p *Places) LimitGranted(ask Request, at fleet.Upstream) {
-	p.of(ask, at, func(u *upstream) { u.press = min(u.press*pressMore, pressMost) })
+// LimitGranted records that the limit of the chosen upstream admitted the request.
+func (p *Places) LimitGranted(req Request, at fleet.Upstream) {
+	p.withUpstream(req, at, func(u *upstream) { u.requestRatio = min(u.requestRatio*grantedFactor, maxRequestRatio) })
 }
 
-// LimitRefused notes that a request does not go to the limited upstream that it was given.
-func (p *Places) LimitRefused(ask Request, at fleet.Upstream) {
-	p.of(ask, at, func(u *upstream) {
-		u.own = max(u.own-1, 0)
-		u.press = max(u.press*pressLess, pressLeast)
+// LimitRefused records that the limit of the chosen upstream did not admit the request.
+func (p *Places) LimitRefused(req Request, at fleet.Upstream) {
+	p.withUpstream(req, at, func(u *upstream) {
+		u.inFlight = max(u.inFlight-1, 0)
+		u.requestRatio = max(u.requestRatio*refusedFactor, minRequestRatio)
 	})
 }
 
-// of changes what is known of an upstream.
-func (p *Places) of(ask Request, at fleet.Upstream, change func(u *upstream)) {
+// withUpstream updates the state of an upstream, if its service is known.
+func (p *Places) withUpstream(req Request, at fleet.Upstream, change func(u *upstream)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s, ok := p.services[ask.Want.Service.Name]; ok {
+	if s, ok := p.services[req.Want.Service.Name]; ok {
 		change(s.upstream(at.ID))
 	}
 }
 
-// Demand returns how many requests a second all boxes are asked for of a service.
+// Demand returns the requests per second that all boxes receive for a service.
 func (p *Places) Demand(now time.Time, r route.Service) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.service(now, r).all
+	return p.service(now, r).totalDemand
 }
 
-// AnswerTime returns how long an answer of a service takes.
+// AnswerTime returns how long the upstreams of a service usually take to answer.
 func (p *Places) AnswerTime(now time.Time, r route.Service) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.service(now, r).usual()
+	return p.service(now, r).answerTime()
 }
 
-// wait waits in line.
+// wait blocks until the request is released, refused or cancelled.
 func (p *Places) wait(ctx context.Context, w *waiter) error {
 	began := time.Now()
 	select {
@@ -230,108 +233,107 @@
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
-	w.service.leave(w)
+	w.service.remove(w)
 	p.mu.Unlock()
 	p.Counter.Placed(Left, time.Since(began))
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return refusal.New(refusal.CallerGone, "the caller hung up while it waited for a place")
+		return refusal.New(refusal.CallerGone, "the client disconnected while its request was queued")
 	}
-	return refusal.New(refusal.Deadline, "no place in time")
+	return refusal.New(refusal.Deadline, "the deadline passed while the request was queued")
 }
 
-// pump lets those go that may, the first in order first, refuses those that can no
-// longer be served, and sets a timer for the next.
-func (p *Places) pump(now time.Time, s *service) {
+// releaseWaiting releases queued requests in order while there are tokens, refuses
+// those that can no longer be served, and sets a timer for the next check.
+func (p *Places) releaseWaiting(now time.Time, s *service) {
 	s.refill(now)
-	for _, w := range s.hopeless(now) {
-		s.leave(w)
-		w.released <- p.refuse(now, s, w, "no place in time")
+	for _, w := range s.expired(now) {
+		s.remove(w)
+		w.released <- p.refuse(now, s, w, "the request can't be served in time")
 	}
 	for s.tokens >= 1 && len(s.waiting) > 0 {
 		s.tokens--
 		s.releaseFirst(now)
 	}
-	if len(s.waiting) == 0 || s.timer {
+	if len(s.waiting) == 0 || s.timerSet {
 		return
 	}
-	s.timer = true
-	time.AfterFunc(s.lookIn(now), func() { p.again(s) })
+	s.timerSet = true
+	time.AfterFunc(s.nextCheck(now), func() { p.onTimer(s) })
 }
 
-// again pumps a service's line once more.
-func (p *Places) again(s *service) {
+// onTimer runs releaseWaiting when the timer of a service fires.
+func (p *Places) onTimer(s *service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s.timer = false
+	s.timerSet = false
 	now := time.Now()
 	p.service(now, s.service)
-	if !s.crowded() {
+	if !s.overloaded() {
 		s.releaseAll()
 		return
 	}
-	p.pump(now, s)
+	p.releaseWaiting(now, s)
 }
 
-// Overloaded tells whether requests for a service wait at the boxes.
+// Overloaded reports whether requests for a service are queued at the boxes.
 func (p *Places) Overloaded(now time.Time, r route.Service) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.service(now, r).crowded()
+	return p.service(now, r).overloaded()
 }
 
-// refuse refuses a request, and says when to come back: once those who wait are served,
-// not all in the same moment.
+// refuse refuses a request with a Retry-After by which the present queue should have
+// drained.
 func (p *Places) refuse(now time.Time, s *service, w *waiter, detail string) error {
-	back := p.back(s)
-	p.Counter.Placed(Refused, now.Sub(w.ask.Arrived))
+	after := p.retryAfter(s)
+	p.Counter.Placed(Refused, now.Sub(w.request.Arrived))
 	s.fields(now, p.Log).WithFields(logrus.Fields{
-		"request": w.ask.ID, "retry_after_ms": back.Milliseconds(), "aim_left_ms": w.ask.aimAt().Sub(now).Milliseconds(),
+		"request": w.request.ID, "retry_after_ms": after.Milliseconds(), "aim_left_ms": w.request.due().Sub(now).Milliseconds(),
 	}).Info("place_refused")
-	return refusal.New(refusal.WaitTooLong, detail).WithRetryAfter(back)
+	return refusal.New(refusal.WaitTooLong, detail).WithRetryAfter(after)
 }
 
-// back is when one that is sent off now is to come back.
-func (p *Places) back(s *service) time.Duration {
-	back := min(max(s.clears(), leastBack), mostBack)
-	return back + time.Duration(p.Random.Float64()*float64(back)/spreadPart)
+// retryAfter returns the time to drain the queue, with jitter.
+func (p *Places) retryAfter(s *service) time.Duration {
+	after := min(max(s.drainTime(), minRetryAfter), maxRetryAfter)
+	return after + time.Duration(p.Random.Float64()*float64(after)/jitterDivisor)
 }
 
-// RetryAfter returns when one that is sent off now is to come back: once those who wait are
-// served, not all in the same moment.
+// RetryAfter returns the Retry-After for a request rejected now: the time to drain the
+// queue, with jitter so that clients don't retry simultaneously.
 func (p *Places) RetryAfter(now time.Time, r route.Service) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.back(p.service(now, r))
+	return p.retryAfter(p.service(now, r))
 }
 
-// Answered notes how long an upstream took to answer a request.
-func (p *Places) Answered(now time.Time, ask Request, upstream fleet.Upstream, took time.Duration) {
+// Answered records how long an upstream took to answer a request.
+func (p *Places) Answered(now time.Time, req Request, upstream fleet.Upstream, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.service(now, ask.Want.Service)
+	s := p.service(now, req.Want.Service)
 	u := s.upstream(upstream.ID)
-	u.own = max(u.own-1, 0)
-	s.answered(u, took, ask.Aim)
+	u.inFlight = max(u.inFlight-1, 0)
+	s.answered(u, took, req.Aim)
 }
 
-// Dropped notes that a request ended at an upstream that did not run it, failed, or
-// was not waited for any longer. If that took longer than answers do, an answer would
-// have taken longer still; a refusal at once tells nothing, least of all where nothing
-// is known yet.
-func (p *Places) Dropped(ask Request, upstream fleet.Upstream, took time.Duration) {
+// Dropped records that an upstream did not run a request, failed, or was not waited for
+// any longer. The time counts towards the latency of the upstream only where it exceeds
+// the known one; an immediate refusal says nothing about the latency.
+func (p *Places) Dropped(req Request, upstream fleet.Upstream, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s, ok := p.services[ask.Want.Service.Name]; ok {
+	if s, ok := p.services[req.Want.Service.Name]; ok {
 		u := s.upstream(upstream.ID)
-		u.own = max(u.own-1, 0)
-		s.tokens = min(s.tokens+1, saved)
-		if known := cmp.Or(u.takes, s.takes); known > 0 && took > known {
-			learn(&u.takes, took)
+		u.inFlight = max(u.inFlight-1, 0)
+		s.tokens = min(s.tokens+1, maxBurst)
+		if known := cmp.Or(u.latency, s.latency); known > 0 && took > known {
+			updateMean(&u.latency, took)
 		}
 	}
 }
 
-// service returns what is known of a service, no older than lookEvery.
+// service returns the state of a service, refreshed if it is older than checkInterval.
 func (p *Places) service(now time.Time, r route.Service) *service {
 	s, ok := p.services[r.Name]
 	if !ok {
@@ -340,89 +342,90 @@
 	}
 	s.service = r
 	others := p.others.Of(now, r.Name)
-	s.all, s.toldWork = s.demand(now)+others.asked, others.work()
-	if now.Sub(s.looked) >= lookEvery {
-		s.look(now, p.Ranker.Ranked(now, picker.Want{Service: r, All: true}), p.Hall, p.Failing, p.Limits)
-		p.note(now, s)
+	s.totalDemand, s.reportedServiceTime = s.demand(now)+others.requests, others.serviceTime()
+	if now.Sub(s.checkedAt) >= checkInterval {
+		s.refresh(now, p.Ranker.Ranked(now, picker.Want{Service: r, All: true}), p.Hall, p.Failing, p.Limits)
+		p.logOverload(now, s)
 	}
-	s.rate = s.part(now)
+	s.allowedRate = s.allocation(now)
 	return s
 }
 
-// note logs that a crowd begins or ends.
-func (p *Places) note(now time.Time, s *service) {
-	if s.crowded() == s.wasCrowded {
+// logOverload logs the start and the end of an overload.
+func (p *Places) logOverload(now time.Time, s *service) {
+	if s.overloaded() == s.wasOverloaded {
 		return
 	}
-	s.wasCrowded = !s.wasCrowded
+	s.wasOverloaded = !s.wasOverloaded
 	event := "places_enough"
-	if s.wasCrowded {
+	if s.wasOverloaded {
 		event = "places_crowded"
 	}
 	s.fields(now, p.Log).Info(event)
 }
 
-// View returns what this box believes of each service's places.
+// View returns the state of each service, for operators.
 func (p *Places) View(now time.Time) []wire.PlacesView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := []wire.PlacesView{}
 	for name, s := range p.services {
 		list = append(list, wire.PlacesView{
-			Service: name, Asked: int(s.asked.a(now)), AllAsked: int(s.all), Can: int(s.total()), Limited: int(s.limited), UsePct: int(100 * s.use),
-			Waiting: len(s.waiting), Crowded: s.crowded(),
+			Service: name, Asked: int(s.requests.perSecond(now)), AllAsked: int(s.totalDemand), Can: int(s.totalCapacity()), Limited: int(s.limitedCapacity), UsePct: int(100 * s.utilization),
+			Waiting: len(s.waiting), Crowded: s.overloaded(),
 		})
 	}
 	slices.SortFunc(list, func(a, b wire.PlacesView) int { return cmp.Compare(a.Service, b.Service) })
 	return list
 }
 
-// Own returns what this box is asked for, for its peers.
-func (p *Places) Own(now time.Time) []wire.ServicePlaces { return listOf(p.own(now)) }
+// Own returns the demand at this box, for its report to other boxes.
+func (p *Places) Own(now time.Time) []wire.ServicePlaces { return toWire(p.own(now)) }
 
 func (p *Places) own(now time.Time) map[string]demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := map[string]demand{}
 	for name, s := range p.services {
-		asked := s.demand(now)
-		if asked >= tellFrom {
-			list[name] = s.word(asked)
+		rate := s.demand(now)
+		if rate >= minReportedRate {
+			list[name] = s.report(rate)
 		}
-		if asked < forgetBelow {
+		if rate < forgetRate {
 			delete(p.services, name)
 		}
 	}
 	return list
 }
 
-// Without returns what all boxes but one are asked for, for that one.
+// Without returns the total demand except that of one box, which is the receiver.
 func (p *Places) Without(now time.Time, box string) []wire.ServicePlaces {
 	sum := p.own(now)
 	p.others.Without(now, box, sum)
-	return listOf(sum)
+	return toWire(sum)
 }
 
-// Part returns what this box and those that tell it alone are asked for, for the boxes
-// that do not hear them.
+// Part returns the demand at this box and the boxes that report only to it, for the
+// boxes to which they do not report.
 func (p *Places) Part(now time.Time) []wire.ServicePlaces {
 	sum := p.own(now)
 	p.others.Part(now, sum)
-	return listOf(sum)
+	return toWire(sum)
 }
 
-// SetCoverage notes, before a box's word is taken, whether it tells this box alone.
+// SetCoverage records whether a box reports only to this one. It is called before
+// Update.
 func (p *Places) SetCoverage(box string, only bool) { p.others.Covers(box, only, peerstate.Cover{}) }
 
-// Update takes another box's word of what it is asked for.
+// Update stores a report of another box.
 func (p *Places) Update(now time.Time, box string, list []wire.ServicePlaces) {
-	p.others.Told(now, box, demandsOf(list))
+	p.others.Told(now, box, fromWire(list))
 }
 
-// Older makes what other boxes told older: this box's machine was suspended.
+// Older ages the stored reports by the time for which this machine was suspended.
 func (p *Places) Older(by time.Duration) { p.others.Older(by) }
 
-// UpdateSum takes a hub's word of what all other boxes are asked for.
+// UpdateSum stores the sum that a hub reports for all other boxes.
 func (p *Places) UpdateSum(now time.Time, list []wire.ServicePlaces) {
-	p.others.ToldSum(now, demandsOf(list))
+	p.others.ToldSum(now, fromWire(list))
 }
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -25,68 +25,68 @@
 )
 
 const (
-	slots  = 6
-	inLine = 24
-	gossip = 250 * time.Millisecond
+	slots          = 6
+	queueSize      = 24
+	reportInterval = 250 * time.Millisecond
 )
 
-// upstream is a fake: it works on some requests, lets some wait and turns the
-// others away.
+// upstream is a fake upstream with a number of slots and a bounded queue; it rejects
+// what exceeds both.
 type upstream struct {
-	work time.Duration
-	gone bool
-	mu   sync.Mutex
-	held int
-	free chan struct{}
+	work     time.Duration
+	removed  bool
+	mu       sync.Mutex
+	requests int
+	slots    chan struct{}
 }
 
 func newUpstream(work time.Duration) *upstream {
-	return &upstream{work: work, free: make(chan struct{}, slots)}
+	return &upstream{work: work, slots: make(chan struct{}, slots)}
 }
 
-// serve reports whether it ran a request.
+// serve reports whether the upstream ran a request.
 func (u *upstream) serve(part float64) bool {
 	u.mu.Lock()
-	if u.gone || u.held >= slots+inLine {
+	if u.removed || u.requests >= slots+queueSize {
 		u.mu.Unlock()
 		return false
 	}
-	u.held++
+	u.requests++
 	u.mu.Unlock()
-	u.free <- struct{}{}
+	u.slots <- struct{}{}
 	time.Sleep(time.Duration(part * float64(u.work)))
-	<-u.free
+	<-u.slots
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.held--
+	u.requests--
 	return true
 }
 
-func (u *upstream) vanish(gone bool) {
+func (u *upstream) setRemoved(removed bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.gone = gone
+	u.removed = removed
 }
 
-// load is what the callers of a test do.
-type load struct {
-	boxes     int
-	work, aim time.Duration
-	wait      time.Duration // of callers
-	times     float64       // of what the upstreams can do, in the burst
-	vanishes  bool          // an upstream of three, in the burst
-	slow      float64       // times that one takes for its work
-	die       bool          // half of the boxes, as the burst begins
-	start     bool          // half of the boxes, as the burst begins
-	parted    bool          // boxes hear of half of the others only, in the burst
+// scenario describes the clients and the disturbance of a test.
+type scenario struct {
+	boxes            int
+	serviceTime, aim time.Duration
+	timeout          time.Duration // of clients
+	demand           float64       // multiple of the capacity, in the burst
+	loseUpstream     bool          // one of three upstreams is removed in the burst
+	slowdown         float64       // factor on the service time of one upstream
+	stopBoxes        bool          // half of the boxes stop as the burst begins
+	startBoxes       bool          // half of the boxes start as the burst begins
+	partitioned      bool          // boxes receive reports of half of the others only, in the burst
 }
 
-// outcome counts what became of requests in the burst; back are those that were
-// sent off at once and then served in time.
-type outcome struct{ all, inTime, late, back, urgent, urgentInTime int }
+// outcome counts what became of requests in the burst; retried are those that were
+// rejected at once and then served in time.
+type outcome struct{ all, inTime, late, retried, urgent, urgentInTime int }
 
-func (o outcome) worth() float64 {
-	return (float64(o.inTime) + 0.5*float64(o.back) + 0.3*float64(o.late)) / float64(o.all)
+func (o outcome) value() float64 {
+	return (float64(o.inTime) + 0.5*float64(o.retried) + 0.3*float64(o.late)) / float64(o.all)
 }
 
 // box is one of the boxes of a world.
@@ -99,7 +99,7 @@
 }
 
 type world struct {
-	load
+	scenario
 	service   route.Service
 	upstreams map[string]*upstream
 	boxes     []*box
@@ -110,25 +110,25 @@
 	out   outcome
 }
 
-type uncounted struct{}
+type noCounter struct{}
 
-func (uncounted) Placed(string, time.Duration) {}
+func (noCounter) Placed(string, time.Duration) {}
 
-func newWorld(l load) *world {
-	w := &world{load: l, service: route.Service{Name: "plain"}, upstreams: map[string]*upstream{}, random: rand.New(rand.NewPCG(1, 9))}
+func newWorld(l scenario) *world {
+	w := &world{scenario: l, service: route.Service{Name: "plain"}, upstreams: map[string]*upstream{}, random: rand.New(rand.NewPCG(1, 9))}
 	var list []fleet.Upstream
 	for i := range 3 {
 		id := fmt.Sprint("u", i)
-		w.upstreams[id] = newUpstream(l.work)
+		w.upstreams[id] = newUpstream(l.serviceTime)
 		list = append(list, fleet.Upstream{ID: id, Service: "plain", Hall: fmt.Sprint("h", i), Slots: slots, State: fleet.Open})
 	}
-	if l.slow > 0 {
-		w.upstreams["u1"].work = time.Duration(l.slow * float64(l.work))
+	if l.slowdown > 0 {
+		w.upstreams["u1"].work = time.Duration(l.slowdown * float64(l.serviceTime))
 	}
 	for i := range l.boxes {
 		w.boxes = append(w.boxes, newBox(uint64(i), list))
 	}
-	if l.start {
+	if l.startBoxes {
 		w.boxes = w.boxes[:l.boxes/2]
 	}
 	return w
@@ -142,19 +142,19 @@
 		Fleet: b.fleet, Tally: b.tally, Reliability: b.reliability, Reading: prefill.New(), Hall: hall, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
 	b.places = places.New(places.Parts{
-		Ranker: b.chooser, Failing: b.reliability.Failing, Counter: uncounted{}, Hall: hall, Random: rand.New(rand.NewPCG(seed, 2)),
+		Ranker: b.chooser, Failing: b.reliability.Failing, Counter: noCounter{}, Hall: hall, Random: rand.New(rand.NewPCG(seed, 2)),
 		Log: logs.New(io.Discard, "info", "b"),
 	})
 	return b
 }
 
-// tell lets the boxes hear of each other.
-func (w *world) tell() {
+// exchangeReports updates all boxes with the reports of the others.
+func (w *world) exchangeReports() {
 	now := time.Now()
 	boxes := w.live()
 	for i, b := range boxes {
 		for j, other := range boxes {
-			if i != j && w.hear(i, j) {
+			if i != j && w.connected(i, j) {
 				name := fmt.Sprint(j)
 				b.tally.Told(now, name, other.tally.Own())
 				b.places.Update(now, name, other.places.Own(now))
@@ -164,100 +164,100 @@
 	}
 }
 
-// live returns the boxes that have not died.
+// live returns the boxes that run.
 func (w *world) live() []*box {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.boxes
 }
 
-// hear tells whether two boxes hear of each other.
-func (w *world) hear(one, other int) bool {
+// connected reports whether two boxes receive each other's reports.
+func (w *world) connected(one, other int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.burst || !w.parted || one%2 == other%2
+	return !w.burst || !w.partitioned || one%2 == other%2
 }
 
-// strike begins the burst.
-func (w *world) strike() {
+// beginBurst starts the burst and its disturbance.
+func (w *world) beginBurst() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.burst {
 		return
 	}
 	w.burst = true
-	w.upstreams["u2"].vanish(w.vanishes)
-	if w.die {
+	w.upstreams["u2"].setRemoved(w.loseUpstream)
+	if w.stopBoxes {
 		w.boxes = w.boxes[:len(w.boxes)/2]
 	}
-	if w.start {
-		w.boxes = w.boxes[:w.load.boxes]
+	if w.startBoxes {
+		w.boxes = w.boxes[:w.scenario.boxes]
 	}
 }
 
 const (
-	before = 4 * time.Second
-	burst  = 8 * time.Second
-	usual  = 0.45 // of what the upstreams can do
+	warmUp   = 4 * time.Second
+	burst    = 8 * time.Second
+	baseLoad = 0.45 // of the capacity
 )
 
-// play lets the callers come, and returns what became of those of the burst.
-func (w *world) play() outcome {
-	can := 3 * slots / w.work.Seconds()
+// run simulates the clients and returns what became of the requests in the burst.
+func (w *world) run() outcome {
+	capacity := 3 * slots / w.serviceTime.Seconds()
 	began := time.Now()
 	var all sync.WaitGroup
-	told := time.NewTicker(gossip)
-	defer told.Stop()
+	reports := time.NewTicker(reportInterval)
+	defer reports.Stop()
 	done := make(chan struct{})
 	all.Go(func() {
 		for {
 			select {
-			case <-told.C:
-				w.tell()
+			case <-reports.C:
+				w.exchangeReports()
 			case <-done:
 				return
 			}
 		}
 	})
-	for time.Since(began) < before+burst {
-		rate, inBurst := usual*can, time.Since(began) >= before
+	for time.Since(began) < warmUp+burst {
+		rate, inBurst := baseLoad*capacity, time.Since(began) >= warmUp
 		if inBurst {
-			rate = w.times * can
-			w.strike()
+			rate = w.demand * capacity
+			w.beginBurst()
 		}
 		time.Sleep(time.Duration(w.random.ExpFloat64() / rate * float64(time.Second)))
 		boxes := w.live()
-		all.Go(w.caller(boxes[w.random.IntN(len(boxes))], w.random.Uint64(), inBurst))
+		all.Go(w.client(boxes[w.random.IntN(len(boxes))], w.random.Uint64(), inBurst))
 	}
-	time.Sleep(w.wait)
+	time.Sleep(w.timeout)
 	close(done)
 	all.Wait()
 	return w.out
 }
 
-// caller returns one that asks, and once more if it is told to come back.
-func (w *world) caller(b *box, seed uint64, counts bool) func() {
+// client returns a client that sends a request, and retries once after a Retry-After.
+func (w *world) client(b *box, seed uint64, counts bool) func() {
 	random := rand.New(rand.NewPCG(seed, 4))
 	urgency := int(seed % 3)
 	return func() {
 		first := time.Now()
-		ok, took, back := w.ask(b, random, first.Add(w.wait), urgency)
-		returned := !ok && back > 0 && took < w.aim/4
-		if !ok && back > 0 {
-			time.Sleep(min(back, time.Until(first.Add(w.wait))/3))
+		ok, took, retryAfter := w.send(b, random, first.Add(w.timeout), urgency)
+		retried := !ok && retryAfter > 0 && took < w.aim/4
+		if !ok && retryAfter > 0 {
+			time.Sleep(min(retryAfter, time.Until(first.Add(w.timeout))/3))
 			boxes := w.live()
-			ok, took, _ = w.ask(boxes[random.IntN(len(boxes))], random, first.Add(w.wait), urgency)
+			ok, took, _ = w.send(boxes[random.IntN(len(boxes))], random, first.Add(w.timeout), urgency)
 		}
-		if !returned {
+		if !retried {
 			took = time.Since(first)
 		}
 		if counts {
-			w.count(ok, took <= w.aim, returned, urgency == 0)
+			w.count(ok, took <= w.aim, retried, urgency == 0)
 		}
 	}
 }
 
-func (w *world) count(ok, inTime, returned, urgent bool) {
+func (w *world) count(ok, inTime, retried, urgent bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.out.all++
@@ -266,8 +266,8 @@
 	}
 	switch {
 	case !ok:
-	case inTime && returned:
-		w.out.back++
+	case inTime && retried:
+		w.out.retried++
 	case inTime:
 		w.out.inTime++
 		if urgent {
@@ -278,15 +278,15 @@
 	}
 }
 
-// ask sends one request by a box; up to two upstreams are tried.
-func (w *world) ask(b *box, random *rand.Rand, deadline time.Time, urgency int) (ok bool, took, back time.Duration) {
+// send sends a request through a box, which tries up to two upstreams.
+func (w *world) send(b *box, random *rand.Rand, deadline time.Time, urgency int) (ok bool, took, retryAfter time.Duration) {
 	arrived := time.Now()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	want := picker.Want{Service: w.service}
 	for range 2 {
-		ask := places.Request{Urgency: urgency, Arrived: arrived, Aim: w.aim, Deadline: deadline, Want: want}
-		c, err := b.places.Acquire(ctx, ask)
+		req := places.Request{Urgency: urgency, Arrived: arrived, Aim: w.aim, Deadline: deadline, Want: want}
+		c, err := b.places.Acquire(ctx, req)
 		var refused refusal.Refusal
 		if errors.As(err, &refused) {
 			return false, time.Since(arrived), refused.RetryAfter()
@@ -297,44 +297,44 @@
 		entry.End()
 		b.reliability.Record(time.Now(), c.Upstream.ID, !ran)
 		if ran {
-			b.places.Answered(time.Now(), ask, c.Upstream, time.Since(sent))
+			b.places.Answered(time.Now(), req, c.Upstream, time.Since(sent))
 			return time.Now().Before(deadline), time.Since(arrived), 0
 		}
-		b.places.Dropped(ask, c.Upstream, time.Since(sent))
+		b.places.Dropped(req, c.Upstream, time.Since(sent))
 		want.Avoid = append(want.Avoid, c.Upstream.ID)
 	}
 	return false, time.Since(arrived), 50 * time.Millisecond
 }
 
-// TestBurst plays bursts of 8 s before three upstreams that get 0.45 of what they can
-// do else. The least worth is what callers got, in parts of what they could: one in
-// time counts 1, sent off and then in time a half, late 0.3. What can be in a burst of
-// 1.35 is 0.74 in time.
+// TestBurst simulates bursts of 8 s for three upstreams that else run at 0.45 of their
+// capacity. The value is relative to all requests served in time: a request in time
+// counts 1, one in time after a retry 0.5, a late one 0.3. At a demand of 1.35 at most
+// 0.74 can be in time.
 func TestBurst(t *testing.T) {
 	const ms = time.Millisecond
-	kinds := map[string]load{
-		"short": {work: 15 * ms, aim: 100 * ms, wait: 600 * ms},
-		"long":  {work: 60 * ms, aim: 300 * ms, wait: 4 * time.Second},
+	kinds := map[string]scenario{
+		"short": {serviceTime: 15 * ms, aim: 100 * ms, timeout: 600 * ms},
+		"long":  {serviceTime: 60 * ms, aim: 300 * ms, timeout: 4 * time.Second},
 	}
 	tests := map[string]struct {
-		times    float64
-		vanishes bool
-		slow     float64
-		die      bool
-		start    bool
-		parted   bool
-		worth    float64
-		urgent   float64 // of those of the first rank in time
+		demand       float64
+		loseUpstream bool
+		slowdown     float64
+		stopBoxes    bool
+		startBoxes   bool
+		partitioned  bool
+		minValue     float64
+		minUrgent    float64 // fraction of the most urgent requests in time
 	}{
-		"calm":                    {times: usual, worth: 0.999, urgent: 0.999},
-		"nearly full":             {times: 0.85, worth: 0.99, urgent: 0.99},
-		"one vanishes":            {times: 0.6, vanishes: true, worth: 0.98, urgent: 0.98},
-		"one is slow":             {times: 0.6, slow: 3, worth: 0.95, urgent: 0.95},
-		"too many":                {times: 1.35, worth: 0.57, urgent: 0.8},
-		"half of the boxes die":   {times: 0.85, die: true, worth: 0.97, urgent: 0.97},
-		"half of the boxes start": {times: 1.35, start: true, worth: 0.55, urgent: 0.75},
-		"boxes are parted":        {times: 1.35, parted: true, worth: 0.57, urgent: 0.75},
-		"too many, one vanishes":  {times: 1, vanishes: true, worth: 0.47, urgent: 0.55},
+		"normal load":                      {demand: baseLoad, minValue: 0.999, minUrgent: 0.999},
+		"nearly overloaded":                {demand: 0.85, minValue: 0.99, minUrgent: 0.99},
+		"an upstream is removed":           {demand: 0.6, loseUpstream: true, minValue: 0.98, minUrgent: 0.98},
+		"an upstream is slow":              {demand: 0.6, slowdown: 3, minValue: 0.95, minUrgent: 0.95},
+		"overload":                         {demand: 1.35, minValue: 0.57, minUrgent: 0.8},
+		"half of the boxes stop":           {demand: 0.85, stopBoxes: true, minValue: 0.97, minUrgent: 0.97},
+		"half of the boxes start":          {demand: 1.35, startBoxes: true, minValue: 0.55, minUrgent: 0.75},
+		"network partition":                {demand: 1.35, partitioned: true, minValue: 0.57, minUrgent: 0.75},
+		"overload, an upstream is removed": {demand: 1, loseUpstream: true, minValue: 0.47, minUrgent: 0.55},
 	}
 	for kind, k := range kinds {
 		for name, tt := range tests {
@@ -344,12 +344,12 @@
 					synctest.Test(t, func(t *testing.T) {
 						is := is.New(t)
 						l := k
-						l.boxes, l.times, l.vanishes, l.slow = boxes, tt.times, tt.vanishes, tt.slow
-						l.die, l.start, l.parted = tt.die, tt.start, tt.parted
-						got := newWorld(l).play()
-						t.Logf("worth %.3f %+v", got.worth(), got)
-						is.True(got.worth() >= tt.worth)
-						is.True(float64(got.urgentInTime) >= tt.urgent*float64(got.urgent))
+						l.boxes, l.demand, l.loseUpstream, l.slowdown = boxes, tt.demand, tt.loseUpstream, tt.slowdown
+						l.stopBoxes, l.startBoxes, l.partitioned = tt.stopBoxes, tt.startBoxes, tt.partitioned
+						got := newWorld(l).run()
+						t.Logf("value %.3f %+v", got.value(), got)
+						is.True(got.value() >= tt.minValue)
+						is.True(float64(got.urgentInTime) >= tt.minUrgent*float64(got.urgent))
 					})
 				})
 			}
--- a/balance/places/service.go
+++ b/balance/places/service.go
@@ -12,153 +12,159 @@
 )
 
 const (
-	// lookEvery is how old what is known of upstreams may be: less than the period
-	// in which boxes hear of each other.
-	lookEvery = 100 * time.Millisecond
-	// useOver is over how long the use of places is averaged: several times as long
-	// as the news of it takes, else all boxes swing from one upstream to the next.
-	useOver = time.Second
-	// crowdedFrom is from which part of what upstreams can do on requests wait at
-	// the box: below it lines at upstreams end by themselves, and all boxes share them.
-	crowdedFrom = 1.0
-	// idleBelow is below which use of places nobody waits at a box, whatever was
-	// reckoned: an upstream that could have served is worse than a short line there.
-	idleBelow = 0.5
-	// learnPart is the part of what is known that each answer replaces: some ten
-	// answers, so that one slow answer is no verdict.
-	learnPart = 1.0 / 16
-	// metLeast is from how many answers on a box's own mean is better than the others'
-	// word: then a tenth is left of how far off the first one was, one of 16 or less.
-	metLeast = 32
-	// answerPart is the part of the aim that answers may take in a crowd; the rest is
-	// for the wait at the box and the way. Work that is longer may take lineMost times
-	// as long as it does alone.
-	answerPart = 0.5
-	lineMost   = 1.5
-	// moreEach and lessEach are by how much each answer corrects what upstreams can do
-	// that took less than it may, or more: a box with five answers a second then
-	// corrects a fifth in a second, more slowly than lines at upstreams fill.
-	moreEach = 1.04
-	lessEach = 0.96
-	// leastCorrection and mostCorrection bound that: the time of an answer is up to a
-	// half longer than its work, and work may take longer in a crowd.
-	leastCorrection = 0.7
-	mostCorrection  = 1.5
-	// goMore is how many times what limited upstreams take is let go to them: what is too
-	// much is refused by who gives it out. A box that finds nothing at one upstream does
-	// not know which other has something.
-	goMore = 2
-	// saved is how many requests a box may send at once after a pause: with fewer, what
-	// a box is not asked for in one moment could not be made up for in the next.
-	saved = 5.0
+	// checkInterval is the maximum age of the state of upstreams. It is less than the
+	// interval in which boxes report to each other.
+	checkInterval = 100 * time.Millisecond
+	// utilizationWindow is the time constant of the mean utilization. It is several
+	// times as long as the delay of reports, else all boxes swing from one upstream to
+	// the next.
+	utilizationWindow = time.Second
+	// overloadThreshold is the fraction of the capacity at which requests are queued at
+	// the boxes: below it queues at upstreams drain by themselves, and all boxes share
+	// them.
+	overloadThreshold = 1.0
+	// idleUtilization is the utilization below which no request is queued at a box,
+	// whatever capacity was estimated: an idle upstream is worse than a short queue
+	// there.
+	idleUtilization = 0.5
+	// learningRate is the weight of each answer in the moving means, so that one slow
+	// answer hardly changes them.
+	learningRate = 1.0 / 16
+	// minSamples is the number of answers from which a box trusts its own mean rather
+	// than the one reported by the others. The error of the first sample has decayed to
+	// an eighth by then.
+	minSamples = 32
+	// answerFraction is the fraction of the latency target that answers may take in an
+	// overload; the rest is for the queue at the box and the network. Answers whose
+	// service time is longer may take maxQueueFactor times that.
+	answerFraction = 0.5
+	maxQueueFactor = 1.5
+	// increaseFactor and decreaseFactor are applied to the capacity correction with
+	// each answer that took less than it may, or more. At five answers per second the
+	// correction changes by a fifth per second, more slowly than queues at upstreams
+	// fill.
+	increaseFactor = 1.04
+	decreaseFactor = 0.96
+	// minCorrection and maxCorrection bound the correction: latencies exceed the
+	// service time by up to a half, and the service time may rise under load.
+	minCorrection = 0.7
+	maxCorrection = 1.5
+	// limitedOvercommit is how many times the rate of limited upstreams is sent to
+	// them: the owner of a limit refuses the excess, and a box that is refused at one
+	// upstream does not know which other has capacity left.
+	limitedOvercommit = 2
+	// maxBurst is the size of the token bucket: with fewer tokens a box could not make
+	// up for moments without requests.
+	maxBurst = 5.0
 )
 
-// upstream is what this box knows of one.
+// upstream is the state of one upstream as seen by this box.
 type upstream struct {
-	own   int           // of this box that run there
-	use   float64       // mean share of its places that are taken
-	takes time.Duration // for an answer, in the mean of late; 0 if not known
-	work  time.Duration // the same while few of its places were taken
-	press float64       // how many times what its limit gives this box asks there
+	inFlight     int           // requests of this box
+	utilization  float64       // mean fraction of its slots in use
+	latency      time.Duration // moving mean of the answer time; 0 if unknown
+	serviceTime  time.Duration // the same at low utilization; 0 if unknown
+	requestRatio float64       // requests sent there as a multiple of its limit
 }
 
-// service is what this box knows of the upstreams of a service.
+// service is the state of a service and its upstreams as seen by this box.
 type service struct {
-	service    route.Service
-	upstreams  map[string]*upstream
-	began      time.Time // to be known
-	looked     time.Time
-	known      bool          // use was looked at before
-	use        float64       // mean share of all places that are taken
-	near       float64       // of those of the box's own hall
-	nearFree   float64       // of these, but those that name a limit
-	slots      float64       // that can be counted on
-	can        float64       // requests a second that those can do that name no limit below it; 0 if not known
-	limited    float64       // requests a second that the others take
-	work       time.Duration // met by this box; 0 if not known
-	met        int           // answers that it was learned from
-	toldWork   time.Duration // by the other boxes; 0 if not known
-	takes      time.Duration // for an answer, in the mean of late
-	asked      rate          // of this box
-	ranks      map[int]*rate // the same by urgency
-	all        float64       // requests a second that all boxes are asked for
-	correction float64
-	rate       float64 // this box's part, in requests a second
-	tokens     float64 // that may be sent now
-	filled     time.Time
-	waiting    []*waiter
-	timer      bool // one is set
-	wasCrowded bool // as was logged last
+	service             route.Service
+	upstreams           map[string]*upstream
+	createdAt           time.Time
+	checkedAt           time.Time
+	checked             bool          // refresh has run before
+	utilization         float64       // mean fraction of all slots in use
+	localUtilization    float64       // the same in the box's own hall
+	localUnlimited      float64       // the same without limited upstreams
+	slots               float64       // slots of unlimited upstreams, less their failing fraction
+	capacity            float64       // requests per second of unlimited upstreams; 0 if unknown
+	limitedCapacity     float64       // requests per second of limited upstreams
+	serviceTime         time.Duration // mean answer time at low utilization, measured by this box; 0 if unknown
+	samples             int           // answers in serviceTime
+	reportedServiceTime time.Duration // the same, reported by the other boxes; 0 if unknown
+	latency             time.Duration // moving mean of the answer time
+	requests            rate          // at this box
+	byUrgency           map[int]*rate // the same by urgency
+	totalDemand         float64       // requests per second at all boxes
+	correction          float64       // factor on capacity, learned from answer times in an overload
+	allowedRate         float64       // this box's allocation, in requests per second
+	tokens              float64       // requests that may be sent now
+	refilledAt          time.Time
+	waiting             []*waiter
+	timerSet            bool
+	wasOverloaded       bool // as last logged
 }
 
 func newService(now time.Time, r route.Service) *service {
-	return &service{service: r, upstreams: map[string]*upstream{}, ranks: map[int]*rate{}, correction: 1, filled: now, began: now}
+	return &service{service: r, upstreams: map[string]*upstream{}, byUrgency: map[int]*rate{}, correction: 1, refilledAt: now, createdAt: now}
 }
 
 func (s *service) upstream(id string) *upstream {
 	u, ok := s.upstreams[id]
 	if !ok {
-		u = &upstream{press: pressFirst}
+		u = &upstream{requestRatio: initialRequestRatio}
 		s.upstreams[id] = u
 	}
 	return u
 }
 
-// look takes how much the upstreams are used into the means.
-func (s *service) look(now time.Time, list []picker.Choice, hall string, failing func(time.Time, string) float64, limits Limits) {
-	part := 1.0
-	if s.known {
-		part = 1 - fade(now.Sub(s.looked), useOver)
+// refresh updates the moving means of the utilization and the capacity estimates.
+func (s *service) refresh(now time.Time, list []picker.Choice, hall string, failing func(time.Time, string) float64, limits Limits) {
+	weight := 1.0
+	if s.checked {
+		weight = 1 - decay(now.Sub(s.checkedAt), utilizationWindow)
 	}
-	s.looked, s.known = now, true
-	var use, near, nearSlots, nearFree, nearFreeSlots float64
-	s.slots, s.can, s.limited = 0, 0, 0
+	s.checkedAt, s.checked = now, true
+	var used, local, localSlots, localUnlimited, localUnlimitedSlots float64
+	s.slots, s.capacity, s.limitedCapacity = 0, 0, 0
 	kept := map[string]*upstream{}
 	for _, c := range list {
 		u, slots := s.upstream(c.Upstream.ID), float64(max(c.Upstream.Slots, 1))
 		kept[c.Upstream.ID] = u
-		u.use += (float64(c.Running.Requests)/slots - u.use) * part
-		sound := slots * (1 - failing(now, c.Upstream.ID))
+		u.utilization += (float64(c.Running.Requests)/slots - u.utilization) * weight
+		healthy := slots * (1 - failing(now, c.Upstream.ID))
 		if c.Upstream.Hall == hall {
-			near += u.use * sound
-			nearSlots += sound
+			local += u.utilization * healthy
+			localSlots += healthy
 		}
-		work := s.workOf(u)
+		work := s.serviceTimeOf(u)
 		if limit, ok := limitOf(limits, c.Upstream.ID); ok && (work == 0 || limit < slots/work.Seconds()) {
-			s.limited += limit * sound / slots // its places are free, and yet not to be had
+			s.limitedCapacity += limit * healthy / slots // its free slots can't be used
 			continue
 		}
-		s.slots += sound
+		s.slots += healthy
 		if work > 0 {
-			s.can += sound / work.Seconds()
+			s.capacity += healthy / work.Seconds()
 		}
-		use += u.use * sound
+		used += u.utilization * healthy
 		if c.Upstream.Hall == hall {
-			nearFree += u.use * sound
-			nearFreeSlots += sound
+			localUnlimited += u.utilization * healthy
+			localUnlimitedSlots += healthy
 		}
 	}
 	for id, u := range s.upstreams {
-		if u.own > 0 {
+		if u.inFlight > 0 {
 			kept[id] = u
 		}
 	}
 	s.upstreams = kept
-	s.use, s.near, s.nearFree = use/max(s.slots, 1), over(near, nearSlots), over(nearFree, nearFreeSlots)
-	if s.slots == 0 && s.limited > 0 {
-		s.use = 1
+	s.utilization, s.localUtilization, s.localUnlimited = used/max(s.slots, 1), utilizationOf(local, localSlots), utilizationOf(localUnlimited, localUnlimitedSlots)
+	if s.slots == 0 && s.limitedCapacity > 0 {
+		s.utilization = 1
 	}
 }
 
-// over returns a part of some places; all, where there is none.
-func over(used, slots float64) float64 {
+// utilizationOf returns the fraction of slots in use; 1 if there are none.
+func utilizationOf(used, slots float64) float64 {
 	if slots == 0 {
 		return 1
 	}
 	return used / slots
 }
 
-// limitOf returns how much is given out of what an upstream takes; false if it takes all.
+// limitOf returns how many requests per second may be sent to a limited upstream; false
+// if it has no limit.
 func limitOf(limits Limits, upstream string) (perSecond float64, limited bool) {
 	if limits == nil {
 		return 0, false
@@ -166,227 +172,233 @@
 	return limits.Limit(upstream)
 }
 
-// total is how many requests a second the upstreams can do and take; 0 if not known.
-func (s *service) total() float64 {
-	if s.can == 0 && s.slots > 0 {
+// totalCapacity returns the requests per second that all upstreams can serve; 0 if
+// unknown.
+func (s *service) totalCapacity() float64 {
+	if s.capacity == 0 && s.slots > 0 {
 		return 0
 	}
-	return s.can*s.correction + s.limited
+	return s.capacity*s.correction + s.limitedCapacity
 }
 
-// workOf returns how long an upstream works on a request; 0 if not known. A box that
-// has met few answers, as it has just started, takes the others' word.
-func (s *service) workOf(u *upstream) time.Duration {
-	if s.met < metLeast {
-		return cmp.Or(min(s.toldWork, s.usual()), s.work)
+// serviceTimeOf returns how long an upstream works on a request; 0 if unknown. A box
+// with few samples, as after a start, uses the mean reported by the others.
+func (s *service) serviceTimeOf(u *upstream) time.Duration {
+	if s.samples < minSamples {
+		return cmp.Or(min(s.reportedServiceTime, s.answerTime()), s.serviceTime)
 	}
-	return cmp.Or(u.work, s.work)
+	return cmp.Or(u.serviceTime, s.serviceTime)
 }
 
-// word is what this box tells of what it is asked for. Of few answers it tells too: the
-// mean of many boxes is taken.
-func (s *service) word(asked float64) demand {
-	if s.work == 0 {
-		return demand{asked: asked}
+// report returns the demand to report to other boxes. It includes the service time of
+// few samples too, as the receivers take the mean of many boxes.
+func (s *service) report(rate float64) demand {
+	if s.serviceTime == 0 {
+		return demand{requests: rate}
 	}
-	return demand{asked: asked, known: asked, busy: asked * s.work.Seconds()}
+	return demand{requests: rate, timed: rate, busySlots: rate * s.serviceTime.Seconds()}
 }
 
-// crowded tells whether the boxes are asked for more than the upstreams can do.
-func (s *service) crowded() bool {
-	return s.total() > 0 && s.all > crowdedFrom*s.total() && s.use >= idleBelow
+// overloaded reports whether the demand at all boxes exceeds the capacity of the
+// upstreams.
+func (s *service) overloaded() bool {
+	return s.totalCapacity() > 0 && s.totalDemand > overloadThreshold*s.totalCapacity() && s.utilization >= idleUtilization
 }
 
-// fields adds what is believed of the service to a log line.
+// fields adds the state of the service to a log line.
 func (s *service) fields(now time.Time, log *logrus.Entry) *logrus.Entry {
 	return log.WithFields(logrus.Fields{
-		"service": s.service.Name, "asked": int(s.asked.a(now)), "all_asked": int(s.all), "can": int(s.can), "limited": int(s.limited), "rate": int(s.rate), "use_pct": int(100 * s.use),
-		"correction_pct": int(100 * s.correction), "usual_ms": s.usual().Milliseconds(), "waiting": len(s.waiting),
+		"service": s.service.Name, "asked": int(s.requests.perSecond(now)), "all_asked": int(s.totalDemand), "can": int(s.capacity), "limited": int(s.limitedCapacity), "rate": int(s.allowedRate), "use_pct": int(100 * s.utilization),
+		"correction_pct": int(100 * s.correction), "usual_ms": s.answerTime().Milliseconds(), "waiting": len(s.waiting),
 	})
 }
 
-// demand is what this box is asked for, in requests a second: no less than those who
-// wait, who may have come some time ago.
+// demand returns the requests per second at this box, including queued ones that
+// arrived earlier.
 func (s *service) demand(now time.Time) float64 {
-	return max(s.asked.a(now), float64(len(s.waiting))/rateOver.Seconds())
+	return max(s.requests.perSecond(now), float64(len(s.waiting))/rateWindow.Seconds())
 }
 
-// passes tells whether who waits at this box is passed by those who come, who can be in
-// time: where limits are most of what there is, it is little and known, and no crowd
-// that ends by itself.
-func (s *service) passes(now time.Time) bool {
-	return s.limited > s.can*s.correction && s.asked.a(now) > s.rate
+// overtaken reports whether new requests, which can still be in time, overtake the
+// queued ones: where limited upstreams provide most of the capacity, that is small and
+// known, and the overload does not end by itself.
+func (s *service) overtaken(now time.Time) bool {
+	return s.limitedCapacity > s.capacity*s.correction && s.requests.perSecond(now) > s.allowedRate
 }
 
-// part returns this box's part of what the upstreams can do.
-func (s *service) part(now time.Time) float64 {
-	if s.all == 0 {
-		return s.can + s.limited
+// allocation returns this box's allocation of the upstreams' capacity.
+func (s *service) allocation(now time.Time) float64 {
+	if s.totalDemand == 0 {
+		return s.capacity + s.limitedCapacity
 	}
-	return max((s.can*s.correction+goMore*s.limited)*s.demand(now)/s.all, tellFrom)
+	return max((s.capacity*s.correction+limitedOvercommit*s.limitedCapacity)*s.demand(now)/s.totalDemand, minReportedRate)
 }
 
-// ask notes one more request. Further tries of one are not asked for anew.
-func (s *service) ask(now time.Time, a Request) {
-	if len(a.Want.Avoid) > 0 {
+// recordRequest counts a new request. Further tries of a request are not counted.
+func (s *service) recordRequest(now time.Time, req Request) {
+	if len(req.Want.Avoid) > 0 {
 		return
 	}
-	s.asked.add(now, 1)
-	r, ok := s.ranks[a.Urgency]
+	s.requests.add(now, 1)
+	r, ok := s.byUrgency[req.Urgency]
 	if !ok {
 		r = &rate{}
-		s.ranks[a.Urgency] = r
+		s.byUrgency[req.Urgency] = r
 	}
 	r.add(now, 1)
 }
 
-// goesFirst tells whether all that is as urgent as a request fits into this box's
-// part: then it need not wait, and what is less urgent makes up for it.
-func (s *service) goesFirst(now time.Time, w *waiter) bool {
-	return w.over <= 0 && s.fits(now, w.ask.Urgency) && s.tokens > -saved
+// skipsQueue reports whether a request is sent at once, because all requests at least
+// as urgent fit into this box's allocation; less urgent ones make up for it.
+func (s *service) skipsQueue(now time.Time, w *waiter) bool {
+	return w.excess <= 0 && s.fits(now, w.request.Urgency) && s.tokens > -maxBurst
 }
 
-// fits tells whether all that is as urgent fits into this box's part. One that comes
-// after a while counts for more than it is, and is left out where others make up for it:
-// of 77 boxes before limited upstreams each has one in ten seconds.
+// fits reports whether all requests at least as urgent fit into this box's allocation.
+// Where less urgent ones can make up for it, the request itself is not counted: a
+// request that comes after a pause weighs more in the rate than it is, and a box in a
+// large fleet may have a single request in many seconds.
 func (s *service) fits(now time.Time, urgency int) bool {
-	asked, others := 0.0, 0.0
-	for of, r := range s.ranks {
-		if of <= urgency {
-			asked += r.a(now)
+	own, others := 0.0, 0.0
+	for u, r := range s.byUrgency {
+		if u <= urgency {
+			own += r.perSecond(now)
 		} else {
-			others += r.a(now)
+			others += r.perSecond(now)
 		}
 	}
 	if others > 0 {
-		asked -= 1 / rateOver.Seconds()
+		own -= 1 / rateWindow.Seconds()
 	}
-	return asked <= s.rate
+	return own <= s.allowedRate
 }
 
-// refill adds what may be sent by now.
+// refill adds tokens for the time since the last refill.
 func (s *service) refill(now time.Time) {
-	if !s.crowded() {
-		s.tokens, s.filled = 1, now
+	if !s.overloaded() {
+		s.tokens, s.refilledAt = 1, now
 		return
 	}
-	s.tokens = min(s.tokens+s.rate*now.Sub(s.filled).Seconds(), saved)
-	s.filled = now
+	s.tokens = min(s.tokens+s.allowedRate*now.Sub(s.refilledAt).Seconds(), maxBurst)
+	s.refilledAt = now
 }
 
-// next returns when the next may be sent.
-func (s *service) next() time.Duration {
-	return seconds((1-min(s.tokens, 1))/s.rate) + time.Microsecond
+// nextToken returns how long it takes until the next request may be sent.
+func (s *service) nextToken() time.Duration {
+	return seconds((1-min(s.tokens, 1))/s.allowedRate) + time.Microsecond
 }
 
-// clears returns how long it takes to serve all who wait.
-func (s *service) clears() time.Duration { return seconds(float64(len(s.waiting)+1) / s.rate) }
+// drainTime returns how long it takes to send all queued requests.
+func (s *service) drainTime() time.Duration {
+	return seconds(float64(len(s.waiting)+1) / s.allowedRate)
+}
 
-// usual is how long an answer takes once a request is sent.
-func (s *service) usual() time.Duration { return max(s.takes, s.work) }
+// answerTime returns how long an answer takes once a request is sent.
+func (s *service) answerTime() time.Duration { return max(s.latency, s.serviceTime) }
 
-// answered takes how long an answer took into the means. Work is learned while few
-// places are taken, as far as the box has had time to know: else it would be the line
-// that is learned. What was learned in the first moment of a crowd, before it was known,
-// is mended by answers that take less: none takes less than its work.
+// answered adds the time of an answer to the means. The service time is learned only at
+// low utilization, once it has been observed for a while, as it would else include
+// queueing at the upstream. A service time that was learned in the first moments of an
+// overload is corrected by shorter answers: none is shorter than its service time.
 func (s *service) answered(u *upstream, took, aim time.Duration) {
-	learn(&u.takes, took)
-	learn(&s.takes, took)
-	if u.use < idleBelow && s.looked.Sub(s.began) >= useOver {
-		learn(&u.work, took)
-		learn(&s.work, took)
-		s.met++
+	updateMean(&u.latency, took)
+	updateMean(&s.latency, took)
+	if u.utilization < idleUtilization && s.checkedAt.Sub(s.createdAt) >= utilizationWindow {
+		updateMean(&u.serviceTime, took)
+		updateMean(&s.serviceTime, took)
+		s.samples++
 	}
-	u.work, s.work = min(u.work, u.takes), min(s.work, s.takes)
-	may := max(time.Duration(answerPart*float64(aim)), time.Duration(lineMost*float64(s.work)))
+	u.serviceTime, s.serviceTime = min(u.serviceTime, u.latency), min(s.serviceTime, s.latency)
+	allowed := max(time.Duration(answerFraction*float64(aim)), time.Duration(maxQueueFactor*float64(s.serviceTime)))
 	switch {
-	case !s.crowded():
-		s.correction += (1 - s.correction) * learnPart
-	case took > may:
-		s.correction = max(s.correction*lessEach, leastCorrection)
+	case !s.overloaded():
+		s.correction += (1 - s.correction) * learningRate
+	case took > allowed:
+		s.correction = max(s.correction*decreaseFactor, minCorrection)
 	default:
-		s.correction = min(s.correction*moreEach, mostCorrection)
+		s.correction = min(s.correction*increaseFactor, maxCorrection)
 	}
 }
 
-func learn(mean *time.Duration, took time.Duration) {
+func updateMean(mean *time.Duration, took time.Duration) {
 	if *mean == 0 {
 		*mean = took
 		return
 	}
-	*mean += time.Duration(float64(took-*mean) * learnPart)
+	*mean += time.Duration(float64(took-*mean) * learningRate)
 }
 
-// waitOf returns how long a request would wait in line.
-func (s *service) waitOf(now time.Time, w *waiter) time.Duration {
+// queueWait returns how long a request would be queued.
+func (s *service) queueWait(now time.Time, w *waiter) time.Duration {
 	ahead := 0
 	for _, o := range s.waiting {
-		if before(now, s.usual(), o, w) < 0 {
+		if compare(now, s.answerTime(), o, w) < 0 {
 			ahead++
 		}
 	}
-	return seconds(max(float64(ahead)+1-s.tokens, 0) / s.rate)
+	return seconds(max(float64(ahead)+1-s.tokens, 0) / s.allowedRate)
 }
 
-// waiter is a request in line.
+// waiter is a queued request.
 type waiter struct {
-	ask      Request
+	request  Request
 	service  *service
-	over     float64    // by how much its organisation is over its share
-	released chan error // nil: it may go
+	excess   float64    // by how much its organisation exceeds its share
+	released chan error // nil: it may be sent
 }
 
-// before orders those in line.
-func before(now time.Time, usual time.Duration, a, b *waiter) int {
-	inTime := func(w *waiter) bool { return !now.Add(usual).After(w.ask.aimAt()) }
+// compare orders queued requests: those that can still be in time first, then by excess,
+// urgency and due time.
+func compare(now time.Time, usual time.Duration, a, b *waiter) int {
+	inTime := func(w *waiter) bool { return !now.Add(usual).After(w.request.due()) }
 	switch {
 	case inTime(a) != inTime(b):
-		return truth(inTime(b)) - truth(inTime(a))
-	case a.over != b.over:
-		return truth(a.over > b.over) - truth(a.over < b.over)
-	case a.ask.Urgency != b.ask.Urgency:
-		return a.ask.Urgency - b.ask.Urgency
+		return toInt(inTime(b)) - toInt(inTime(a))
+	case a.excess != b.excess:
+		return toInt(a.excess > b.excess) - toInt(a.excess < b.excess)
+	case a.request.Urgency != b.request.Urgency:
+		return a.request.Urgency - b.request.Urgency
 	case !inTime(a):
-		return a.ask.Deadline.Compare(b.ask.Deadline)
+		return a.request.Deadline.Compare(b.request.Deadline)
 	}
-	return a.ask.aimAt().Compare(b.ask.aimAt())
+	return a.request.due().Compare(b.request.due())
 }
 
-func truth(b bool) int {
+func toInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// hopeless returns those in line who could not be answered before their callers
-// leave, or are passed by newer ones until then.
-func (s *service) hopeless(now time.Time) []*waiter {
+// expired returns the queued requests that could not be answered before their deadline,
+// or that newer requests will overtake until then.
+func (s *service) expired(now time.Time) []*waiter {
 	var list []*waiter
-	passed := s.passes(now)
+	overtaken := s.overtaken(now)
 	for _, w := range s.waiting {
-		if now.Add(s.usual()).After(w.ask.Deadline) || passed && !now.Before(w.ask.lineUntil()) {
+		if now.Add(s.answerTime()).After(w.request.Deadline) || overtaken && !now.Before(w.request.queueUntil()) {
 			list = append(list, w)
 		}
 	}
 	return list
 }
 
-// lookIn returns in how long those in line are to be looked at again.
-func (s *service) lookIn(now time.Time) time.Duration {
-	in := min(s.next(), lookEvery)
-	if !s.passes(now) {
+// nextCheck returns how long it takes until the queue has to be checked again.
+func (s *service) nextCheck(now time.Time) time.Duration {
+	in := min(s.nextToken(), checkInterval)
+	if !s.overtaken(now) {
 		return in
 	}
 	for _, w := range s.waiting {
-		in = min(in, max(w.ask.lineUntil().Sub(now), time.Microsecond))
+		in = min(in, max(w.request.queueUntil().Sub(now), time.Microsecond))
 	}
 	return in
 }
 
 func (s *service) releaseFirst(now time.Time) {
-	first := slices.MinFunc(s.waiting, func(a, b *waiter) int { return before(now, s.usual(), a, b) })
-	s.leave(first)
+	first := slices.MinFunc(s.waiting, func(a, b *waiter) int { return compare(now, s.answerTime(), a, b) })
+	s.remove(first)
 	first.released <- nil
 }
 
@@ -397,16 +409,17 @@
 	s.waiting = nil
 }
 
-func (s *service) leave(w *waiter) {
+func (s *service) remove(w *waiter) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(o *waiter) bool { return o == w })
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// slower returns how much an upstream's answers take longer than all answers do.
-func (s *service) slower(u *upstream) float64 {
-	if u.takes == 0 || s.takes == 0 {
+// slowdown returns by what factor an upstream's answers take longer than the mean of
+// the service; 1 if they don't.
+func (s *service) slowdown(u *upstream) float64 {
+	if u.latency == 0 || s.latency == 0 {
 		return 1
 	}
-	return max(float64(u.takes)/float64(s.takes), 1)
+	return max(float64(u.latency)/float64(s.latency), 1)
 }
