--- a/balance/shares/shares.go
+++ b/balance/shares/shares.go
@@ -1,7 +1,7 @@
-// Package shares tells what part of what there is each organisation may have, and
-// which was given more: when not all can be served, who asks for more than its share
-// waits for the others. Work is memory times time, in token-seconds on engines; any
-// other unit does where it is the same for all.
+// Package shares computes the fair share of each organisation when not all requests can
+// be served, and reports which organisations have used more: their requests wait for
+// those of the others. Work is memory times time, in token-seconds on engines; any
+// other unit will do if it is the same for all.
 package shares
 
 import (
@@ -19,339 +19,342 @@
 )
 
 const (
-	// span is over what work is remembered, and by that how much an organisation that
-	// sends nothing can have saved up: as long as callers wait for a long answer to
-	// begin. Within a shorter one an organisation that sends little is over its share
-	// by one request, and a longer one pays for what was done before a crowd.
-	span = 4 * time.Second
-	// floorPart of how often all are served each organisation is, whatever its rank or
-	// its share: less would be a service that is down for it.
-	floorPart = 0.5
-	// toldMost bounds how many organisations a box tells of, those with the most work
-	// first: the others are below any share that binds. A row has 60 bytes, what is
-	// told of loads some 3 KB.
-	toldMost = 32
-	// leastWork is forgotten: a thousandth of what the shortest request takes.
-	leastWork = 1.0
+	// window is the time constant with which past work decays, and so bounds what an
+	// idle organisation can save up. In a shorter window a single request exceeds the
+	// share of an organisation that sends few; a longer one charges for work from
+	// before the shortage.
+	window = 4 * time.Second
+	// starvedFraction is the fraction of the mean served fraction below which an
+	// organisation counts as starved, whatever its rank or share: to it the service
+	// would appear to be down.
+	starvedFraction = 0.5
+	// maxReported is the maximum number of organisations in a report, those with the
+	// most work first; the others are below any share that binds. It keeps a report to
+	// about 2 KB.
+	maxReported = 32
+	// minWork is the work below which an organisation is dropped: a thousandth of the
+	// shortest request.
+	minWork = 1.0
 )
 
-// Standing is how a party fares. Values are immutable.
+// Standing is the state of a party relative to its share. Values are immutable.
 type Standing struct {
-	Share    float64 // the work that it may be given within the span
-	Given    float64 // the work that it was given
-	Capped   bool    // it asks for more than its share
-	Fraction float64 // of what its rank is given, what those have who ask for more
+	Share    float64 // work that it may be given within the window
+	Given    float64 // work that it was given
+	Capped   bool    // its demand exceeds its share
+	Fraction float64 // fraction of its rank's capacity that goes to capped parties
 	Over     bool    // it was given more than its share
-	Starved  bool    // it is served less than floorPart as often as all
+	Starved  bool    // its served fraction is below starvedFraction of the mean
 }
 
-// Deficit is the work that an organisation has not been given of its share; below 0 it
+// Deficit returns the part of its share that a party has not been given; negative if it
 // was given more.
 func (s Standing) Deficit() float64 { return s.Share - s.Given }
 
-// Party is an organisation's requests of one rank. Ranks go before each other, shares
-// are those of the parties of a rank.
+// Party is an organisation's requests of one rank. More urgent ranks go first; shares
+// are computed among the parties of a rank.
 type Party struct {
 	Organisation string
-	Rank         int // 0 goes first
+	Rank         int // 0 is the most urgent
 }
 
-// key is the name of a party among others' words.
+// key returns the key of the party in reports of other boxes.
 func (p Party) key() string { return strconv.Itoa(p.Rank) + "/" + p.Organisation }
 
 func partyOf(key string) Party {
 	rank, organisation, _ := strings.Cut(key, "/")
-	n, _ := strconv.Atoi(rank) // keys are made here
+	n, _ := strconv.Atoi(rank) // keys come from Party.key
 	return Party{Organisation: organisation, Rank: n}
 }
 
-// account is what one party was given and refused, fading.
+// account is the decaying work that one party was given and refused.
 type account struct {
-	at  time.Time
-	use use
+	at    time.Time
+	usage usage
 }
 
-// faded returns the account's use now.
-func (a account) faded(now time.Time) use {
-	kept := math.Exp(-now.Sub(a.at).Seconds() / span.Seconds())
-	return use{given: a.use.given * kept, refused: a.use.refused * kept}
+// decayed returns the usage at a time.
+func (a account) decayed(now time.Time) usage {
+	kept := math.Exp(-now.Sub(a.at).Seconds() / window.Seconds())
+	return usage{given: a.usage.given * kept, refused: a.usage.refused * kept}
 }
 
-// use is work within the span.
-type use struct{ given, refused float64 }
+// usage is work within the window.
+type usage struct{ given, refused float64 }
 
 // Plus implements peerstate.Sum.
-func (u use) Plus(o use) use { return use{u.given + o.given, u.refused + o.refused} }
+func (u usage) Plus(o usage) usage { return usage{u.given + o.given, u.refused + o.refused} }
 
 // Minus implements peerstate.Sum.
-func (u use) Minus(o use) use { return use{u.given - o.given, u.refused - o.refused} }
+func (u usage) Minus(o usage) usage { return usage{u.given - o.given, u.refused - o.refused} }
 
-// book is one count of all parties.
-type book map[Party]account
+// accounts is the work of all parties.
+type accounts map[Party]account
 
-func (b book) add(now time.Time, p Party, u use) {
-	b[p] = account{at: now, use: b[p].faded(now).Plus(u)}
+func (a accounts) add(now time.Time, p Party, u usage) {
+	a[p] = account{at: now, usage: a[p].decayed(now).Plus(u)}
 }
 
-// Shares is safe for use by several goroutines.
+// Shares computes the shares of one box. It is safe for concurrent use.
 type Shares struct {
 	weight func(organisation string) float64
 
-	mu      sync.Mutex
-	decided book // by this box, for all
-	own     book // of this box's callers, by whomever
-	others  *peerstate.Totals[use]
-	short   time.Time     // someone was last refused or waited
-	levels  map[int]level // by rank
-	served  float64       // part of the work decided that was given
-	demand  map[Party]use
-	waits   map[Party]float64
+	mu             sync.Mutex
+	decided        accounts // decided by this box, for all boxes' clients
+	own            accounts // of this box's clients, decided by any box
+	others         *peerstate.Totals[usage]
+	shortAt        time.Time     // when a request was last refused or queued
+	levels         map[int]level // by rank
+	servedFraction float64       // fraction of the demanded work that was given
+	demand         map[Party]usage
+	waiting        map[Party]float64
 }
 
-// New returns shares of organisations with these weights; nil for equal ones.
+// New returns Shares for organisations with these weights; nil for equal weights.
 func New(weight func(organisation string) float64) *Shares {
 	if weight == nil {
 		weight = func(string) float64 { return 1 }
 	}
-	return &Shares{weight: weight, decided: book{}, own: book{}, others: peerstate.New[use](), served: 1}
+	return &Shares{weight: weight, decided: accounts{}, own: accounts{}, others: peerstate.New[usage](), servedFraction: 1}
 }
 
-// Assigned notes that this box gave an organisation room for work.
+// Assigned records that this box gave a party capacity for work.
 func (s *Shares) Assigned(now time.Time, p Party, work float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.decided.add(now, p, use{given: work})
+	s.decided.add(now, p, usage{given: work})
 }
 
-// Refused notes that this box refused an organisation work, once for all tries of a
-// request: who repeats at once has no claim by that.
+// Refused records that this box refused a party work. It is called once for all tries
+// of a request, so that retries do not increase a party's demand.
 func (s *Shares) Refused(now time.Time, p Party, work float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.short = now
-	s.decided.add(now, p, use{refused: work})
+	s.shortAt = now
+	s.decided.add(now, p, usage{refused: work})
 }
 
-// RecordOwn notes what came of a request of this box's own caller, whoever decided it. It
-// is what others are told.
+// RecordOwn records the outcome of a request of this box's own client, whichever box
+// decided it. Only these are reported to other boxes.
 func (s *Shares) RecordOwn(now time.Time, p Party, work float64, given bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if given {
-		s.own.add(now, p, use{given: work})
+		s.own.add(now, p, usage{given: work})
 		return
 	}
-	s.short = now
-	s.own.add(now, p, use{refused: work})
+	s.shortAt = now
+	s.own.add(now, p, usage{refused: work})
 }
 
-// Waited notes that room is short: a request of any organisation found none at once.
-// Recompute cannot tell, as among those that wait are some that have come just now and
-// find room.
+// Waited records that capacity is short: a request could not be sent at once. Recompute
+// can't conclude this from the waiting work, which includes requests that have just
+// arrived and will find capacity.
 func (s *Shares) Waited(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.short = now
+	s.shortAt = now
 }
 
-// Recompute works the shares out anew: from the work that was given, and the work that
-// waits. What more urgent ranks take is not there for the others.
-func (s *Shares) Recompute(now time.Time, waits map[Party]float64) {
+// Recompute computes the shares from the work that was given, refused and is waiting.
+// Capacity used by more urgent ranks is not available to the others.
+func (s *Shares) Recompute(now time.Time, waiting map[Party]float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waits, s.demand = waits, s.uses(now)
-	sum, given, ranks := use{}, map[int]float64{}, map[int][]asker{}
-	for p, asks := range s.asks() {
+	s.waiting, s.demand = waiting, s.usages(now)
+	sum, given, ranks := usage{}, map[int]float64{}, map[int][]claim{}
+	for p, amount := range s.demands() {
 		u := s.demand[p]
 		sum = sum.Plus(u)
 		given[p.Rank] += u.given
-		ranks[p.Rank] = append(ranks[p.Rank], asker{weight: s.weight(p.Organisation), asks: asks})
+		ranks[p.Rank] = append(ranks[p.Rank], claim{weight: s.weight(p.Organisation), amount: amount})
 	}
-	s.served = sum.given / max(sum.given+sum.refused, leastWork)
+	s.servedFraction = sum.given / max(sum.given+sum.refused, minWork)
 	s.levels = map[int]level{}
-	if sum.given+sum.refused < leastWork {
-		return // a box that has just begun knows of no shares, and holds nobody to one
+	if sum.given+sum.refused < minWork {
+		return // nothing is known yet, so nobody is held to a share
 	}
-	room := sum.given
+	capacity := sum.given
 	for _, rank := range slices.Sorted(maps.Keys(ranks)) {
-		s.levels[rank] = fill(ranks[rank], room)
-		room -= given[rank]
+		s.levels[rank] = waterFill(ranks[rank], capacity)
+		capacity -= given[rank]
 	}
 }
 
-// asks returns the work that each party asks for: given, refused and waiting.
-func (s *Shares) asks() map[Party]float64 {
-	asks := maps.Clone(s.waits)
-	if asks == nil {
-		asks = map[Party]float64{}
+// demands returns the work that each party demands: given, refused and waiting.
+func (s *Shares) demands() map[Party]float64 {
+	demands := maps.Clone(s.waiting)
+	if demands == nil {
+		demands = map[Party]float64{}
 	}
 	for p, u := range s.demand {
-		asks[p] += u.given + u.refused
+		demands[p] += u.given + u.refused
 	}
-	return asks
+	return demands
 }
 
-// uses returns each party's work by all that is known: what this box decided, or what
-// all tell, whichever is more. One that keeps a queue only now has decided nothing, and
-// what it decided just now was not told yet.
-func (s *Shares) uses(now time.Time) map[Party]use {
-	uses := map[Party]use{}
+// usages returns the work of each party: what this box decided or what all boxes
+// report, whichever is more. A box that has just become the owner of a queue has
+// decided nothing, and its latest decisions have not been reported yet.
+func (s *Shares) usages(now time.Time) map[Party]usage {
+	usages := map[Party]usage{}
 	for key, u := range s.others.All(now) {
-		uses[partyOf(key)] = u
+		usages[partyOf(key)] = u
 	}
 	for p, a := range s.own {
-		uses[p] = uses[p].Plus(a.faded(now))
+		usages[p] = usages[p].Plus(a.decayed(now))
 	}
 	for p, a := range s.decided {
-		u, d := uses[p], a.faded(now)
-		if d.given+d.refused+u.given+u.refused < leastWork {
+		u, d := usages[p], a.decayed(now)
+		if d.given+d.refused+u.given+u.refused < minWork {
 			delete(s.decided, p)
 			continue
 		}
-		uses[p] = use{max(u.given, d.given), max(u.refused, d.refused)}
+		usages[p] = usage{max(u.given, d.given), max(u.refused, d.refused)}
 	}
-	return uses
+	return usages
 }
 
-// asker is a party with what it asks for.
-type asker struct {
+// claim is the demand of a party with its weight.
+type claim struct {
 	weight float64
-	asks   float64
+	amount float64
 }
 
-// level is up to what work each of a rank is given what it asks for.
+// level is the work up to which each party of a rank gets what it demands.
 type level struct {
-	work float64 // of one of weight 1; infinite while all is served
-	part float64 // of the room, what those have who ask for more
+	work     float64 // for weight 1; infinite while all demands are met
+	fraction float64 // fraction of the capacity that goes to capped parties
 }
 
-// fill returns the level up to which each party is given what it asks for, by its
-// weight, so that all together take the room; what one does not ask for goes to the
-// others.
-func fill(list []asker, room float64) level {
-	weights, all := 0.0, room
-	for _, a := range list {
-		weights += a.weight
+// waterFill returns the max-min fair level: each party gets its demand up to the level
+// times its weight, and capacity that one does not use goes to the others.
+func waterFill(list []claim, capacity float64) level {
+	weights, total := 0.0, capacity
+	for _, c := range list {
+		weights += c.weight
 	}
-	slices.SortFunc(list, func(a, b asker) int { return cmp.Compare(a.asks*b.weight, b.asks*a.weight) })
-	for _, a := range list {
-		if a.asks*weights > room*a.weight {
-			return level{work: max(room, 0) / weights, part: part(room, all)}
+	slices.SortFunc(list, func(a, b claim) int { return cmp.Compare(a.amount*b.weight, b.amount*a.weight) })
+	for _, c := range list {
+		if c.amount*weights > capacity*c.weight {
+			return level{work: max(capacity, 0) / weights, fraction: fractionLeft(capacity, total)}
 		}
-		room -= a.asks
-		weights -= a.weight
+		capacity -= c.amount
+		weights -= c.weight
 	}
-	return level{work: math.Inf(1), part: 1}
+	return level{work: math.Inf(1), fraction: 1}
 }
 
-// part returns what part of all the room is left for those who ask for more. Where a
-// rank was given nothing, nobody takes any of it before them.
-func part(room, all float64) float64 {
-	if all < leastWork {
+// fractionLeft returns the fraction of the capacity that is left for capped parties; 1
+// where the rank has none, as then nobody takes any before them.
+func fractionLeft(capacity, total float64) float64 {
+	if total < minWork {
 		return 1
 	}
-	return max(room, 0) / all
+	return max(capacity, 0) / total
 }
 
-// Standing returns how a party fares, as of the last time that shares were worked out.
+// Standing returns the state of a party as of the last Recompute.
 func (s *Shares) Standing(p Party) Standing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u := s.demand[p]
-	asks := u.given + u.refused + s.waits[p]
+	demand := u.given + u.refused + s.waiting[p]
 	l, ok := s.levels[p.Rank]
 	if !ok {
-		l = level{work: math.Inf(1), part: 1}
+		l = level{work: math.Inf(1), fraction: 1}
 	}
-	bound := l.work * s.weight(p.Organisation)
+	limit := l.work * s.weight(p.Organisation)
 	return Standing{
-		Share:    min(asks, bound),
+		Share:    min(demand, limit),
 		Given:    u.given,
-		Capped:   asks > bound,
-		Fraction: l.part,
-		Over:     u.given > bound,
-		Starved:  u.refused > 0 && u.given < floorPart*s.served*(u.given+u.refused),
+		Capped:   demand > limit,
+		Fraction: l.fraction,
+		Over:     u.given > limit,
+		Starved:  u.refused > 0 && u.given < starvedFraction*s.servedFraction*(u.given+u.refused),
 	}
 }
 
-// Own returns what this box's callers were given and refused, for its peers; nothing
-// while all is served.
+// Own returns what this box's clients were given and refused, for its report to other
+// boxes; nothing while capacity is not short.
 func (s *Shares) Own(now time.Time) []wire.OrganisationUse {
-	return listOf(s.shortUses(now))
+	return toWire(s.reportedUsages(now))
 }
 
-func (s *Shares) ownUses(now time.Time) map[string]use {
-	uses := map[string]use{}
+func (s *Shares) ownUsages(now time.Time) map[string]usage {
+	usages := map[string]usage{}
 	for p, a := range s.own {
-		u := a.faded(now)
-		if u.given+u.refused < leastWork {
+		u := a.decayed(now)
+		if u.given+u.refused < minWork {
 			delete(s.own, p)
 			continue
 		}
-		uses[p.key()] = u
+		usages[p.key()] = u
 	}
-	return uses
+	return usages
 }
 
-// Without returns what the callers of all boxes but one were given and refused, for
-// that one.
+// Without returns what the clients of all boxes but one were given and refused; that
+// one is the receiver.
 func (s *Shares) Without(now time.Time, box string) []wire.OrganisationUse {
-	uses := s.shortUses(now)
-	s.others.Without(now, box, uses)
-	return listOf(uses)
+	usages := s.reportedUsages(now)
+	s.others.Without(now, box, usages)
+	return toWire(usages)
 }
 
-// Part returns what the callers of this box and of those that tell it alone were given
-// and refused, for the boxes that do not hear them.
+// Part returns what the clients of this box and the boxes that report only to it were
+// given and refused, for the boxes to which they do not report.
 func (s *Shares) Part(now time.Time) []wire.OrganisationUse {
-	uses := s.shortUses(now)
-	s.others.Part(now, uses)
-	return listOf(uses)
+	usages := s.reportedUsages(now)
+	s.others.Part(now, usages)
+	return toWire(usages)
 }
 
-// shortUses returns this box's own; none while all is served.
-func (s *Shares) shortUses(now time.Time) map[string]use {
+// reportedUsages returns the usage of this box's clients; none while capacity is not
+// short.
+func (s *Shares) reportedUsages(now time.Time) map[string]usage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.short) > span {
-		return map[string]use{}
+	if now.Sub(s.shortAt) > window {
+		return map[string]usage{}
 	}
-	return s.ownUses(now)
+	return s.ownUsages(now)
 }
 
-// SetCoverage notes, before a box's word is taken, whether it tells this box alone.
+// SetCoverage records whether a box reports only to this one. It is called before
+// Update.
 func (s *Shares) SetCoverage(box string, only bool) { s.others.Covers(box, only, peerstate.Cover{}) }
 
-// listOf returns the parties with the most work.
-func listOf(uses map[string]use) []wire.OrganisationUse {
+// toWire returns the parties with the most work.
+func toWire(usages map[string]usage) []wire.OrganisationUse {
 	var list []wire.OrganisationUse
-	for key, u := range uses {
+	for key, u := range usages {
 		p := partyOf(key)
 		list = append(list, wire.OrganisationUse{Organisation: p.Organisation, Urgency: p.Rank, Given: int(u.given), Refused: int(u.refused)})
 	}
 	slices.SortFunc(list, func(a, b wire.OrganisationUse) int {
 		return cmp.Or(cmp.Compare(b.Given+b.Refused, a.Given+a.Refused), cmp.Compare(a.Organisation, b.Organisation))
 	})
-	return list[:min(len(list), toldMost)]
+	return list[:min(len(list), maxReported)]
 }
 
-// Update takes another box's word of its callers.
+// Update stores a report of another box.
 func (s *Shares) Update(now time.Time, box string, list []wire.OrganisationUse) {
-	s.others.Told(now, box, usesOf(list))
+	s.others.Told(now, box, fromWire(list))
 }
 
-// Older makes what other boxes told older: this box's machine was suspended.
+// Older ages the stored reports by the time for which this machine was suspended.
 func (s *Shares) Older(by time.Duration) { s.others.Older(by) }
 
-// UpdateSum takes a hub's word of all other boxes' callers.
+// UpdateSum stores the sum that a hub reports for all other boxes.
 func (s *Shares) UpdateSum(now time.Time, list []wire.OrganisationUse) {
-	s.others.ToldSum(now, usesOf(list))
+	s.others.ToldSum(now, fromWire(list))
 }
 
-func usesOf(list []wire.OrganisationUse) map[string]use {
-	uses := make(map[string]use, len(list))
+func fromWire(list []wire.OrganisationUse) map[string]usage {
+	usages := make(map[string]usage, len(list))
 	for _, u := range list {
-		uses[Party{u.Organisation, u.Urgency}.key()] = use{float64(u.Given), float64(u.Refused)}
+		usages[Party{u.Organisation, u.Urgency}.key()] = usage{float64(u.Given), float64(u.Refused)}
 	}
-	return uses
+	return usages
 }
