--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -29,13 +29,13 @@
 	// give up.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// retryWaitDivisor is the fraction of a client's remaining time that it may wait
-	// before it retries, so that enough is left to be served.
+	// retryWaitDivisor bounds the wait of a retry to that fraction (1/3) of the
+	// client's remaining time, so that enough is left to be served.
 	retryWaitDivisor = 3
-	// jitterDivisor is the fraction of Retry-After that is added as random jitter.
+	// jitterDivisor bounds the random jitter to that fraction (1/3) of Retry-After.
 	jitterDivisor = 3
-	// earlyDivisor is the fraction of the latency target within which a rejection costs
-	// a client little: its retry can still be served in time.
+	// earlyDivisor is the fraction (1/4) of the latency target within which a rejection
+	// costs a client little: its retry can still be served in time.
 	earlyDivisor = 4
 )
 
--- a/balance/speeds/cost.go
+++ b/balance/speeds/cost.go
@@ -9,49 +9,51 @@
 )
 
 const (
-	// lastingTokens is how much an answer has to come, at least, for its pauses to be
-	// at risk: what has less ends about as soon as the next prompt is read.
-	lastingTokens = 32
-	// hits is the chance that a prompt that is read beside a stream makes one of its
-	// events as long as they get: only whole pieces of prompts do, and not all at a
-	// time when an event is due. Of streams on engines that do not keep their pause a
-	// fifth to a quarter was made late by each prompt.
-	hits = 0.25
-	// spent is what a short answer costs at an engine that keeps its pause beside
-	// prompts, in long ones that are late: its prompt slows all that streams there, so
-	// that they hold their memory for longer, and long answers have no other engine.
-	spent = 0.05
+	// minRemainingTokens is the minimum number of tokens left of an answer for its gaps
+	// to be at risk: a shorter one ends about when the next prefill does.
+	minRemainingTokens = 32
+	// hitChance is the chance that a concurrent prefill makes an event of a stream as
+	// slow as events get: only whole chunks of prompts do, and not all of them when an
+	// event is due. A prefill makes a fifth to a quarter of the streams late on engines
+	// that don't keep the gap.
+	hitChance = 0.25
+	// shortCost is the cost, in late long answers, of a short answer at an engine that
+	// keeps the gap during prefills: its prefill slows all streams there, which hold
+	// their memory for longer, and long answers have no other engine.
+	shortCost = 0.05
 )
 
-// Need is what a request needs of an engine.
+// Need is what a request requires of an engine.
 type Need struct {
-	Gap   time.Duration // longest pause of a stream in time; 0 for any
-	First time.Duration // time that its first event has; 0 for any
-	Long  bool          // its answer streams for longer than its prompt is read
-	Moves bool          // it is a run that moves there: it has no prompt to be read
+	Gap   time.Duration // maximum gap between events of a stream; 0 for any
+	First time.Duration // maximum time to the first event; 0 for any
+	Long  bool          // its answer takes longer to stream than its prompt to prefill
+	Moves bool          // it is a run that moves to the engine, without a prefill
 }
 
-// String names it.
+// String implements fmt.Stringer.
 func (n Need) String() string { return fmt.Sprint(n.Gap, n.First, n.Long, n.Moves) }
 
-// cost is how many requests a request makes late at an engine where so many may yet be
-// made so, itself included.
-func (r risk) cost(n Need, inTime float64) float64 {
+// cost returns how many requests, itself included, a request makes late at an engine
+// where onTime streams are not late yet.
+func (r risk) cost(n Need, onTime float64) float64 {
 	cost := r.alone
 	if !n.Moves {
-		cost += r.beside * hits * inTime
+		cost += r.concurrent * hitChance * onTime
 	}
 	if !n.Long {
-		return cost + spent*(1-r.beside)
+		return cost + shortCost*(1-r.concurrent)
 	}
-	return cost + (1-r.alone)*r.beside*hits // by the next prompt that comes there
+	return cost + (1-r.alone)*r.concurrent*hitChance // by the next prefill there
 }
 
-// lasting is how many streams run there whose pauses are at risk.
-func lasting(l upstreamload.Load) float64 { return float64(min(l.Requests, l.Coming/lastingTokens)) }
+// streamsAtRisk returns the number of running streams whose gaps are at risk.
+func streamsAtRisk(l upstreamload.Load) float64 {
+	return float64(min(l.Requests, l.Coming/minRemainingTokens))
+}
 
-// Assigned notes that the keeper of a queue sends a request to an upstream where so much
-// runs: what it makes late there costs the next one nothing more.
+// Assigned records that the owner of a queue sends a request to an upstream. The
+// streams that it makes late there add nothing to the cost of the next request.
 func (s *Speeds) Assigned(now time.Time, u fleet.Upstream, n Need, l upstreamload.Load) {
 	if s == nil || n.Gap == 0 {
 		return
@@ -63,52 +65,52 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.given[u.ID] += r.beside * hits * s.inTime(u, l)
+	s.lateStreams[u.ID] += r.concurrent * hitChance * s.onTimeStreams(u, l)
 }
 
-// inTime returns how many streams at an upstream may be made late yet. A keeper that
-// has just begun takes all of them for such, as well as runs that moved there.
-func (s *Speeds) inTime(u fleet.Upstream, l upstreamload.Load) float64 {
-	there := lasting(l)
-	late, ok := s.given[u.ID]
+// onTimeStreams returns how many streams at an upstream are not late yet. An owner that
+// has just started assumes that none is late, and so it does for runs that moved there.
+func (s *Speeds) onTimeStreams(u fleet.Upstream, l upstreamload.Load) float64 {
+	running := streamsAtRisk(l)
+	late, ok := s.lateStreams[u.ID]
 	switch {
 	case !ok:
-		return there
-	case there == 0:
-		delete(s.given, u.ID) // what was late has ended
-	case late > there:
-		s.given[u.ID] = there
+		return running
+	case running == 0:
+		delete(s.lateStreams, u.ID) // the late streams have ended
+	case late > running:
+		s.lateStreams[u.ID] = running
 	}
-	return max(there-late, 0)
+	return max(running-late, 0)
 }
 
-// Evaluation is what an upstream is worth to a request.
+// Evaluation is the estimated effect of sending a request to an upstream.
 type Evaluation struct {
 	Cost         float64 // requests that it makes late there, itself included
-	LateChance   float64 // chance that its first event is late, by the prompts before it
-	PrefillRatio float64 // how many times as long as usual a prompt takes to be read
+	LateChance   float64 // chance that its first event is late because of prefills queued before it
+	PrefillRatio float64 // prefill time relative to the service's engines
 }
 
-// WithQueueWait returns it for a request that has usually so long to wait there for prompts
-// before it. Engines read more slowly than was reckoned where much runs beside, so that
-// the chance to be late grows with the square of the part of its time that they take.
-func (j Evaluation) WithQueueWait(n Need, line time.Duration) Evaluation {
+// WithQueueWait sets LateChance for a request that would usually wait that long for
+// earlier prefills. Prefill slows down under load, so that the chance grows with the
+// square of the fraction of the available time that the wait takes.
+func (e Evaluation) WithQueueWait(n Need, wait time.Duration) Evaluation {
 	if n.First > 0 && !n.Moves {
-		part := min(j.PrefillRatio*line.Seconds()/n.First.Seconds(), 1)
-		j.LateChance = part * part
+		fraction := min(e.PrefillRatio*wait.Seconds()/n.First.Seconds(), 1)
+		e.LateChance = fraction * fraction
 	}
-	return j
+	return e
 }
 
-// Evaluate weighs some upstreams of one service for a request; nil where nothing is known
-// of any.
+// Evaluate evaluates upstreams of one service for a request; nil where no speed is
+// known.
 func (s *Speeds) Evaluate(now time.Time, service string, list []fleet.Upstream, loads []upstreamload.Load, n Need) []Evaluation {
 	if s == nil || n.Gap == 0 || len(list) == 0 {
 		return nil
 	}
 	v := s.view(now, service)
 	risks := v.risks(n.Gap)
-	judged := make([]Evaluation, len(list))
+	evaluations := make([]Evaluation, len(list))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gaps[service] = n.Gap
@@ -117,7 +119,7 @@
 	}
 	for i, u := range list {
 		r := risks.of(u)
-		judged[i] = Evaluation{Cost: r.cost(n, s.inTime(u, loads[i])), PrefillRatio: r.reading}
+		evaluations[i] = Evaluation{Cost: r.cost(n, s.onTimeStreams(u, loads[i])), PrefillRatio: r.prefillRatio}
 	}
-	return judged
+	return evaluations
 }
--- a/balance/speeds/report.go
+++ b/balance/speeds/report.go
@@ -10,8 +10,8 @@
 	"petrelstep/wire"
 )
 
-// logClasses logs which engines are believed to be of another class than before, by
-// the pause that was last asked for.
+// logClasses logs the engines whose class has changed, for the last requested maximum
+// gap.
 func (s *Speeds) logClasses(now time.Time, service string, v *view) {
 	gap := s.gaps[service]
 	if gap == 0 {
@@ -23,17 +23,17 @@
 			continue
 		}
 		s.classes[key] = class
-		id, born := split(key)
+		id, born := splitKey(key)
 		s.log.WithFields(logrus.Fields{
 			"upstream": id, "born": born, "service": service, "class": class, "was": was, "gap_aim_ms": gap.Milliseconds(),
 			"alone_ms": speed.Alone().Milliseconds(), "beside_ms": speed.Concurrent().Milliseconds(), "read_us": speed.Prefill().Microseconds(),
-			"alone_weight": speed.alone.weight, "beside_weight": speed.beside.weight, "read_weight": speed.read.weight,
-			"age_ms": now.Sub(speed.seen).Milliseconds(),
+			"alone_weight": speed.alone.weight, "beside_weight": speed.concurrent.weight, "read_weight": speed.prefill.weight,
+			"age_ms": now.Sub(speed.lastSeen).Milliseconds(),
 		}).Info("engine_class")
 	}
 }
 
-// Beliefs returns what is believed of the engines of a service, by id, for operators.
+// Beliefs returns the estimates of a service's engines by id, for operators.
 func (s *Speeds) Beliefs(now time.Time, service string) []wire.UpstreamBelief {
 	if s == nil {
 		return nil
@@ -44,14 +44,14 @@
 	s.mu.Unlock()
 	list := []wire.UpstreamBelief{}
 	for key, speed := range v.speeds {
-		id, _ := split(key)
+		id, _ := splitKey(key)
 		class := Unknown
 		if gap > 0 {
 			class = speed.Class(gap)
 		}
 		list = append(list, wire.UpstreamBelief{
 			Upstream: id, Class: string(class), AloneMs: int(speed.Alone().Milliseconds()), BesideMs: int(speed.Concurrent().Milliseconds()),
-			ReadUs: int(speed.Prefill().Microseconds()), AgeMs: int(now.Sub(speed.seen).Milliseconds()),
+			ReadUs: int(speed.Prefill().Microseconds()), AgeMs: int(now.Sub(speed.lastSeen).Milliseconds()),
 		})
 	}
 	slices.SortFunc(list, func(x, y wire.UpstreamBelief) int { return strings.Compare(x.Upstream, y.Upstream) })
--- a/balance/speeds/speeds_test.go
+++ b/balance/speeds/speeds_test.go
@@ -17,10 +17,10 @@
 
 const gap = 180 * time.Millisecond
 
-// served is the fleet of a test.
-type served []fleet.Upstream
+// staticFleet is a fleet that does not change.
+type staticFleet []fleet.Upstream
 
-func (s served) Get(id string) (fleet.Upstream, bool) {
+func (s staticFleet) Get(id string) (fleet.Upstream, bool) {
 	at := slices.IndexFunc(s, func(u fleet.Upstream) bool { return u.ID == id })
 	if at < 0 {
 		return fleet.Upstream{}, false
@@ -28,36 +28,36 @@
 	return s[at], true
 }
 
-func (s served) Takes(id string) bool {
+func (s staticFleet) Takes(id string) bool {
 	_, ok := s.Get(id)
 	return ok
 }
 
-type noCount struct{}
+type noCounter struct{}
 
-func (noCount) LongPlaced(string) {}
+func (noCounter) LongPlaced(string) {}
 
 func engine(id string) fleet.Upstream { return fleet.Upstream{ID: id, Service: "llm"} }
 
 func newSpeeds(ids ...string) *Speeds {
-	var all served
+	var all staticFleet
 	for _, id := range ids {
 		all = append(all, engine(id))
 	}
-	return New(all, noCount{}, logs.New(io.Discard, "info", "b"))
+	return New(all, noCounter{}, logs.New(io.Discard, "info", "b"))
 }
 
-// streams passes a stream's events of so long each, of which each eighth is longer
-// beside a prompt, and returns when it ended.
-func streams(s *Speeds, now time.Time, id string, each, beside time.Duration, events int) time.Time {
+// playStream records a stream with events at a constant interval, each eighth of which
+// is slower during a prefill if concurrent is set, and returns when it ended.
+func playStream(s *Speeds, now time.Time, id string, interval, concurrent time.Duration, events int) time.Time {
 	stream := s.Stream(engine(id))
 	for i := range events {
-		step := each
-		if beside > 0 && i%8 == 7 {
-			step = beside
+		step := interval
+		if concurrent > 0 && i%8 == 7 {
+			step = concurrent
 		}
 		now = now.Add(step)
-		stream.Event(now, beside > 0)
+		stream.Event(now, concurrent > 0)
 	}
 	stream.End(now)
 	return now
@@ -65,67 +65,67 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// TestClass shows what an engine is taken to keep, by what was seen of it and its like.
+// TestClass checks the class of an engine by its own observations and those of others.
 func TestClass(t *testing.T) {
 	tests := map[string]struct {
-		see  func(s *Speeds, now time.Time) time.Time
-		want Class
+		observe func(s *Speeds, now time.Time) time.Time
+		want    Class
 	}{
-		"nothing": {func(_ *Speeds, now time.Time) time.Time { return now }, Unknown},
+		"no observations": {func(_ *Speeds, now time.Time) time.Time { return now }, Unknown},
 		"fast": {func(s *Speeds, now time.Time) time.Time {
-			return streams(s, now, "e", ms(16), ms(50), 180)
+			return playStream(s, now, "e", ms(16), ms(50), 180)
 		}, Concurrent},
-		"slow, no prompt was ever read": {func(s *Speeds, now time.Time) time.Time {
-			return streams(s, now, "e", ms(40), 0, 180)
+		"slow, without a prefill": {func(s *Speeds, now time.Time) time.Time {
+			return playStream(s, now, "e", ms(40), 0, 180)
 		}, Alone},
-		"slow beside a prompt": {func(s *Speeds, now time.Time) time.Time {
-			return streams(s, now, "e", ms(34), ms(110), 180)
+		"slow during a prefill": {func(s *Speeds, now time.Time) time.Time {
+			return playStream(s, now, "e", ms(34), ms(110), 180)
 		}, Alone},
 		"very slow": {func(s *Speeds, now time.Time) time.Time {
-			return streams(s, now, "e", ms(120), 0, 60)
+			return playStream(s, now, "e", ms(120), 0, 60)
 		}, Never},
-		"one lost packet": {func(s *Speeds, now time.Time) time.Time {
-			now = streams(s, now, "e", ms(16), 0, 180)
-			return streams(s, now.Add(ms(250)), "e", ms(16), 0, 48)
+		"one packet loss": {func(s *Speeds, now time.Time) time.Time {
+			now = playStream(s, now, "e", ms(16), 0, 180)
+			return playStream(s, now.Add(ms(250)), "e", ms(16), 0, 48)
 		}, Concurrent},
 		"noise of half a second": {func(s *Speeds, now time.Time) time.Time {
-			now = streams(s, now, "e", ms(16), ms(50), 180)
-			now = streams(s, now, "e", ms(40), ms(125), 12)
-			return streams(s, now, "e", ms(16), ms(50), 48)
+			now = playStream(s, now, "e", ms(16), ms(50), 180)
+			now = playStream(s, now, "e", ms(40), ms(125), 12)
+			return playStream(s, now, "e", ms(16), ms(50), 48)
 		}, Concurrent},
-		"turned slow for four seconds": {func(s *Speeds, now time.Time) time.Time {
-			now = streams(s, now, "e", ms(16), ms(50), 180)
-			return streams(s, now, "e", ms(80), ms(240), 50)
+		"slow for four seconds": {func(s *Speeds, now time.Time) time.Time {
+			now = playStream(s, now, "e", ms(16), ms(50), 180)
+			return playStream(s, now, "e", ms(80), ms(240), 50)
 		}, Alone},
-		"turned slow for six, no prompt read": {func(s *Speeds, now time.Time) time.Time {
-			now = streams(s, now, "e", ms(16), ms(50), 180)
-			return streams(s, now, "e", ms(80), 0, 75)
+		"slow for six seconds, without a prefill": {func(s *Speeds, now time.Time) time.Time {
+			now = playStream(s, now, "e", ms(16), ms(50), 180)
+			return playStream(s, now, "e", ms(80), 0, 75)
 		}, Alone},
-		"and back": {func(s *Speeds, now time.Time) time.Time {
-			now = streams(s, now, "e", ms(80), 0, 75)
-			return streams(s, now, "e", ms(16), ms(50), 400)
+		"recovered": {func(s *Speeds, now time.Time) time.Time {
+			now = playStream(s, now, "e", ms(80), 0, 75)
+			return playStream(s, now, "e", ms(16), ms(50), 400)
 		}, Concurrent},
-		"nothing streamed since": {func(s *Speeds, now time.Time) time.Time {
-			now = streams(s, now, "e", ms(40), 0, 180)
-			for range 40 { // as a box looks
+		"idle since": {func(s *Speeds, now time.Time) time.Time {
+			now = playStream(s, now, "e", ms(40), 0, 180)
+			for range 40 { // as a box refreshes its estimates
 				now = now.Add(time.Second)
 				s.Of(now, engine("e"))
 			}
 			return now
 		}, Alone},
-		"one short answer, by its like": {func(s *Speeds, now time.Time) time.Time {
-			for i, each := range []int{16, 34, 16, 34} {
-				streams(s, now, fmt.Sprint("like", i), ms(each), ms(3*each), 180)
-				s.RecordPrefill(now, engine(fmt.Sprint("like", i)), 3000, 3000*time.Duration(each)*5*time.Microsecond)
+		"one short answer, by other engines": {func(s *Speeds, now time.Time) time.Time {
+			for i, interval := range []int{16, 34, 16, 34} {
+				playStream(s, now, fmt.Sprint("other", i), ms(interval), ms(3*interval), 180)
+				s.RecordPrefill(now, engine(fmt.Sprint("other", i)), 3000, 3000*time.Duration(interval)*5*time.Microsecond)
 			}
 			s.RecordPrefill(now, engine("e"), 2000, 2000*170*time.Microsecond)
-			return streams(s, now, "e", ms(34), 0, 4)
+			return playStream(s, now, "e", ms(34), 0, 4)
 		}, Alone},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s := newSpeeds("e", "like0", "like1", "like2", "like3")
-			now := tt.see(s, time.Now()).Add(viewEvery)
+			s := newSpeeds("e", "other0", "other1", "other2", "other3")
+			now := tt.observe(s, time.Now()).Add(viewInterval)
 			speed := s.Of(now, engine("e"))
 			t.Logf("%+v", speed)
 			is.New(t).Equal(speed.Class(gap), tt.want)
@@ -133,80 +133,80 @@
 	}
 }
 
-// TestTold shows that a box believes what others saw, by their own word or a hub's sum,
-// and goes on to when they are gone; a new incarnation is unknown.
-func TestTold(t *testing.T) {
+// TestReports checks that a box uses the reports of other boxes or the sum of a hub,
+// and continues to when the box has gone, and that a new incarnation is unknown.
+func TestReports(t *testing.T) {
 	tests := map[string]func(from, to *Speeds, now time.Time){
-		"by the box itself": func(from, to *Speeds, now time.Time) { to.Update(now, "b", from.Own(now)) },
-		"by a hub": func(from, to *Speeds, now time.Time) {
+		"from the box itself": func(from, to *Speeds, now time.Time) { to.Update(now, "b", from.Own(now)) },
+		"from a hub": func(from, to *Speeds, now time.Time) {
 			hub := newSpeeds()
 			hub.Update(now, "b", from.Own(now))
 			to.UpdateSum(now, hub.Without(now, "c"))
 		},
 	}
-	for name, tell := range tests {
+	for name, report := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			from, to := newSpeeds("e"), newSpeeds("e", "new")
-			now := streams(from, time.Now(), "e", ms(40), 0, 180)
-			tell(from, to, now)
+			now := playStream(from, time.Now(), "e", ms(40), 0, 180)
+			report(from, to, now)
 			is.Equal(to.Of(now, engine("e")).Class(gap), Alone)
 			is.Equal(to.Of(now, engine("new")).Class(gap), Unknown)
-			now = now.Add(10 * time.Second) // the box is gone
+			now = now.Add(10 * time.Second) // the reports have expired
 			is.Equal(to.Of(now, engine("e")).Class(gap), Alone)
 			is.True(now.Sub(to.Of(now, engine("e")).Seen()) >= 10*time.Second)
 		})
 	}
 }
 
-// TestForgotten shows that nothing is kept of engines that are gone.
-func TestForgotten(t *testing.T) {
+// TestPrune checks that nothing is kept of removed engines.
+func TestPrune(t *testing.T) {
 	is := is.New(t)
-	all := served{engine("e")}
-	s := New(&all, noCount{}, logs.New(io.Discard, "info", "b"))
-	now := streams(s, time.Now(), "e", ms(40), 0, 180)
+	all := staticFleet{engine("e")}
+	s := New(&all, noCounter{}, logs.New(io.Discard, "info", "b"))
+	now := playStream(s, time.Now(), "e", ms(40), 0, 180)
 	s.Of(now, engine("e"))
 	s.Assigned(now, engine("e"), Need{Gap: gap, Long: true}, upstreamload.Load{})
 	all = nil
-	now = now.Add(keptFor + time.Second)
+	now = now.Add(retention + time.Second)
 	s.Of(now, engine("e"))
 	s.Own(now)
-	is.Equal(len(s.beliefs)+len(s.given)+len(s.own)+len(s.classes), 0)
+	is.Equal(len(s.estimates)+len(s.lateStreams)+len(s.own)+len(s.classes), 0)
 }
 
-// TestCost shows what a request costs at an engine that keeps a pause beside prompts,
-// alone or not, and at one nothing is known of.
+// TestCost checks the cost of a request at engines with and without a risk of late
+// answers, and at an unknown engine.
 func TestCost(t *testing.T) {
-	fast, slow, never, half := risk{}, risk{beside: 1}, risk{alone: 1, beside: 1}, risk{beside: 0.5}
+	fast, slow, never, half := risk{}, risk{concurrent: 1}, risk{alone: 1, concurrent: 1}, risk{concurrent: 0.5}
 	long, short, move := Need{Gap: gap, Long: true}, Need{Gap: gap}, Need{Gap: gap, Long: true, Moves: true}
 	tests := map[string]struct {
 		risk   risk
 		need   Need
-		inTime float64
+		onTime float64
 		want   float64
 	}{
-		"long, fast":                       {fast, long, 4, 0},
-		"short, fast":                      {fast, short, 4, spent},
-		"long, slow and free":              {slow, long, 0, hits},
-		"long, slow, beside others":        {slow, long, 2, 3 * hits},
-		"long, slow, beside what is late":  {slow, long, 0, hits},
-		"short, slow and free":             {slow, short, 0, 0},
-		"short, slow, beside others":       {slow, short, 2, 2 * hits},
-		"it moves: nothing is read beside": {slow, move, 2, hits},
-		"never, free":                      {never, long, 0, 1},
-		"unknown: as half of its like":     {half, long, 0, 0.5 * hits},
-		"unknown, short: it is tried":      {half, short, 0, 0.5 * spent},
+		"long, fast":                           {fast, long, 4, 0},
+		"short, fast":                          {fast, short, 4, shortCost},
+		"long, slow and idle":                  {slow, long, 0, hitChance},
+		"long, slow, others on time":           {slow, long, 2, 3 * hitChance},
+		"long, slow, others late":              {slow, long, 0, hitChance},
+		"short, slow and idle":                 {slow, short, 0, 0},
+		"short, slow, others on time":          {slow, short, 2, 2 * hitChance},
+		"a run that moves, without a prefill":  {slow, move, 2, hitChance},
+		"never, idle":                          {never, long, 0, 1},
+		"long, unknown, half of all are slow":  {half, long, 0, 0.5 * hitChance},
+		"short, unknown, half of all are slow": {half, short, 0, 0.5 * shortCost},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(tt.risk.cost(tt.need, tt.inTime), tt.want)
+			is.New(t).Equal(tt.risk.cost(tt.need, tt.onTime), tt.want)
 		})
 	}
 }
 
-// TestJudge shows that nothing is weighed where nothing is known or a route names no
-// pause, and what a prompt given to a slow engine leaves in time there.
-func TestJudge(t *testing.T) {
+// TestEvaluate checks that nothing is evaluated without estimates or a maximum gap, and
+// that a prefill assigned to a slow engine reduces the streams on time there.
+func TestEvaluate(t *testing.T) {
 	is := is.New(t)
 	s := newSpeeds("slow", "new")
 	list := []fleet.Upstream{engine("slow"), engine("new")}
@@ -214,54 +214,52 @@
 	now, long := time.Now(), Need{Gap: gap, Long: true}
 	is.Equal(s.Evaluate(now, "llm", list, loads, long), nil)
 	is.Equal((*Speeds)(nil).Evaluate(now, "llm", list, loads, long), nil)
-	now = streams(s, now, "slow", ms(40), 0, 180).Add(viewEvery)
+	now = playStream(s, now, "slow", ms(40), 0, 180).Add(viewInterval)
 	is.Equal(s.Evaluate(now, "llm", list, loads, Need{Long: true}), nil)
 	before := s.Evaluate(now, "llm", list, loads, long)
-	is.True(before[0].Cost > 1)                // four are in time
-	is.True(before[1].Cost < before[0].Cost/2) // one is, as its like
+	is.True(before[0].Cost > 1)                // four are on time
+	is.True(before[1].Cost < before[0].Cost/2) // one is, at the mean risk of the others
 	s.Assigned(now, list[0], Need{Gap: gap}, loads[0])
 	after := s.Evaluate(now, "llm", list, loads, long)
 	is.True(after[0].Cost < 0.9*before[0].Cost)
 	loads[0] = upstreamload.Load{}
-	s.Evaluate(now, "llm", list, loads, long) // what was late has ended
+	s.Evaluate(now, "llm", list, loads, long) // the late streams have ended
 	loads[0] = upstreamload.Load{Requests: 4, Coming: 2000}
 	is.Equal(s.Evaluate(now, "llm", list, loads, long)[0].Cost, before[0].Cost)
 }
 
-// BenchmarkJudge is one decision before so many engines, with what is believed of them
-// made anew each 250 ms.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkEvaluate measures one decision, with the view recomputed every 250 ms.
+func BenchmarkEvaluate(b *testing.B) {
 	for _, engines := range []int{60, 2200} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			var list served
+			var list staticFleet
 			for i := range engines {
 				list = append(list, engine(fmt.Sprint("e", i)))
 			}
-			s := New(list, noCount{}, logs.New(io.Discard, "info", "b"))
+			s := New(list, noCounter{}, logs.New(io.Discard, "info", "b"))
 			now := time.Now()
 			for i, u := range list {
-				streams(s, now, u.ID, ms(16+i%2*18), ms(50+i%2*60), 24)
+				playStream(s, now, u.ID, ms(16+i%2*18), ms(50+i%2*60), 24)
 			}
 			loads := make([]upstreamload.Load, engines)
 			for b.Loop() {
-				now = now.Add(5 * time.Millisecond) // 200 requests a second
+				now = now.Add(5 * time.Millisecond) // 200 requests per second
 				s.Evaluate(now, "llm", list, loads, Need{Gap: gap, Long: true})
 			}
 		})
 	}
 }
 
-// TestSpread shows how far the longest event of a stream is taken to be above the mean
-// of those of its windows: learned, where prompts are read in even pieces and where few
-// windows hold a large one.
+// TestSpread checks the margin for the longest gap of a stream, initially and as
+// learned from even and uneven chunks of prompts.
 func TestSpread(t *testing.T) {
 	tests := map[string]struct {
-		logs []float64 // of streams, by turns
-		want float64   // times the mean, with the safety
+		logs []float64 // of streams, in turn
+		want float64   // factor on the mean, including the safety factor
 	}{
-		"a guess":      {nil, 2.65},
-		"even pieces":  {[]float64{0.05}, 1.35},
-		"large pieces": {[]float64{0.2, 0.8}, 2.8},
+		"initial":      {nil, 2.65},
+		"even chunks":  {[]float64{0.05}, 1.35},
+		"large chunks": {[]float64{0.2, 0.8}, 2.8},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -276,38 +274,38 @@
 	}
 }
 
-// TestReadAtOnce shows that a prompt that took no time by the clock says nothing: its
-// logarithm would make all costs of the service infinite or none.
-func TestReadAtOnce(t *testing.T) {
+// TestInstantPrefill checks that a prefill that took no time by the clock is ignored:
+// its logarithm would make all costs of the service infinite or zero.
+func TestInstantPrefill(t *testing.T) {
 	is := is.New(t)
 	s := newSpeeds("e")
-	now := streams(s, time.Now(), "e", ms(16), 0, 180)
+	now := playStream(s, time.Now(), "e", ms(16), 0, 180)
 	for _, took := range []time.Duration{-time.Second, 0, 1, 2999} {
 		s.RecordPrefill(now, engine("e"), 3000, took)
 	}
 	is.Equal(s.Of(now, engine("e")).Prefill(), 0*time.Second)
-	judged := s.Evaluate(now, "llm", []fleet.Upstream{engine("e")}, make([]upstreamload.Load, 1), Need{Gap: gap, Long: true})
-	is.Equal(judged[0].PrefillRatio, 1.0)
+	evaluations := s.Evaluate(now, "llm", []fleet.Upstream{engine("e")}, make([]upstreamload.Load, 1), Need{Gap: gap, Long: true})
+	is.Equal(evaluations[0].PrefillRatio, 1.0)
 }
 
-// TestWithQueueWait shows the chance that prompts before a request make its first event late.
+// TestWithQueueWait checks the chance that queued prefills make the first event late.
 func TestWithQueueWait(t *testing.T) {
 	tests := map[string]struct {
-		need    Need
-		reading float64
-		line    time.Duration
-		want    float64
+		need         Need
+		prefillRatio float64
+		wait         time.Duration
+		want         float64
 	}{
-		"no line":                    {Need{First: time.Second}, 1, 0, 0},
-		"half of its time":           {Need{First: time.Second}, 1, ms(500), 0.25},
-		"at an engine twice as slow": {Need{First: time.Second}, 2, ms(250), 0.25},
-		"more than its time":         {Need{First: time.Second}, 1, ms(3000), 1},
-		"it has any time":            {Need{}, 1, ms(500), 0},
-		"a run that moves":           {Need{First: time.Second, Moves: true}, 1, ms(500), 0},
+		"no wait":                      {Need{First: time.Second}, 1, 0, 0},
+		"half of the available time":   {Need{First: time.Second}, 1, ms(500), 0.25},
+		"at an engine twice as slow":   {Need{First: time.Second}, 2, ms(250), 0.25},
+		"more than the available time": {Need{First: time.Second}, 1, ms(3000), 1},
+		"no limit":                     {Need{}, 1, ms(500), 0},
+		"a run that moves":             {Need{First: time.Second, Moves: true}, 1, ms(500), 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(Evaluation{PrefillRatio: tt.reading}.WithQueueWait(tt.need, tt.line).LateChance, tt.want)
+			is.New(t).Equal(Evaluation{PrefillRatio: tt.prefillRatio}.WithQueueWait(tt.need, tt.wait).LateChance, tt.want)
 		})
 	}
 }
--- a/balance/speeds/spread.go
+++ b/balance/speeds/spread.go
@@ -3,38 +3,41 @@
 import "math"
 
 const (
-	// spreadWindows is from how many windows with a prompt beside on a stream tells how
-	// much its longest event is above the mean of those of its windows.
-	spreadWindows = 2
-	// spreadGuess is that, as a logarithm, until streams have told, and doubtGuess its
-	// deviation: where a prompt is read in a few large pieces, most windows hold none.
-	spreadGuess = 0.5
-	doubtGuess  = 0.25
-	// guessStreams is how many streams the guess counts for.
-	guessStreams = 3.0
-	// spreadKept is the part that is kept with each stream: some 50 of them count.
-	spreadKept = 0.98
-	// safety is how much less than the pause an engine has to take: one that is just
-	// below it is above it when one more stream runs there.
-	safety = 1.25
+	// minSpreadWindows is the minimum number of windows with a concurrent prefill from
+	// which a stream counts towards the spread.
+	minSpreadWindows = 2
+	// initialSpread and initialDeviation are the spread, as a logarithm, and its
+	// deviation until streams have been measured. Where prompts are prefilled in a few
+	// large chunks, most windows include none.
+	initialSpread    = 0.5
+	initialDeviation = 0.25
+	// initialStreams is the number of streams that the initial values count for.
+	initialStreams = 3.0
+	// spreadDecay is the factor on the weight of earlier streams with each new one, so
+	// that about 50 count.
+	spreadDecay = 0.98
+	// safetyFactor is the margin that an engine has to keep below the maximum gap: just
+	// below, one more stream would make it exceed the gap.
+	safetyFactor = 1.25
 )
 
-// spread is how much longer the longest event of a stream is than the mean of the
-// longest of its windows, by which engines are known: callers judge a stream by that
-// one. Values are immutable.
+// spread is by how much the longest gap of a stream exceeds the mean of the longest
+// gaps of its windows, as a logarithm. Engines are estimated by the latter, while
+// clients judge a stream by the former. Values are immutable.
 type spread struct{ weight, sum, squares float64 }
 
 func newSpread() spread {
-	return spread{guessStreams, guessStreams * spreadGuess, guessStreams * (spreadGuess*spreadGuess + doubtGuess*doubtGuess)}
+	return spread{initialStreams, initialStreams * initialSpread, initialStreams * (initialSpread*initialSpread + initialDeviation*initialDeviation)}
 }
 
-// with adds a stream's, as a logarithm.
+// with adds the spread of a stream, as a logarithm.
 func (s spread) with(log float64) spread {
-	return spread{spreadKept*s.weight + 1, spreadKept*s.sum + log, spreadKept*s.squares + log*log}
+	return spread{spreadDecay*s.weight + 1, spreadDecay*s.sum + log, spreadDecay*s.squares + log*log}
 }
 
-// margin is how many times the mean an engine has to keep, as a logarithm.
+// margin returns by how much the longest gap of a window has to stay below the maximum,
+// as a logarithm.
 func (s spread) margin() float64 {
 	mean := s.sum / s.weight
-	return mean + math.Sqrt(max(s.squares/s.weight-mean*mean, 0)) + math.Log(safety)
+	return mean + math.Sqrt(max(s.squares/s.weight-mean*mean, 0)) + math.Log(safetyFactor)
 }
--- a/balance/speeds/stream.go
+++ b/balance/speeds/stream.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	// window is how many times between events make one observation. Boxes hear up to
-	// half a second late of the prompts that others send; a window is as long at most
-	// engines, so that it holds the events that were slower for it.
+	// window is the number of gaps between events in one observation. Boxes learn of
+	// each other's prefills up to half a second late; a window lasts as long at most
+	// engines, so that it includes the slower events.
 	window = 24
-	// leastWindow is how many do so at the end of a stream, for what they are worth:
-	// the streams of short answers have no more.
-	leastWindow = 2
-	// wholeWindow is from how many on the middle one is as good as that of a window.
-	wholeWindow = 8
-	// lowPart is which part of a window is taken to have had no prompt beside. The least
-	// of all would be that of events that came together after a packet was lost.
-	lowPart = 5
-	// contrast is how many times as long an event takes beside a prompt, at
-	// least: one that has been read already makes nothing slower.
-	contrast = 1.5
+	// minWindow is the minimum number of gaps in the last window of a stream; the
+	// streams of short answers have no more.
+	minWindow = 2
+	// fullWindow is the number of gaps from which a window has full weight.
+	fullWindow = 8
+	// lowDivisor is the fraction (1/5) of a window's gaps that is presumed free of
+	// concurrent prefills. The smallest gap can't be used: events come together after a
+	// packet loss.
+	lowDivisor = 5
+	// minContrast is the minimum ratio of a gap during a prefill to one without: a
+	// prefill that has ended slows nothing.
+	minContrast = 1.5
 )
 
-// Stream follows the events of one stream at one upstream. It is for one goroutine.
-// The nil stream follows nothing.
+// Stream measures the gaps between the events of one stream at one upstream. It is not
+// safe for concurrent use. A nil *Stream does nothing.
 type Stream struct {
-	speeds   *Speeds
-	upstream fleet.Upstream
-	last     time.Time
-	gaps     []time.Duration
-	beside   bool // a prompt was read there meanwhile
+	speeds     *Speeds
+	upstream   fleet.Upstream
+	last       time.Time
+	gaps       []time.Duration
+	concurrent bool // the engine prefilled during the window
 
-	windows int           // in which one was
-	logs    float64       // of their longest events, summed
-	longest time.Duration // of these
+	windows int           // with a concurrent prefill
+	logs    float64       // sum of the logarithms of their longest gaps
+	longest time.Duration // longest gap of these windows
 }
 
-// Event notes an event, and whether a prompt is being read beside as far as is known.
-func (s *Stream) Event(now time.Time, reading bool) {
+// Event records an event, and whether the engine is known to prefill at the time.
+func (s *Stream) Event(now time.Time, prefilling bool) {
 	if s == nil {
 		return
 	}
 	if !s.last.IsZero() {
 		s.gaps = append(s.gaps, max(now.Sub(s.last), time.Millisecond))
-		s.beside = s.beside || reading
+		s.concurrent = s.concurrent || prefilling
 	}
 	s.last = now
 	if len(s.gaps) == window {
@@ -55,40 +56,41 @@
 	}
 }
 
-// End notes that no more events come from there.
+// End records that the stream has ended.
 func (s *Stream) End(now time.Time) {
 	if s == nil {
 		return
 	}
-	if len(s.gaps) >= leastWindow {
+	if len(s.gaps) >= minWindow {
 		s.observe(now)
 	}
-	if s.windows >= spreadWindows {
-		s.speeds.spreads(s.upstream.Service, math.Log(s.longest.Seconds())-s.logs/float64(s.windows))
+	if s.windows >= minSpreadWindows {
+		s.speeds.recordSpread(s.upstream.Service, math.Log(s.longest.Seconds())-s.logs/float64(s.windows))
 	}
 	s.windows, s.logs, s.longest = 0, 0, 0
 }
 
-// observe turns the window into an observation: the end of its lowest fifth, as busy
-// engines read for the most of the time, and, where one did, its longest: callers judge streams by it, and
-// the mean of many is not moved by a packet that was lost.
+// observe adds the window as an observation: the gap at its lowest fifth, as busy
+// engines prefill most of the time, and with a concurrent prefill the longest one.
+// Clients judge streams by the longest gap, and the mean of many is hardly moved by a
+// packet loss.
 func (s *Stream) observe(now time.Time) {
 	slices.Sort(s.gaps)
 	n := len(s.gaps)
-	o := observation{alone: s.gaps[n/lowPart], weight: min(float64(n)/wholeWindow, 1)}
-	if s.beside && n >= wholeWindow {
-		o.beside = s.gaps[n-1]
+	o := observation{alone: s.gaps[n/lowDivisor], weight: min(float64(n)/fullWindow, 1)}
+	if s.concurrent && n >= fullWindow {
+		o.concurrent = s.gaps[n-1]
 		s.windows++
-		s.logs += math.Log(o.beside.Seconds())
-		s.longest = max(s.longest, o.beside)
+		s.logs += math.Log(o.concurrent.Seconds())
+		s.longest = max(s.longest, o.concurrent)
 	}
-	s.speeds.streamed(now, s.upstream, o)
-	s.gaps, s.beside = s.gaps[:0], false
+	s.speeds.recordWindow(now, s.upstream, o)
+	s.gaps, s.concurrent = s.gaps[:0], false
 }
 
-// observation is what a window of a stream shows.
+// observation is the result of a window.
 type observation struct {
-	alone  time.Duration
-	beside time.Duration // 0 if no prompt was read
-	weight float64
+	alone      time.Duration
+	concurrent time.Duration // 0 without a concurrent prefill
+	weight     float64
 }
--- a/balance/speeds/view.go
+++ b/balance/speeds/view.go
@@ -9,123 +9,125 @@
 )
 
 const (
-	// besideGuess is how many times as long an event takes beside a prompt that is
-	// read, until engines of the service were seen to do so; it counts as one engine.
-	besideGuess = 3.0
-	// enough is the weight from which on what was seen of an engine tells of its like.
-	enough = 0.5
-	// readingMost bounds how much faster or slower than usual an engine is taken to
-	// read by few prompts, each of which may have waited for others.
-	readingMost = 3.0
+	// defaultConcurrentRatio is how many times as long a gap is during a prefill, until
+	// engines of the service have been observed; it counts as one engine.
+	defaultConcurrentRatio = 3.0
+	// minKnownWeight is the minimum weight of an engine's record to be used for
+	// forecasts of others.
+	minKnownWeight = 0.5
+	// maxPrefillRatio bounds the prefill ratio of an engine, as single measurements may
+	// include a wait for others.
+	maxPrefillRatio = 3.0
 )
 
-// believed is what is believed of one engine.
-type believed struct {
+// engineEstimate is the estimate of one engine.
+type engineEstimate struct {
 	key string
-	belief
+	estimate
 }
 
-// view is what is believed of the engines of a service at a time.
+// view is the estimates of a service's engines at a time.
 type view struct {
-	at     time.Time
-	keys   []string         // in the order of the fleet: sums that are rounded differ by order
-	speeds map[string]Speed // by key
-	known  bool             // anything is, of any
-	read   forecast         // how long the service's engines take for a token, in the mean
+	at      time.Time
+	keys    []string         // sorted: rounded sums depend on the order
+	speeds  map[string]Speed // by key
+	known   bool             // there is an estimate of any engine
+	prefill forecast         // mean time of the service's engines to prefill a token
 
 	mu    sync.Mutex
 	byGap map[time.Duration]risks
 }
 
-// risks are the chances that engines break a pause.
+// risks are the risks of a service's engines for one maximum gap.
 type risks struct {
 	engines map[string]risk // by id
-	like    risk            // of one that nothing is known of: as its like
+	typical risk            // mean risk, for engines without an estimate
 }
 
 func (r risks) of(u fleet.Upstream) risk {
 	if known, ok := r.engines[u.ID]; ok {
 		return known
 	}
-	return r.like
+	return r.typical
 }
 
-// risks returns the chances for a pause; they are made once for each view.
+// risks returns the risks for a maximum gap. They are computed once for each view.
 func (v *view) risks(gap time.Duration) risks {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if r, ok := v.byGap[gap]; ok {
 		return r
 	}
-	r := risks{like: risk{reading: 1}, engines: make(map[string]risk, len(v.speeds))}
+	r := risks{typical: risk{prefillRatio: 1}, engines: make(map[string]risk, len(v.speeds))}
 	for _, key := range v.keys {
 		if s := v.speeds[key]; s.known() {
-			one := s.risk(gap)
-			one.reading = v.reading(s)
-			id, _ := split(key)
-			r.engines[id] = one
-			r.like.alone += one.alone
-			r.like.beside += one.beside
+			known := s.risk(gap)
+			known.prefillRatio = v.prefillRatio(s)
+			id, _ := splitKey(key)
+			r.engines[id] = known
+			r.typical.alone += known.alone
+			r.typical.concurrent += known.concurrent
 		}
 	}
 	if n := float64(len(r.engines)); n > 0 {
-		r.like.alone /= n
-		r.like.beside /= n
+		r.typical.alone /= n
+		r.typical.concurrent /= n
 	}
 	v.byGap[gap] = r
 	return r
 }
 
-// newView forecasts what each engine does by what was seen of it and its like.
-func newView(now time.Time, list []believed, margin float64) *view {
+// newView forecasts the times of each engine from its own observations and those of the
+// service's other engines.
+func newView(now time.Time, list []engineEstimate, margin float64) *view {
 	v := &view{at: now, speeds: make(map[string]Speed, len(list)), byGap: map[time.Duration]risks{}}
-	aloneBeside := ratio(list, func(r record) (x, y sum) { return r.alone, r.beside }).and(forecast{math.Log(besideGuess), 1})
-	readAlone := ratio(list, func(r record) (x, y sum) { return r.read, r.alone })
-	for _, b := range list {
-		s := Speed{seen: b.seen, margin: margin, read: own(b.read), alone: own(b.alone)}
-		s.alone = s.alone.and(s.read.by(readAlone))
-		s.beside = own(b.beside).and(s.alone.by(aloneBeside))
-		v.keys = append(v.keys, b.key)
-		v.speeds[b.key] = s
-		if s.read.weight > 0 {
-			v.read = v.read.and(forecast{s.read.log, 1})
+	concurrentRatio := ratio(list, func(r record) (x, y sum) { return r.alone, r.concurrent }).combine(forecast{math.Log(defaultConcurrentRatio), 1})
+	aloneRatio := ratio(list, func(r record) (x, y sum) { return r.prefill, r.alone })
+	for _, e := range list {
+		s := Speed{lastSeen: e.lastSeen, margin: margin, prefill: forecastOf(e.prefill), alone: forecastOf(e.alone)}
+		s.alone = s.alone.combine(s.prefill.scaledBy(aloneRatio))
+		s.concurrent = forecastOf(e.concurrent).combine(s.alone.scaledBy(concurrentRatio))
+		v.keys = append(v.keys, e.key)
+		v.speeds[e.key] = s
+		if s.prefill.weight > 0 {
+			v.prefill = v.prefill.combine(forecast{s.prefill.log, 1})
 		}
 		v.known = v.known || s.known()
 	}
 	return v
 }
 
-func own(s sum) forecast {
-	if s.weight < forgotten {
+func forecastOf(s sum) forecast {
+	if s.weight < minWeight {
 		return forecast{}
 	}
 	return forecast{s.mean(), s.weight}
 }
 
-// by forecasts another kind of time by how many times as long that is.
-func (f forecast) by(ratio forecast) forecast {
+// scaledBy forecasts another kind of time by its ratio to this one.
+func (f forecast) scaledBy(ratio forecast) forecast {
 	if f.weight == 0 || ratio.weight == 0 {
 		return forecast{}
 	}
-	return forecast{f.log + ratio.log, other * f.weight}
+	return forecast{f.log + ratio.log, crossWeight * f.weight}
 }
 
-// ratio returns how many times as long one kind of time is as another, as a
-// logarithm, in the mean of the engines of which both are known.
-func ratio(list []believed, kinds func(record) (x, y sum)) forecast {
+// ratio returns the ratio of two kinds of times, as a logarithm, as the mean of the
+// engines of which both are known.
+func ratio(list []engineEstimate, kinds func(record) (x, y sum)) forecast {
 	f := forecast{}
-	for _, b := range list {
-		if x, y := kinds(b.record); x.weight >= enough && y.weight >= enough {
-			f = f.and(forecast{y.mean() - x.mean(), 1})
+	for _, e := range list {
+		if x, y := kinds(e.record); x.weight >= minKnownWeight && y.weight >= minKnownWeight {
+			f = f.combine(forecast{y.mean() - x.mean(), 1})
 		}
 	}
 	return f
 }
 
-// reading returns how many times as long as usual an engine takes to read a prompt.
-func (v *view) reading(s Speed) float64 {
-	if s.read.weight == 0 {
+// prefillRatio returns an engine's prefill time relative to the service's engines.
+func (v *view) prefillRatio(s Speed) float64 {
+	if s.prefill.weight == 0 {
 		return 1
 	}
-	return min(max(math.Exp(s.read.log-v.read.log), 1/readingMost), readingMost)
+	return min(max(math.Exp(s.prefill.log-v.prefill.log), 1/maxPrefillRatio), maxPrefillRatio)
 }
