--- a/upstreamlimits/peers.go
+++ b/upstreamlimits/peers.go
@@ -9,109 +9,110 @@
 )
 
 const (
-	// tellMost bounds the limits of one message: 40 bytes each. What is left follows
-	// with the next call.
-	tellMost = 500
-	// newer is by how much later another box must have heard a limit for its value to
-	// count here: the ways by which a word comes differ by that much, and boxes would
-	// remind each other of old values for good.
-	newer = time.Second
+	// maxReported is the maximum number of limits in one report, at 40 bytes each. The
+	// rest follows in the next report.
+	maxReported = 500
+	// minNewer is by how much newer the value of another box must be to replace the
+	// known one. Reports of the same value arrive with ages that differ by the time in
+	// transit; without a margin boxes would exchange old values forever.
+	minNewer = time.Second
 )
 
-// Since returns what a hub, or another box, is to be told that changed after a change, and
-// the last change that it holds.
-func (l *Tracker) Since(now time.Time, change int, hub bool) (list []wire.UpstreamLimit, last int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if change == l.changes {
+// Since returns what has to be reported to a hub, or to another box, of the changes
+// after a sequence number, and the last number included.
+func (t *Tracker) Since(now time.Time, change int, hub bool) (list []wire.UpstreamLimit, last int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if change == t.changes {
 		return nil, change
 	}
-	told := func(id string) int {
+	changed := func(id string) int {
 		if hub {
-			return l.list[id].fine.changed
+			return t.list[id].hubReport.changed
 		}
-		return l.list[id].rough.changed
+		return t.list[id].peerReport.changed
 	}
 	var ids []string
-	for id := range l.list {
-		if told(id) > change {
+	for id := range t.list {
+		if changed(id) > change {
 			ids = append(ids, id)
 		}
 	}
-	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(told(a), told(b)) })
+	slices.SortFunc(ids, func(a, b string) int { return cmp.Compare(changed(a), changed(b)) })
 	for _, id := range ids {
-		list = append(list, l.list[id].word(now, id))
-		if len(list) >= tellMost {
-			return list, told(id)
+		list = append(list, t.list[id].report(now, id))
+		if len(list) >= maxReported {
+			return list, changed(id)
 		}
 	}
-	return list, l.changes
+	return list, t.changes
 }
 
-// Report returns what is known of one upstream.
-func (l *Tracker) Report(now time.Time, upstream string) wire.UpstreamLimit {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	have, ok := l.list[upstream]
+// Report returns the limit of one upstream, for reports.
+func (t *Tracker) Report(now time.Time, upstream string) wire.UpstreamLimit {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, ok := t.list[upstream]
 	if !ok {
 		return wire.UpstreamLimit{Upstream: upstream}
 	}
-	return have.word(now, upstream)
+	return e.report(now, upstream)
 }
 
-func (h *limit) word(now time.Time, upstream string) wire.UpstreamLimit {
-	w := wire.UpstreamLimit{Upstream: upstream, Born: int(h.born), Period: h.period, Holds: h.holds, AgeMs: int(now.Sub(h.at).Milliseconds())}
-	if h.holds {
-		w.PerSecond = h.perSecond
+func (e *limit) report(now time.Time, upstream string) wire.UpstreamLimit {
+	w := wire.UpstreamLimit{Upstream: upstream, Born: int(e.startedAt), Period: e.period, Holds: e.active, AgeMs: int(now.Sub(e.at).Milliseconds())}
+	if e.active {
+		w.PerSecond = e.perSecond
 	}
 	return w
 }
 
-// Update takes what a hub, or another box, knows, with ages as of now at the latest.
-func (l *Tracker) Update(now time.Time, list []wire.UpstreamLimit, hub bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Update applies a report of a hub or another box. The ages in it are relative to now.
+func (t *Tracker) Update(now time.Time, list []wire.UpstreamLimit, hub bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	source := fromPeer
 	if hub {
 		source = fromHub
 	}
 	for _, w := range list {
 		if w.Period > 0 && w.PerSecond >= 0 {
-			l.told(now, w, source)
+			t.apply(now, w, source)
 		}
 	}
 }
 
-// told takes one word. A later period counts more than an earlier one, the end of a
-// period more than any word of it, and of its words the newer.
-func (l *Tracker) told(now time.Time, w wire.UpstreamLimit, source string) {
+// apply applies the report of one limit. A later period takes precedence over an
+// earlier one, the end of a period over its values, and a newer value over an older
+// one.
+func (t *Tracker) apply(now time.Time, w wire.UpstreamLimit, source string) {
 	at := now.Add(-time.Duration(w.AgeMs) * time.Millisecond)
-	have, known := l.list[w.Upstream]
+	e, known := t.list[w.Upstream]
 	switch {
-	case known && int64(w.Born) < have.born:
+	case known && int64(w.Born) < e.startedAt:
 		return
-	case known && int64(w.Born) > have.born && have.born > 0:
-		have = &limit{}
-		l.list[w.Upstream] = have
+	case known && int64(w.Born) > e.startedAt && e.startedAt > 0:
+		e = &limit{}
+		t.list[w.Upstream] = e
 	}
-	have = l.of(w.Upstream, int64(w.Born))
+	e = t.entryOf(w.Upstream, int64(w.Born))
 	switch {
-	case w.Period < have.period:
+	case w.Period < e.period:
 		return
-	case w.Period > have.period:
-		have.period = w.Period
-		have.holds = have.holds && !w.Holds // else it is named anew
-	case !have.holds || w.Holds && !at.After(have.at.Add(newer)):
+	case w.Period > e.period:
+		e.period = w.Period
+		e.active = e.active && !w.Holds // else it is announced anew
+	case !e.active || w.Holds && !at.After(e.at.Add(minNewer)):
 		return
 	}
 	switch {
 	case w.Holds:
-		l.named(now, w.Upstream, have, w.PerSecond, at, source)
-	case have.holds:
-		l.ended(now, w.Upstream, have, at, source)
-	default: // of a limit that this box has never heard of
-		have.at = at
-		l.tell(&have.fine, now, 0)
-		l.tell(&have.rough, now, 0)
+		t.announced(now, w.Upstream, e, w.PerSecond, at, source)
+	case e.active:
+		t.ended(now, w.Upstream, e, at, source)
+	default: // the end of a limit that was unknown here
+		e.at = at
+		t.markChanged(&e.hubReport, now, 0)
+		t.markChanged(&e.peerReport, now, 0)
 	}
 }
--- a/upstreamlimits/upstreamlimits.go
+++ b/upstreamlimits/upstreamlimits.go
@@ -1,5 +1,6 @@
-// Package upstreamlimits knows how many requests a second upstreams say that they take from
-// all boxes together, by the answers that this box got and by what the others told.
+// Package upstreamlimits tracks the rate limits that upstreams announce, in requests
+// per second from all boxes together. They come from answers to this box and from
+// reports of other boxes.
 package upstreamlimits
 
 import (
@@ -15,30 +16,33 @@
 )
 
 const (
-	// noteFrom is by which part a limit must change to be noted and told: one that
-	// changes with each answer would else fill the log and the calls of gossip.
-	noteFrom = 0.1
-	// tellEvery is how often the same limit is told to hubs with another value.
-	tellEvery = 2 * time.Second
-	// fallsTo is the part of a limit to which it must fall to be told to them at once: by
-	// less than that the sum stays below one and a half times the limit.
-	fallsTo = 0.75
-	// roughFrom is by which part a value must change to be told to other boxes, and
-	// roughEvery how often it is: the keeper has the exact value with each ask.
-	roughFrom  = 0.5
-	roughEvery = 20 * time.Second
-	// easesFor is how long a limit that has ended eases off, as one answer may lack the
-	// word that the next has: it is twice as high each easesTwice, from what it was and
-	// easesFrom requests a second more.
-	easesFor   = 500 * time.Millisecond
-	easesTwice = 100 * time.Millisecond
-	easesFrom  = 4
-	// endedFor is how long it is known that a limit has ended, so that a box that was
-	// cut off meanwhile does not bring it back.
-	endedFor = time.Minute
+	// minChange is the relative change from which a limit is logged and reported;
+	// limits that vary with each answer would otherwise fill the log and the reports.
+	minChange = 0.1
+	// hubReportInterval is the minimum interval between reports of the same limit to
+	// hubs.
+	hubReportInterval = 2 * time.Second
+	// immediateFactor is the factor on the last reported value below which a limit is
+	// reported to hubs at once: with smaller decreases the total rate stays below 1.5
+	// times the limit.
+	immediateFactor = 0.75
+	// minPeerChange and peerReportInterval are the minimum relative change and the
+	// minimum interval of reports to boxes that are not hubs. They need no exact value:
+	// the owner of a limit receives it with each request for admission.
+	minPeerChange      = 0.5
+	peerReportInterval = 20 * time.Second
+	// easeDuration is how long a limit is lifted gradually after it has ended, as one
+	// answer may lack the announcement that the next has. Starting from the last value
+	// plus easeOffset requests per second, it doubles every easeDoubling.
+	easeDuration = 500 * time.Millisecond
+	easeDoubling = 100 * time.Millisecond
+	easeOffset   = 4
+	// retention is how long an ended limit is remembered, so that a box that was
+	// disconnected meanwhile does not restore it.
+	retention = time.Minute
 )
 
-// What may become of a limit.
+// Changes of a limit, as counted and logged.
 const (
 	Named      = "named"
 	Changed    = "changed"
@@ -46,46 +50,46 @@
 	Unreadable = "unreadable"
 )
 
-// Where the news of a limit is from.
+// Sources of a limit, as logged.
 const (
 	fromAnswer = "answer"
 	fromPeer   = "peer"
 	fromHub    = "hub"
 )
 
-// Changes lists every change, for counters.
+// Changes returns all changes, for counters.
 func Changes() []string { return []string{Named, Changed, Ended, Unreadable} }
 
-// Counter counts changes.
+// Counter counts changes of limits.
 type Counter interface {
 	Limited(change string)
 }
 
-// limit is what is known of one upstream.
+// limit is the state of one upstream's limit.
 type limit struct {
-	born       int64 // the life of the upstream that said it; 0 where it is not known
-	period     int   // rises with each time that a limit is named after one has ended
-	holds      bool
+	startedAt  int64 // start time of the incarnation that announced it; 0 if unknown
+	period     int   // incremented when a limit is announced after one has ended
+	active     bool
 	perSecond  float64
-	at         time.Time // when it was last said, or has ended
-	fine       telling   // to hubs
-	rough      telling   // to other boxes
-	unreadable bool      // the last word was
+	at         time.Time  // when it was last announced, or ended
+	hubReport  lastReport // last report to hubs
+	peerReport lastReport // last report to other boxes
+	unreadable bool       // the last announcement was invalid
 }
 
-// telling is what was last told of a limit.
-type telling struct {
+// lastReport is what was last reported of a limit.
+type lastReport struct {
 	value   float64
 	at      time.Time
-	changed int // number of that change
+	changed int // sequence number of that change
 }
 
-// due tells whether another value is to be told.
-func (t telling) due(now time.Time, value, from float64, every time.Duration) bool {
-	return math.Abs(value-t.value) > from*t.value && now.Sub(t.at) >= every
+// due reports whether another value has to be reported.
+func (r lastReport) due(now time.Time, value, minChange float64, interval time.Duration) bool {
+	return math.Abs(value-r.value) > minChange*r.value && now.Sub(r.at) >= interval
 }
 
-// Tracker is one box's. It is safe for use by several goroutines.
+// Tracker holds the limits known to one box. It is safe for concurrent use.
 type Tracker struct {
 	counter Counter
 	log     *logrus.Entry
@@ -95,37 +99,37 @@
 	changes int
 }
 
-// New returns the limits of a box that has heard of none.
+// New returns a tracker without limits.
 func New(counter Counter, log *logrus.Entry) *Tracker {
 	return &Tracker{counter: counter, log: log, list: map[string]*limit{}}
 }
 
-// Of returns how many requests a second an upstream takes, and when that was last said;
-// false if it takes all.
-func (l *Tracker) Of(now time.Time, upstream string) (perSecond float64, at time.Time, limited bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	have, ok := l.list[upstream]
+// Of returns the limit of an upstream in requests per second and when it was last
+// announced; false if there is none.
+func (t *Tracker) Of(now time.Time, upstream string) (perSecond float64, at time.Time, limited bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, ok := t.list[upstream]
 	if !ok {
 		return 0, time.Time{}, false
 	}
-	since := now.Sub(have.at)
+	since := now.Sub(e.at)
 	switch {
-	case have.holds:
-		return have.perSecond, have.at, true
-	case have.period == 0 || since >= easesFor:
+	case e.active:
+		return e.perSecond, e.at, true
+	case e.period == 0 || since >= easeDuration:
 		return 0, time.Time{}, false
 	}
-	return (have.perSecond + easesFrom) * math.Exp2(max(since.Seconds(), 0)/easesTwice.Seconds()), have.at, true
+	return (e.perSecond + easeOffset) * math.Exp2(max(since.Seconds(), 0)/easeDoubling.Seconds()), e.at, true
 }
 
-// All returns the upstreams that name a limit, by name.
-func (l *Tracker) All() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// All returns the names of the upstreams with a limit, sorted.
+func (t *Tracker) All() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var list []string
-	for id, have := range l.list {
-		if have.holds {
+	for id, e := range t.list {
+		if e.active {
 			list = append(list, id)
 		}
 	}
@@ -133,119 +137,120 @@
 	return list
 }
 
-// Observe takes what an upstream says in an answer to a request that was sent at a time.
-// One that has not run the request, or whose answer may be another's (whole is false),
-// may leave out what still holds; so may one that was asked before it named its limit.
-func (l *Tracker) Observe(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool) {
-	if l == nil {
+// Observe updates the limit by the answer to a request that was sent at a time. The
+// absence of an announcement ends the limit, unless the request was sent before the
+// limit was announced, was not run, or the answer may come from another upstream (whole
+// is false).
+func (t *Tracker) Observe(now, sent time.Time, u fleet.Upstream, limit exchange.Limit, whole bool) {
+	if t == nil {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	have, known := l.list[u.ID]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, known := t.list[u.ID]
 	switch {
-	case known && u.Born < have.born: // it has started again since
-	case said.Said == exchange.LimitNamed:
-		have = l.of(u.ID, u.Born)
-		if !have.holds {
-			have.period++
+	case known && u.Born < e.startedAt: // an earlier incarnation
+	case limit.Said == exchange.LimitNamed:
+		e = t.entryOf(u.ID, u.Born)
+		if !e.active {
+			e.period++
 		}
-		l.named(now, u.ID, have, said.PerSecond, now, fromAnswer)
-	case said.Said == exchange.LimitUnreadable:
-		l.unreadable(now, u)
-	case known && have.holds && whole && sent.After(have.at):
-		l.ended(now, u.ID, have, now, fromAnswer)
+		t.announced(now, u.ID, e, limit.PerSecond, now, fromAnswer)
+	case limit.Said == exchange.LimitUnreadable:
+		t.unreadable(now, u)
+	case known && e.active && whole && sent.After(e.at):
+		t.ended(now, u.ID, e, now, fromAnswer)
 	}
 }
 
-// of returns the entry of an upstream's life.
-func (l *Tracker) of(upstream string, born int64) *limit {
-	have, ok := l.list[upstream]
+// entryOf returns the limit of an upstream, of the latest known incarnation.
+func (t *Tracker) entryOf(upstream string, startedAt int64) *limit {
+	e, ok := t.list[upstream]
 	if !ok {
-		have = &limit{born: born}
-		l.list[upstream] = have
+		e = &limit{startedAt: startedAt}
+		t.list[upstream] = e
 	}
-	have.born = max(have.born, born)
-	return have
+	e.startedAt = max(e.startedAt, startedAt)
+	return e
 }
 
-// named takes the value of a limit. What a hub told is not told to hubs again: each hears
-// it from that one.
-func (l *Tracker) named(now time.Time, upstream string, have *limit, perSecond float64, at time.Time, source string) {
-	first, was := !have.holds, have.fine.value
-	have.holds, have.perSecond, have.at, have.unreadable = true, perSecond, at, false
+// announced sets the value of a limit. A value from a hub is not reported to hubs
+// again, as each of them receives it from that hub.
+func (t *Tracker) announced(now time.Time, upstream string, e *limit, perSecond float64, at time.Time, source string) {
+	first, was := !e.active, e.hubReport.value
+	e.active, e.perSecond, e.at, e.unreadable = true, perSecond, at, false
 	switch {
 	case first:
-		l.note(Named, upstream, logrus.Fields{"per_second": perSecond, "source": source, "age_ms": now.Sub(at).Milliseconds(), "period": have.period})
-		l.tell(&have.fine, now, perSecond)
-		l.tell(&have.rough, now, perSecond)
+		t.record(Named, upstream, logrus.Fields{"per_second": perSecond, "source": source, "age_ms": now.Sub(at).Milliseconds(), "period": e.period})
+		t.markChanged(&e.hubReport, now, perSecond)
+		t.markChanged(&e.peerReport, now, perSecond)
 		return
-	case have.fine.due(now, perSecond, noteFrom, tellEvery) || perSecond < fallsTo*was:
-		l.note(Changed, upstream, logrus.Fields{"per_second": perSecond, "was": was, "source": source, "age_ms": now.Sub(at).Milliseconds()})
+	case e.hubReport.due(now, perSecond, minChange, hubReportInterval) || perSecond < immediateFactor*was:
+		t.record(Changed, upstream, logrus.Fields{"per_second": perSecond, "was": was, "source": source, "age_ms": now.Sub(at).Milliseconds()})
 		if source == fromHub {
-			have.fine.value, have.fine.at = perSecond, now
+			e.hubReport.value, e.hubReport.at = perSecond, now
 		} else {
-			l.tell(&have.fine, now, perSecond)
+			t.markChanged(&e.hubReport, now, perSecond)
 		}
 	}
-	if have.rough.due(now, perSecond, roughFrom, roughEvery) {
-		l.tell(&have.rough, now, perSecond)
+	if e.peerReport.due(now, perSecond, minPeerChange, peerReportInterval) {
+		t.markChanged(&e.peerReport, now, perSecond)
 	}
 }
 
-func (l *Tracker) ended(now time.Time, upstream string, have *limit, at time.Time, source string) {
-	l.note(Ended, upstream, logrus.Fields{"was": have.perSecond, "named_ms": now.Sub(have.at).Milliseconds(), "source": source, "age_ms": now.Sub(at).Milliseconds()})
-	have.holds, have.at = false, at
-	l.tell(&have.fine, now, 0)
-	l.tell(&have.rough, now, 0)
+func (t *Tracker) ended(now time.Time, upstream string, e *limit, at time.Time, source string) {
+	t.record(Ended, upstream, logrus.Fields{"was": e.perSecond, "named_ms": now.Sub(e.at).Milliseconds(), "source": source, "age_ms": now.Sub(at).Milliseconds()})
+	e.active, e.at = false, at
+	t.markChanged(&e.hubReport, now, 0)
+	t.markChanged(&e.peerReport, now, 0)
 }
 
-// tell lets the others be told of a change.
-func (l *Tracker) tell(t *telling, now time.Time, value float64) {
-	l.changes++
-	t.value, t.at, t.changed = value, now, l.changes
+// markChanged schedules a value to be reported.
+func (t *Tracker) markChanged(r *lastReport, now time.Time, value float64) {
+	t.changes++
+	r.value, r.at, r.changed = value, now, t.changes
 }
 
-// unreadable notes a word that is no limit; what was named before holds on.
-func (l *Tracker) unreadable(now time.Time, u fleet.Upstream) {
-	have := l.of(u.ID, u.Born)
-	if !have.unreadable {
-		l.note(Unreadable, u.ID, logrus.Fields{"holds": have.holds, "per_second": have.perSecond})
+// unreadable records an invalid announcement; the previous limit stays in force.
+func (t *Tracker) unreadable(now time.Time, u fleet.Upstream) {
+	e := t.entryOf(u.ID, u.Born)
+	if !e.unreadable {
+		t.record(Unreadable, u.ID, logrus.Fields{"holds": e.active, "per_second": e.perSecond})
 	}
-	have.unreadable = true
-	if have.at.IsZero() {
-		have.at = now
+	e.unreadable = true
+	if e.at.IsZero() {
+		e.at = now
 	}
 }
 
-func (l *Tracker) note(change, upstream string, fields logrus.Fields) {
-	l.counter.Limited(change)
-	l.log.WithFields(fields).WithFields(logrus.Fields{"upstream": upstream, "change": change}).Info("upstream_limit")
+func (t *Tracker) record(change, upstream string, fields logrus.Fields) {
+	t.counter.Limited(change)
+	t.log.WithFields(fields).WithFields(logrus.Fields{"upstream": upstream, "change": change}).Info("upstream_limit")
 }
 
-// Forget drops what is known of an upstream, as it has started again.
-func (l *Tracker) Forget(upstream string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.list, upstream)
+// Forget drops the limit of an upstream that has restarted.
+func (t *Tracker) Forget(upstream string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.list, upstream)
 }
 
-// Tick drops what is known of upstreams that are gone, and of limits that ended long ago.
-func (l *Tracker) Tick(now time.Time, known func(upstream string) bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for id, have := range l.list {
-		if now.Sub(have.at) > endedFor && (!have.holds || !known(id)) {
-			delete(l.list, id)
+// Tick drops the limits of removed upstreams, and limits that ended long ago.
+func (t *Tracker) Tick(now time.Time, known func(upstream string) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id, e := range t.list {
+		if now.Sub(e.at) > retention && (!e.active || !known(id)) {
+			delete(t.list, id)
 		}
 	}
 }
 
-// Older makes what was heard older: this box's machine was suspended.
-func (l *Tracker) Older(by time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, have := range l.list {
-		have.at = have.at.Add(-by)
+// Older ages the limits by the time for which this machine was suspended.
+func (t *Tracker) Older(by time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, e := range t.list {
+		e.at = e.at.Add(-by)
 	}
 }
