--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -1,4 +1,5 @@
-// Package backoff knows which upstreams have asked this box to send them nothing for a time.
+// Package backoff tracks the upstreams that have requested this box to send them
+// nothing for a time.
 package backoff
 
 import (
@@ -16,276 +17,282 @@
 )
 
 const (
-	// restMost bounds what an upstream may ask for at once.
-	restMost = time.Hour
-	// spreadPart and spreadMost bound how long after its end a box takes an upstream up
-	// again: other boxes may have been asked until the same moment.
-	spreadPart = 4
-	spreadMost = time.Second
-	// trialTime is how long the first request after a rest goes alone.
-	trialTime = time.Second
-	// exceptionsMost is how many sends a rest may be broken by that can go nowhere else.
-	// Source: the users' rule on requests within a rest.
-	exceptionsMost = 2
-	// namesMost bounds the upstreams that are named to others.
-	namesMost = 64
-	// backPart is the part of their wait by which callers that come back are spread.
-	backPart = 3
-	// keptFor is how long after a rest an upstream is known to which nothing was sent.
-	keptFor = time.Minute
+	// maxBackoff is the longest backoff that an upstream may request.
+	maxBackoff = time.Hour
+	// jitterDivisor and maxJitter bound the random delay after the end of a backoff
+	// before a box resumes, to a fraction (1/4) of the backoff and to a second: other
+	// boxes may have been given the same end.
+	jitterDivisor = 4
+	maxJitter     = time.Second
+	// trialTimeout is how long the first request after a backoff stays the only one if
+	// it is not answered.
+	trialTimeout = time.Second
+	// maxExceptions is the number of requests that may be sent during a backoff because
+	// they can go nowhere else, by the users' rule on requests within a backoff.
+	maxExceptions = 2
+	// maxNames is the maximum number of upstreams named in a report.
+	maxNames = 64
+	// retryJitterDivisor bounds the random jitter of Retry-After to that fraction (1/3)
+	// of the wait.
+	retryJitterDivisor = 3
+	// retention is how long an entry is kept after its end if nothing was sent to the
+	// upstream.
+	retention = time.Minute
 )
 
-// What may become of a rest.
+// Changes of a backoff, as counted and logged.
 const (
 	Asked    = "asked"
-	Longer   = "longer"   // asked for again, until later
-	Over     = "over"     // an answer after it asked for none
-	Excepted = "excepted" // a request went that could go nowhere else
+	Longer   = "longer"   // requested again, with a later end
+	Over     = "over"     // ended: an answer after it requested none
+	Excepted = "excepted" // a request was sent that could go nowhere else
 )
 
-// Changes lists every change, for counters.
+// Changes returns all changes, for counters.
 func Changes() []string { return []string{Asked, Longer, Over, Excepted} }
 
-// Counter counts changes.
+// Counter counts changes of backoffs.
 type Counter interface {
 	BackoffChanged(change string)
 }
 
-// span is one upstream's rest.
-type span struct {
-	service    string
-	born       int64 // the life of the upstream that asked for it
-	asked      time.Time
-	until      time.Time
-	back       time.Time // this box takes the upstream up again
-	trial      time.Time // the last request went after that; zero before
-	exceptions int
+// entry is the backoff of one upstream.
+type entry struct {
+	service     string
+	startedAt   int64 // start time of the incarnation that requested it
+	requestedAt time.Time
+	until       time.Time
+	resumeAt    time.Time // when this box resumes, after jitter
+	trialAt     time.Time // when the last trial request was sent; zero before
+	exceptions  int
 }
 
-// wait returns for how long nothing may go.
-func (s *span) wait(now time.Time) time.Duration {
-	if now.Before(s.back) {
-		return s.back.Sub(now)
+// wait returns for how long nothing may be sent.
+func (e *entry) wait(now time.Time) time.Duration {
+	if now.Before(e.resumeAt) {
+		return e.resumeAt.Sub(now)
 	}
-	if s.trial.IsZero() {
+	if e.trialAt.IsZero() {
 		return 0
 	}
-	return max(s.trial.Add(trialTime).Sub(now), 0)
+	return max(e.trialAt.Add(trialTimeout).Sub(now), 0)
 }
 
-// Tracker is one box's. It is safe for use by several goroutines; a nil one knows of no rest.
+// Tracker holds the backoffs of one box. It is safe for concurrent use; a nil *Tracker
+// has none.
 type Tracker struct {
 	counter Counter
 	log     *logrus.Entry
 	count   atomic.Int64
 
-	mu     sync.Mutex
-	random *rand.Rand
-	spans  map[string]*span // by upstream
+	mu      sync.Mutex
+	random  *rand.Rand
+	entries map[string]*entry // by upstream
 }
 
-// New returns the rests of a box that was asked for none.
+// New returns a tracker without backoffs.
 func New(random *rand.Rand, counter Counter, log *logrus.Entry) *Tracker {
-	return &Tracker{random: random, counter: counter, log: log, spans: map[string]*span{}}
+	return &Tracker{random: random, counter: counter, log: log, entries: map[string]*entry{}}
 }
 
-// none tells, without a lock, whether there is no rest at all.
-func (r *Tracker) none() bool { return r == nil || r.count.Load() == 0 }
+// empty reports, without a lock, whether there is no backoff at all.
+func (t *Tracker) empty() bool { return t == nil || t.count.Load() == 0 }
 
-// Requested takes an upstream's word that it wants nothing for a time.
-func (r *Tracker) Requested(now time.Time, u fleet.Upstream, d time.Duration) {
-	if r == nil || d <= 0 {
+// Requested records that an upstream requested a backoff.
+func (t *Tracker) Requested(now time.Time, u fleet.Upstream, d time.Duration) {
+	if t == nil || d <= 0 {
 		return
 	}
-	d = min(d, restMost)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s, known := r.spans[u.ID]
-	if known && u.Born < s.born {
+	d = min(d, maxBackoff)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, known := t.entries[u.ID]
+	if known && u.Born < e.startedAt {
 		return
 	}
-	if !known || u.Born > s.born {
-		s = &span{service: u.Service, born: u.Born, asked: now}
-		r.spans[u.ID] = s
-		r.count.Store(int64(len(r.spans)))
+	if !known || u.Born > e.startedAt {
+		e = &entry{service: u.Service, startedAt: u.Born, requestedAt: now}
+		t.entries[u.ID] = e
+		t.count.Store(int64(len(t.entries)))
 	}
 	until := now.Add(d)
-	if !until.After(s.until) {
+	if !until.After(e.until) {
 		return
 	}
 	change := Asked
-	if now.Before(s.back) {
+	if now.Before(e.resumeAt) {
 		change = Longer
 	} else {
-		s.asked, s.exceptions = now, 0
+		e.requestedAt, e.exceptions = now, 0
 	}
-	s.until, s.trial = until, time.Time{}
-	s.back = until.Add(time.Duration(r.random.Int64N(int64(min(d/spreadPart, spreadMost)) + 1)))
-	r.note(change, u.ID, logrus.Fields{"rest_ms": d.Milliseconds(), "left_ms": s.back.Sub(now).Milliseconds(), "born": u.Born})
+	e.until, e.trialAt = until, time.Time{}
+	e.resumeAt = until.Add(time.Duration(t.random.Int64N(int64(min(d/jitterDivisor, maxJitter)) + 1)))
+	t.record(change, u.ID, logrus.Fields{"rest_ms": d.Milliseconds(), "left_ms": e.resumeAt.Sub(now).Milliseconds(), "born": u.Born})
 }
 
-// Answered takes an answer that asks for no rest, to a request that was sent at a time.
-func (r *Tracker) Answered(now, sent time.Time, u fleet.Upstream) {
-	if r.none() {
+// Answered records an answer that requests no backoff, to a request that was sent at a
+// time.
+func (t *Tracker) Answered(now, sent time.Time, u fleet.Upstream) {
+	if t.empty() {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s, known := r.spans[u.ID]
-	if !known || u.Born < s.born || sent.Before(s.back) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, known := t.entries[u.ID]
+	if !known || u.Born < e.startedAt || sent.Before(e.resumeAt) {
 		return
 	}
-	r.note(Over, u.ID, logrus.Fields{"asked_ms": now.Sub(s.asked).Milliseconds(), "after_ms": now.Sub(s.until).Milliseconds()})
-	r.drop(u.ID)
+	t.record(Over, u.ID, logrus.Fields{"asked_ms": now.Sub(e.requestedAt).Milliseconds(), "after_ms": now.Sub(e.until).Milliseconds()})
+	t.drop(u.ID)
 }
 
-// Wait returns for how long nothing may go to an upstream; 0 if it may.
-func (r *Tracker) Wait(now time.Time, upstream string) time.Duration {
-	if r.none() {
+// Wait returns for how long nothing may be sent to an upstream; 0 if it is available.
+func (t *Tracker) Wait(now time.Time, upstream string) time.Duration {
+	if t.empty() {
 		return 0
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s, ok := r.spans[upstream]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, ok := t.entries[upstream]
 	if !ok {
 		return 0
 	}
-	return s.wait(now)
+	return e.wait(now)
 }
 
-// Available returns the upstreams of a list to which something may go. The list is not
-// changed.
-func (r *Tracker) Available(now time.Time, list []fleet.Upstream) []fleet.Upstream {
-	if r.none() {
+// Available returns the upstreams of a list to which requests may be sent. The list is
+// not changed.
+func (t *Tracker) Available(now time.Time, list []fleet.Upstream) []fleet.Upstream {
+	if t.empty() {
 		return list
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	rests := func(u fleet.Upstream) bool {
-		s, ok := r.spans[u.ID]
-		return ok && s.wait(now) > 0
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	inBackoff := func(u fleet.Upstream) bool {
+		e, ok := t.entries[u.ID]
+		return ok && e.wait(now) > 0
 	}
-	if !slices.ContainsFunc(list, rests) {
+	if !slices.ContainsFunc(list, inBackoff) {
 		return list
 	}
-	return slices.DeleteFunc(slices.Clone(list), rests)
+	return slices.DeleteFunc(slices.Clone(list), inBackoff)
 }
 
-// MaySend tells whether a request that is about to go to an upstream may. The first after a
-// rest goes alone until it is answered.
-func (r *Tracker) MaySend(now time.Time, upstream string) bool {
-	if r.none() {
+// MaySend reports whether a request may be sent to an upstream now. The first request
+// after a backoff is a trial: no other is sent until it is answered.
+func (t *Tracker) MaySend(now time.Time, upstream string) bool {
+	if t.empty() {
 		return true
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s, ok := r.spans[upstream]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, ok := t.entries[upstream]
 	switch {
 	case !ok:
 		return true
-	case s.wait(now) > 0:
+	case e.wait(now) > 0:
 		return false
 	}
-	s.trial = now
+	e.trialAt = now
 	return true
 }
 
-// AllowException tells whether what can go nowhere else may go to an upstream: where it rests, as
-// long as there are few exceptions.
-func (r *Tracker) AllowException(now time.Time, upstream string) bool {
-	if r.none() {
+// AllowException reports whether a request that can go nowhere else may be sent to an
+// upstream, even during a backoff, for a limited number of requests.
+func (t *Tracker) AllowException(now time.Time, upstream string) bool {
+	if t.empty() {
 		return true
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s, ok := r.spans[upstream]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, ok := t.entries[upstream]
 	switch {
-	case !ok || s.wait(now) == 0:
+	case !ok || e.wait(now) == 0:
 		return true
-	case s.exceptions >= exceptionsMost:
+	case e.exceptions >= maxExceptions:
 		return false
 	}
-	s.exceptions++
-	r.note(Excepted, upstream, logrus.Fields{"left_ms": s.wait(now).Milliseconds(), "exceptions": s.exceptions})
+	e.exceptions++
+	t.record(Excepted, upstream, logrus.Fields{"left_ms": e.wait(now).Milliseconds(), "exceptions": e.exceptions})
 	return true
 }
 
-// Names returns the upstreams of a service to which nothing may go, by name: as many as
-// others are told of.
-func (r *Tracker) Names(now time.Time, service string) []string {
-	if r.none() {
+// Names returns the sorted names of a service's upstreams in backoff, as many as fit
+// into a report.
+func (t *Tracker) Names(now time.Time, service string) []string {
+	if t.empty() {
 		return nil
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var names []string
-	for id, s := range r.spans {
-		if s.service == service && s.wait(now) > 0 {
+	for id, e := range t.entries {
+		if e.service == service && e.wait(now) > 0 {
 			names = append(names, id)
 		}
 	}
 	slices.Sort(names)
-	return names[:min(len(names), namesMost)]
+	return names[:min(len(names), maxNames)]
 }
 
-// RetryAfter returns when a caller is to come back that would have to wait so long.
-func (r *Tracker) RetryAfter(wait time.Duration) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return wait + time.Duration(r.random.Int64N(int64(wait/backPart)+1))
+// RetryAfter returns the Retry-After for a client that would have to wait that long.
+func (t *Tracker) RetryAfter(wait time.Duration) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return wait + time.Duration(t.random.Int64N(int64(wait/retryJitterDivisor)+1))
 }
 
-// Forget drops what an upstream asked for, as it has started again.
-func (r *Tracker) Forget(upstream string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.drop(upstream)
+// Forget drops the backoff of an upstream that has restarted.
+func (t *Tracker) Forget(upstream string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.drop(upstream)
 }
 
-func (r *Tracker) drop(upstream string) {
-	delete(r.spans, upstream)
-	r.count.Store(int64(len(r.spans)))
+func (t *Tracker) drop(upstream string) {
+	delete(t.entries, upstream)
+	t.count.Store(int64(len(t.entries)))
 }
 
-// Tick drops rests that ended long ago.
-func (r *Tracker) Tick(now time.Time) {
-	if r.none() {
+// Tick drops backoffs that ended long ago.
+func (t *Tracker) Tick(now time.Time) {
+	if t.empty() {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for id, s := range r.spans {
-		if now.Sub(s.back) > keptFor {
-			r.drop(id)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id, e := range t.entries {
+		if now.Sub(e.resumeAt) > retention {
+			t.drop(id)
 		}
 	}
 }
 
-// Older lets rests run on by a time in which this box's machine was suspended.
-func (r *Tracker) Older(by time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, s := range r.spans {
-		s.asked, s.until, s.back = s.asked.Add(-by), s.until.Add(-by), s.back.Add(-by)
-		if !s.trial.IsZero() {
-			s.trial = s.trial.Add(-by)
+// Older ages the backoffs by the time for which this machine was suspended.
+func (t *Tracker) Older(by time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, e := range t.entries {
+		e.requestedAt, e.until, e.resumeAt = e.requestedAt.Add(-by), e.until.Add(-by), e.resumeAt.Add(-by)
+		if !e.trialAt.IsZero() {
+			e.trialAt = e.trialAt.Add(-by)
 		}
 	}
 }
 
-// View returns the rests, for operators.
-func (r *Tracker) View(now time.Time) []wire.RestView {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	list := make([]wire.RestView, 0, len(r.spans))
-	for id, s := range r.spans {
-		list = append(list, wire.RestView{Upstream: id, AskedMs: int(now.Sub(s.asked).Milliseconds()), LeftMs: int(s.wait(now).Milliseconds()), Exceptions: s.exceptions})
+// View returns the backoffs, for operators.
+func (t *Tracker) View(now time.Time) []wire.RestView {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	list := make([]wire.RestView, 0, len(t.entries))
+	for id, e := range t.entries {
+		list = append(list, wire.RestView{Upstream: id, AskedMs: int(now.Sub(e.requestedAt).Milliseconds()), LeftMs: int(e.wait(now).Milliseconds()), Exceptions: e.exceptions})
 	}
 	slices.SortFunc(list, func(a, b wire.RestView) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	return list
 }
 
-func (r *Tracker) note(change, upstream string, fields logrus.Fields) {
-	r.counter.BackoffChanged(change)
-	r.log.WithFields(fields).WithFields(logrus.Fields{"upstream": upstream, "change": change}).Info("upstream_rest")
+func (t *Tracker) record(change, upstream string, fields logrus.Fields) {
+	t.counter.BackoffChanged(change)
+	t.log.WithFields(fields).WithFields(logrus.Fields{"upstream": upstream, "change": change}).Info("upstream_rest")
 }
--- a/backoff/backoff_test.go
+++ b/backoff/backoff_test.go
@@ -18,127 +18,128 @@
 // BackoffChanged implements Counter.
 func (c counts) BackoffChanged(change string) { c[change]++ }
 
-func box() (*Tracker, counts) {
+func newTracker() (*Tracker, counts) {
 	c := counts{}
 	return New(rand.New(rand.NewPCG(1, 1)), c, logs.New(io.Discard, "error", "b")), c
 }
 
-// word is what a box hears of an upstream, some ms after the first.
-type word struct {
-	at   int
-	rest int // ms; 0 for an answer that asks for none
-	sent int // when its request went
-	born int64
+// answer is an answer of an upstream; its times are in ms after the first.
+type answer struct {
+	at        int
+	backoff   int // ms; 0 if it requests none
+	sent      int // when its request was sent
+	startedAt int64
 }
 
-// TestAsked shows for how long nothing goes, whatever is heard.
-func TestAsked(t *testing.T) {
+// TestRequested checks for how long nothing is sent after a sequence of answers.
+func TestRequested(t *testing.T) {
 	tests := map[string]struct {
-		words []word
-		until int // ms, at least; 0: it does not rest
-		at    int // when that is looked at
+		answers []answer
+		until   int // ms, at least; 0: no backoff
+		at      int // time of the check
 	}{
-		"it asks for rest":                {[]word{{at: 0, rest: 3000}}, 3000, 0},
-		"for none":                        {[]word{{at: 0}}, 0, 0},
-		"again, for longer":               {[]word{{at: 0, rest: 3000}, {at: 100, rest: 5000}}, 5100, 100},
-		"again, for less":                 {[]word{{at: 0, rest: 3000}, {at: 100, rest: 500}}, 3000, 100},
-		"an answer without it crosses":    {[]word{{at: 0, rest: 3000}, {at: 100, sent: -50}}, 3000, 100},
-		"an answer without it, later":     {[]word{{at: 0, rest: 3000}, {at: 1000, sent: 900}}, 3000, 1000},
-		"an answer after its end":         {[]word{{at: 0, rest: 1000}, {at: 3000, sent: 2900}}, 0, 3000},
-		"it asks again after its end":     {[]word{{at: 0, rest: 1000}, {at: 3000, rest: 1000}}, 4000, 3000},
-		"of an hour":                      {[]word{{at: 0, rest: 3600_000}}, 3600_000, 0},
-		"of a year":                       {[]word{{at: 0, rest: 365 * 24 * 3600_000}}, 3600_000, 0},
-		"a later life asks for less":      {[]word{{at: 0, rest: 3000, born: 1}, {at: 100, rest: 500, born: 2}}, 600, 100},
-		"an earlier life asks for more":   {[]word{{at: 0, rest: 500, born: 2}, {at: 100, rest: 3000, born: 1}}, 500, 100},
-		"an earlier life asks for none":   {[]word{{at: 0, rest: 500, born: 2}, {at: 2000, sent: 1900, born: 1}}, 0, 2000},
-		"an answer to the first after it": {[]word{{at: 0, rest: 500}, {at: 2000, sent: 1990}}, 0, 2000},
+		"a backoff is requested":               {[]answer{{at: 0, backoff: 3000}}, 3000, 0},
+		"none is requested":                    {[]answer{{at: 0}}, 0, 0},
+		"requested again, for longer":          {[]answer{{at: 0, backoff: 3000}, {at: 100, backoff: 5000}}, 5100, 100},
+		"requested again, for less":            {[]answer{{at: 0, backoff: 3000}, {at: 100, backoff: 500}}, 3000, 100},
+		"a crossing answer requests none":      {[]answer{{at: 0, backoff: 3000}, {at: 100, sent: -50}}, 3000, 100},
+		"a later answer requests none":         {[]answer{{at: 0, backoff: 3000}, {at: 1000, sent: 900}}, 3000, 1000},
+		"an answer after its end":              {[]answer{{at: 0, backoff: 1000}, {at: 3000, sent: 2900}}, 0, 3000},
+		"requested again after its end":        {[]answer{{at: 0, backoff: 1000}, {at: 3000, backoff: 1000}}, 4000, 3000},
+		"for an hour":                          {[]answer{{at: 0, backoff: 3600_000}}, 3600_000, 0},
+		"for a year":                           {[]answer{{at: 0, backoff: 365 * 24 * 3600_000}}, 3600_000, 0},
+		"a later incarnation requests less":    {[]answer{{at: 0, backoff: 3000, startedAt: 1}, {at: 100, backoff: 500, startedAt: 2}}, 600, 100},
+		"an earlier incarnation requests more": {[]answer{{at: 0, backoff: 500, startedAt: 2}, {at: 100, backoff: 3000, startedAt: 1}}, 500, 100},
+		"an earlier incarnation requests none": {[]answer{{at: 0, backoff: 500, startedAt: 2}, {at: 2000, sent: 1900, startedAt: 1}}, 0, 2000},
+		"the trial is answered":                {[]answer{{at: 0, backoff: 500}, {at: 2000, sent: 1990}}, 0, 2000},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, _ := box()
+			tracker, _ := newTracker()
 			began := time.Now()
 			ms := func(n int) time.Time { return began.Add(time.Duration(n) * time.Millisecond) }
-			for _, w := range tt.words {
-				u := fleet.Upstream{ID: "u", Service: "s", Born: w.born}
-				if w.rest > 0 {
-					r.Requested(ms(w.at), u, time.Duration(w.rest)*time.Millisecond)
+			for _, a := range tt.answers {
+				u := fleet.Upstream{ID: "u", Service: "s", Born: a.startedAt}
+				if a.backoff > 0 {
+					tracker.Requested(ms(a.at), u, time.Duration(a.backoff)*time.Millisecond)
 				} else {
-					r.Answered(ms(w.at), ms(w.sent), u)
+					tracker.Answered(ms(a.at), ms(a.sent), u)
 				}
 			}
-			wait := r.Wait(ms(tt.at), "u")
+			wait := tracker.Wait(ms(tt.at), "u")
 			if tt.until == 0 {
 				is.Equal(wait, time.Duration(0))
 				return
 			}
 			until := ms(tt.until)
 			is.True(!ms(tt.at).Add(wait).Before(until))
-			is.True(!ms(tt.at).Add(wait).After(until.Add(spreadMost)))
-			is.Equal(r.Names(ms(tt.at), "s"), []string{"u"})
-			is.Equal(len(r.Names(ms(tt.at), "other")), 0)
+			is.True(!ms(tt.at).Add(wait).After(until.Add(maxJitter)))
+			is.Equal(tracker.Names(ms(tt.at), "s"), []string{"u"})
+			is.Equal(len(tracker.Names(ms(tt.at), "other")), 0)
 		})
 	}
 }
 
-// TestTrial guards against several requests at once to an upstream whose rest is over.
+// TestTrial checks that only one request is sent to an upstream after its backoff until
+// that is answered.
 func TestTrial(t *testing.T) {
 	u := fleet.Upstream{ID: "u", Service: "s"}
 	tests := map[string]struct {
-		heard func(r *Tracker, now, sent time.Time)
-		after time.Duration
-		goes  bool // the next
+		answer func(tracker *Tracker, now, sent time.Time)
+		after  time.Duration
+		want   bool // the next may be sent
 	}{
 		"not answered yet":        {func(*Tracker, time.Time, time.Time) {}, 100 * time.Millisecond, false},
-		"lost":                    {func(*Tracker, time.Time, time.Time) {}, trialTime, true},
-		"answered":                {func(r *Tracker, now, sent time.Time) { r.Answered(now, sent, u) }, 100 * time.Millisecond, true},
-		"turned away with a rest": {func(r *Tracker, now, _ time.Time) { r.Requested(now, u, time.Second) }, 100 * time.Millisecond, false},
-		"an old answer":           {func(r *Tracker, now, sent time.Time) { r.Answered(now, sent.Add(-5*time.Second), u) }, 100 * time.Millisecond, false},
+		"lost":                    {func(*Tracker, time.Time, time.Time) {}, trialTimeout, true},
+		"answered":                {func(tracker *Tracker, now, sent time.Time) { tracker.Answered(now, sent, u) }, 100 * time.Millisecond, true},
+		"rejected with a backoff": {func(tracker *Tracker, now, _ time.Time) { tracker.Requested(now, u, time.Second) }, 100 * time.Millisecond, false},
+		"an old answer":           {func(tracker *Tracker, now, sent time.Time) { tracker.Answered(now, sent.Add(-5*time.Second), u) }, 100 * time.Millisecond, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, _ := box()
+			tracker, _ := newTracker()
 			now := time.Now()
-			r.Requested(now, u, time.Second)
+			tracker.Requested(now, u, time.Second)
 			now = now.Add(3 * time.Second)
-			is.True(r.MaySend(now, "u"))
-			is.True(!r.MaySend(now, "u"))
+			is.True(tracker.MaySend(now, "u"))
+			is.True(!tracker.MaySend(now, "u"))
 			now = now.Add(50 * time.Millisecond)
-			tt.heard(r, now, now.Add(-50*time.Millisecond))
-			is.Equal(r.MaySend(now.Add(tt.after), "u"), tt.goes)
+			tt.answer(tracker, now, now.Add(-50*time.Millisecond))
+			is.Equal(tracker.MaySend(now.Add(tt.after), "u"), tt.want)
 		})
 	}
 }
 
-// TestMayExcept bounds what may go to an upstream that rests.
-func TestMayExcept(t *testing.T) {
+// TestAllowException bounds the requests sent to an upstream in backoff.
+func TestAllowException(t *testing.T) {
 	is := is.New(t)
-	r, c := box()
+	tracker, c := newTracker()
 	now := time.Now()
 	u := fleet.Upstream{ID: "u"}
-	is.True(r.AllowException(now, "u"))
-	r.Requested(now, u, time.Minute)
-	is.True(r.AllowException(now, "u"))
-	r.Requested(now.Add(time.Second), u, 2*time.Minute) // the first is not over
-	is.True(r.AllowException(now.Add(time.Second), "u"))
-	is.True(!r.AllowException(now.Add(time.Second), "u"))
-	is.True(r.AllowException(now.Add(time.Hour), "u"))
+	is.True(tracker.AllowException(now, "u"))
+	tracker.Requested(now, u, time.Minute)
+	is.True(tracker.AllowException(now, "u"))
+	tracker.Requested(now.Add(time.Second), u, 2*time.Minute) // the first is not over
+	is.True(tracker.AllowException(now.Add(time.Second), "u"))
+	is.True(!tracker.AllowException(now.Add(time.Second), "u"))
+	is.True(tracker.AllowException(now.Add(time.Hour), "u"))
 	is.Equal(c[Excepted], 2)
 }
 
-// TestSpread guards against all boxes taking an upstream up at the end of a rest that all
-// were asked for.
+// TestSpread checks that boxes with the same end of a backoff do not resume at the same
+// moment.
 func TestSpread(t *testing.T) {
 	is := is.New(t)
 	tenths := map[int64]int{}
 	const boxes = 300
 	now := time.Now()
 	for i := range uint64(boxes) {
-		r := New(rand.New(rand.NewPCG(i, 8)), counts{}, logs.New(io.Discard, "error", "b"))
-		r.Requested(now, fleet.Upstream{ID: "u"}, 8*time.Second)
-		wait := r.Wait(now, "u") - 8*time.Second
-		is.True(wait >= 0 && wait <= spreadMost)
+		tracker := New(rand.New(rand.NewPCG(i, 8)), counts{}, logs.New(io.Discard, "error", "b"))
+		tracker.Requested(now, fleet.Upstream{ID: "u"}, 8*time.Second)
+		wait := tracker.Wait(now, "u") - 8*time.Second
+		is.True(wait >= 0 && wait <= maxJitter)
 		tenths[wait.Milliseconds()/100]++
 	}
 	for _, n := range tenths {
@@ -146,30 +147,30 @@
 	}
 }
 
-// TestOver forgets what has started again, and what ended long ago, and lets a rest run
-// while the machine is suspended.
-func TestOver(t *testing.T) {
+// TestTick checks that backoffs of restarted upstreams and old ones are dropped, and
+// that a backoff runs on while the machine is suspended.
+func TestTick(t *testing.T) {
 	is := is.New(t)
-	r, c := box()
+	tracker, c := newTracker()
 	now := time.Now()
-	for _, id := range []string{"ends", "starts", "stays"} {
-		r.Requested(now, fleet.Upstream{ID: id}, 10*time.Second)
+	for _, id := range []string{"ended", "restarted", "active"} {
+		tracker.Requested(now, fleet.Upstream{ID: id}, 10*time.Second)
 	}
-	r.Forget("starts")
-	is.Equal(r.Wait(now, "starts"), time.Duration(0))
-	r.Older(4 * time.Second)
-	is.True(r.Wait(now, "ends") >= 6*time.Second)
-	is.True(r.Wait(now, "ends") <= 7*time.Second)
-	r.Requested(now, fleet.Upstream{ID: "stays"}, time.Hour)
-	r.Tick(now.Add(2 * time.Minute))
-	is.Equal(len(r.View(now)), 1)
-	is.Equal(r.View(now)[0].Upstream, "stays")
+	tracker.Forget("restarted")
+	is.Equal(tracker.Wait(now, "restarted"), time.Duration(0))
+	tracker.Older(4 * time.Second)
+	is.True(tracker.Wait(now, "ended") >= 6*time.Second)
+	is.True(tracker.Wait(now, "ended") <= 7*time.Second)
+	tracker.Requested(now, fleet.Upstream{ID: "active"}, time.Hour)
+	tracker.Tick(now.Add(2 * time.Minute))
+	is.Equal(len(tracker.View(now)), 1)
+	is.Equal(tracker.View(now)[0].Upstream, "active")
 	is.Equal(c[Asked], 3)
 	is.Equal(c[Longer], 1)
 }
 
-// TestNone shows that a box without rests, or that keeps none, sends to all.
-func TestNone(t *testing.T) {
+// TestEmpty checks that a nil tracker allows all requests.
+func TestEmpty(t *testing.T) {
 	is := is.New(t)
 	var none *Tracker
 	none.Requested(time.Now(), fleet.Upstream{ID: "u"}, time.Minute)
@@ -181,32 +182,33 @@
 	none.Tick(time.Now())
 }
 
-// TestNames bounds the upstreams that are named to others.
+// TestNames bounds the upstreams named in a report.
 func TestNames(t *testing.T) {
-	r, _ := box()
+	tracker, _ := newTracker()
 	now := time.Now()
 	for i := range 1000 {
-		r.Requested(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
+		tracker.Requested(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
 	}
-	is.New(t).Equal(len(r.Names(now, "s")), namesMost)
+	is.New(t).Equal(len(tracker.Names(now, "s")), maxNames)
 }
 
-// BenchmarkMaySend is the look of a send before 1,000 upstreams, by others that rest.
+// BenchmarkMaySend measures the checks of one request with 1,000 upstreams, by the
+// number of others in backoff.
 func BenchmarkMaySend(b *testing.B) {
-	for _, resting := range []int{0, 10, 1000} {
-		b.Run(fmt.Sprint(resting, " rest"), func(b *testing.B) {
-			r, _ := box()
+	for _, entries := range []int{0, 10, 1000} {
+		b.Run(fmt.Sprint(entries, " in backoff"), func(b *testing.B) {
+			tracker, _ := newTracker()
 			now := time.Now()
-			for i := range resting {
-				r.Requested(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
+			for i := range entries {
+				tracker.Requested(now, fleet.Upstream{ID: fmt.Sprint("u", i), Service: "s"}, time.Minute)
 			}
 			var list []fleet.Upstream
 			for i := range 1000 {
 				list = append(list, fleet.Upstream{ID: fmt.Sprint("v", i), Service: "s"})
 			}
 			for b.Loop() {
-				r.Available(now, list)
-				r.MaySend(now, "other")
+				tracker.Available(now, list)
+				tracker.MaySend(now, "other")
 			}
 		})
 	}
