--- a/admission/admission.go
+++ b/admission/admission.go
@@ -103,8 +103,8 @@
 	Refused(now time.Time, p shares.Party, work float64)
 	// Waited records that a request was not admitted at once.
 	Waited(now time.Time)
-	// Weigh recomputes the shares, including the work that is waiting.
-	Weigh(now time.Time, waiting map[shares.Party]float64)
+	// Recompute recomputes the shares, including the work that is waiting.
+	Recompute(now time.Time, waiting map[shares.Party]float64)
 	Standing(p shares.Party) shares.Standing
 }
 
@@ -334,7 +334,7 @@
 	if a.shares != nil {
 		s := w.standing
 		entry = entry.WithFields(logrus.Fields{
-			"organisation": w.req.Organisation, "share": int(s.Share), "given_work": int(s.Given), "owed": int(s.Owed()), "over": s.Over, "starved": s.Starved,
+			"organisation": w.req.Organisation, "share": int(s.Share), "given_work": int(s.Given), "owed": int(s.Deficit()), "over": s.Over, "starved": s.Starved,
 		})
 	}
 	return entry.WithFields(logrus.Fields{
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -322,16 +322,16 @@
 type fixedShares map[string]shares.Standing
 
 func (fixedShares) Assigned(time.Time, shares.Party, float64) {}
-func (fixedShares) Refused(time.Time, shares.Party, float64)  {}
-func (fixedShares) Waited(time.Time)                          {}
-func (fixedShares) Weigh(time.Time, map[shares.Party]float64) {}
+func (fixedShares) Refused(time.Time, shares.Party, float64) {}
+func (fixedShares) Waited(time.Time) {}
+func (fixedShares) Recompute(time.Time, map[shares.Party]float64) {}
 func (f fixedShares) Standing(p shares.Party) shares.Standing { return f[p.Organisation] }
 
 // TestFairOrder lets requests of two organisations wait for a full engine and then ends
 // its runs.
 func TestFairOrder(t *testing.T) {
-	over, owed, bound := shares.Standing{Bound: true, Over: true, Part: 1}, shares.Standing{}, shares.Standing{Bound: true, Part: 1}
-	starved := shares.Standing{Bound: true, Starved: true}
+	over, owed, bound := shares.Standing{Capped: true, Over: true, Fraction: 1}, shares.Standing{}, shares.Standing{Capped: true, Fraction: 1}
+	starved := shares.Standing{Capped: true, Starved: true}
 	tests := map[string]struct {
 		first, second shares.Standing
 		urgency       int           // of the first; the second's is 1
@@ -389,7 +389,7 @@
 				is := is.New(t)
 				req := draft("a")
 				req.Organisation = "acme"
-				s.Took(time.Now(), shares.Party{Organisation: "acme", Rank: req.Urgency}, 1000, true)
+				s.RecordOwn(time.Now(), shares.Party{Organisation: "acme", Rank: req.Urgency}, 1000, true)
 				is.NoErr(w.request(t.Context(), req))
 				is.Equal(len(s.Own(time.Now())) > 0, full)
 			})
@@ -401,7 +401,7 @@
 func TestOverShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorldWithShares(1, fixedShares{"large": {Bound: true, Over: true}})
+		w := newWorldWithShares(1, fixedShares{"large": {Capped: true, Over: true}})
 		w.fill("e0", slots, 30000)
 		waits := draft("a")
 		waits.Patience, waits.Aim = time.Minute, time.Minute
--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -51,7 +51,7 @@
 		if !short || now.Sub(a.lastWaitAt) > shortageWindow {
 			return grantOf(req, c), true
 		}
-		if cost := a.packingCost(req, c) + int((c.Cost+c.Line)*float64(lateWeight*req.Service.Engine.Memory)); best < 0 || cost < lowest {
+		if cost := a.packingCost(req, c) + int((c.Cost+c.LateChance)*float64(lateWeight*req.Service.Engine.Memory)); best < 0 || cost < lowest {
 			best, lowest = i, cost
 		}
 	}
@@ -127,7 +127,7 @@
 	if left < 0 {
 		return l.Prefill <= req.Prompt
 	}
-	inTime := c.Reading*a.prefill.Time(l.Prefill+req.Prompt).Seconds() <= (left + a.prefill.Time(req.Prompt)).Seconds()
+	inTime := c.PrefillRatio*a.prefill.Time(l.Prefill+req.Prompt).Seconds() <= (left + a.prefill.Time(req.Prompt)).Seconds()
 	return inTime && (l.Prefill <= req.Prompt || a.short(req))
 }
 
--- a/admission/deadlines.go
+++ b/admission/deadlines.go
@@ -180,7 +180,7 @@
 // refusalReason returns why a request is refused: its organisation exceeds its share, or
 // the queue is too long.
 func refusalReason(w *waiter) refusal.Reason {
-	if w.standing.Bound {
+	if w.standing.Capped {
 		return refusal.OverShare
 	}
 	return refusal.WaitTooLong
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -425,7 +425,7 @@
 			entry.Started()
 			late = now.Sub(req.Arrived) > req.Aim
 			if alone {
-				sim.speeds[box].Read(now, upstream, req.Prompt, now.Sub(sent))
+				sim.speeds[box].RecordPrefill(now, upstream, req.Prompt, now.Sub(sent))
 			}
 		} else {
 			paused = paused || now.Sub(last) > maxPause
@@ -538,7 +538,7 @@
 			for j, to := range sim.loads {
 				if i != j {
 					to.Update(time.Now(), fmt.Sprint("b", i), from.Own())
-					sim.speeds[j].Told(time.Now(), fmt.Sprint("b", i), sim.speeds[i].Own(time.Now()))
+					sim.speeds[j].Update(time.Now(), fmt.Sprint("b", i), sim.speeds[i].Own(time.Now()))
 				}
 			}
 		}
--- a/admission/rejections.go
+++ b/admission/rejections.go
@@ -74,7 +74,7 @@
 		"expected_ms": expected.Milliseconds(), "given": int(a.forecast.rate(now, a.rank(w.req))), "leaves": int(freed), "demand": int(a.demand.rate(now)), "returning": len(a.rejections),
 		"back_ms": wait.Milliseconds(),
 	}).Info("sent_off")
-	a.rejections[w.req.Key] = rejection{retryAt: now.Add(wait), tokens: w.req.Prompt + w.req.Answer, overShare: w.standing.Bound}
+	a.rejections[w.req.Key] = rejection{retryAt: now.Add(wait), tokens: w.req.Prompt + w.req.Answer, overShare: w.standing.Capped}
 	w.result <- outcome{err: refusal.New(refusalReason(w), "no engine has free capacity in time").WithRetryAfter(wait)}
 }
 
@@ -82,7 +82,7 @@
 // rejected requests have been served from what new requests leave.
 func (a *Admission) retryAfter(now time.Time, w *waiter, freed float64) time.Duration {
 	req := w.req
-	needed := float64(req.Prompt + req.Answer + a.rejections.tokens(w.standing.Bound))
+	needed := float64(req.Prompt + req.Answer + a.rejections.tokens(w.standing.Capped))
 	wait := maxRetryAfter
 	if available := max(freed-a.demand.rate(now), minFreeFraction*freed); available > 0 {
 		wait = min(seconds(needed/available), maxRetryAfter)
--- a/admission/sharing.go
+++ b/admission/sharing.go
@@ -37,7 +37,7 @@
 	for _, w := range a.waiting {
 		waitingWork[w.req.party()] += a.Work(w.req)
 	}
-	a.shares.Weigh(now, waitingWork)
+	a.shares.Recompute(now, waitingWork)
 	for _, w := range a.waiting {
 		w.standing = a.shares.Standing(w.req.party())
 	}
@@ -48,7 +48,7 @@
 // yet, then of others. Short and overdue requests are always in the first class.
 func (a *Admission) fairnessClass(now time.Time, w *waiter) int {
 	switch {
-	case !w.standing.Bound || a.short(w.req) || a.overdue(now, w.req):
+	case !w.standing.Capped || a.short(w.req) || a.overdue(now, w.req):
 		return 0
 	case !w.standing.Over:
 		return 1
@@ -67,7 +67,7 @@
 	if !a.rejectable(now, w) || w.standing.Starved || a.fairnessClass(now, w) == 0 {
 		return 1
 	}
-	return 1 - continuingFraction*(1-w.standing.Part)
+	return 1 - continuingFraction*(1-w.standing.Fraction)
 }
 
 // recordRefusal records the first refusal of an organisation's request.
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -116,8 +116,8 @@
 type Choice struct {
 	Upstream fleet.Upstream
 	Running  upstreamload.Load
-	Load     float64 // share of the capacity in use
-	speeds.Judged
+	Load float64 // share of the capacity in use
+	speeds.Evaluation
 	Held bool // cold or limited, and at its limit for now
 }
 
@@ -135,7 +135,7 @@
 // Assigned records that this box, as owner of a queue, assigned a request to an
 // upstream.
 func (p *Picker) Assigned(now time.Time, u fleet.Upstream, n speeds.Need, running upstreamload.Load) {
-	p.Speeds.Gave(now, u, n, running)
+	p.Speeds.Assigned(now, u, n, running)
 }
 
 // Sent records that a request is sent to an upstream.
@@ -165,11 +165,11 @@
 // for now. Runs that move are exempt: they would be lost otherwise, and turns
 // (permissions to move a run) already restrict an upstream to one copy at a time.
 func (p *Picker) coldLimitReached(now time.Time, w Want, u fleet.Upstream) bool {
-	return p.Warmup != nil && now.Before(u.Cold) && !w.Moves && !p.Warmup.May(now, u.ID, p.warmupLimit(w.Service))
+	return p.Warmup != nil && now.Before(u.Cold) && !w.Moves && !p.Warmup.MaySend(now, u.ID, p.warmupLimit(w.Service))
 }
 
 func (p *Picker) warmupLimit(s route.Service) warmup.Limit {
-	return warmup.Limit{PerSecond: s.ColdPerSecond, Part: p.Allocation(s)}
+	return warmup.Limit{PerSecond: s.ColdPerSecond, Allocation: p.Allocation(s)}
 }
 
 // Ranked returns the upstreams that were considered, best first.
@@ -192,7 +192,7 @@
 	ranked := make([]Choice, len(list))
 	for i, s := range order {
 		u := list[s.index]
-		ranked[i] = Choice{Upstream: u, Running: loads[s.index], Load: s.load, Judged: judged[s.index], Held: p.coldLimitReached(now, w, u) || p.limitReached(now, w, u)}
+		ranked[i] = Choice{Upstream: u, Running: loads[s.index], Load: s.load, Evaluation: judged[s.index], Held: p.coldLimitReached(now, w, u) || p.limitReached(now, w, u)}
 	}
 	return ranked
 }
@@ -217,7 +217,7 @@
 func (p *Picker) candidates(now time.Time, w Want) []fleet.Upstream {
 	list := p.Fleet.Serving(w.Service.Name)
 	if w.Own {
-		list = p.Backoff.Without(now, list)
+		list = p.Backoff.Available(now, list)
 	}
 	if w.Sample && len(list) > largeSampleThreshold {
 		list = p.sampleByHall(list, w.Hall)
@@ -276,21 +276,21 @@
 
 // speedScores estimates how fast upstreams serve a request and returns the penalties: by
 // their learned speeds or, without any, by the pace of their current streams.
-func (p *Picker) speedScores(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Judged, scores []float64) {
+func (p *Picker) speedScores(now time.Time, w Want, list []fleet.Upstream, loads []upstreamload.Load) (judged []speeds.Evaluation, scores []float64) {
 	scores = make([]float64, len(list))
-	judged = p.Speeds.Judge(now, w.Service.Name, list, loads, w.Need)
+	judged = p.Speeds.Evaluate(now, w.Service.Name, list, loads, w.Need)
 	if judged == nil {
-		judged = make([]speeds.Judged, len(list))
+		judged = make([]speeds.Evaluation, len(list))
 		median := medianPace(loads)
 		for i, l := range loads {
-			judged[i].Reading = 1
+			judged[i].PrefillRatio = 1
 			scores[i] = slowness(l.Pace(), median)
 		}
 		return judged, scores
 	}
 	for i, l := range loads {
-		judged[i] = judged[i].WithLine(w.Need, p.Prefill.Time(l.Prefill))
-		scores[i] = lateWeight * (judged[i].Cost + judged[i].Line)
+		judged[i] = judged[i].WithQueueWait(w.Need, p.Prefill.Time(l.Prefill))
+		scores[i] = lateWeight * (judged[i].Cost + judged[i].LateChance)
 	}
 	return judged, scores
 }
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -51,13 +51,13 @@
 
 // Rests knows who has asked this box for rest.
 type Rests interface {
-	Asked(now time.Time, u fleet.Upstream, d time.Duration)
+	Requested(now time.Time, u fleet.Upstream, d time.Duration)
 	Wait(now time.Time, upstream string) time.Duration
 }
 
 // Limits takes what upstreams say that they take.
 type Limits interface {
-	Heard(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool)
+	Observe(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool)
 }
 
 // Reports reads an upstream's own word.
@@ -120,8 +120,8 @@
 		w.log.WithError(err).WithField("upstream", u.ID).Debug("report_not_read")
 		word.Born = 0 // only the answer's head holds
 	}
-	w.rests.Asked(time.Now(), u, word.Rest)
-	w.limits.Heard(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
+	w.rests.Requested(time.Now(), u, word.Rest)
+	w.limits.Observe(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
 	w.fleet.Started(time.Now(), u.ID, word.Born, sourceReport)
 	if word.Leaves {
 		w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Said: true, Born: cmp.Or(word.Born, u.Born)}, sourceReport)
--- a/relay/backoff.go
+++ b/relay/backoff.go
@@ -26,7 +26,7 @@
 	log := j.log.WithFields(logrus.Fields{"upstream": upstream, "in_ms": wait.Milliseconds(), "worth_ms": maxWait.Milliseconds()})
 	if wait > maxWait {
 		log.Info("rest_refused")
-		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" are backing off").WithRetryAfter(r.Backoff.Back(wait))
+		return refusal.New(refusal.UpstreamResting, "upstreams of "+j.service.Name+" are backing off").WithRetryAfter(r.Backoff.RetryAfter(wait))
 	}
 	log.Info("rest_awaited")
 	if !r.waitFor(ctx, wait) {
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -27,7 +27,7 @@
 func (w *world) requestBackoff(service string, count int, d time.Duration) {
 	for i := range count {
 		u, _ := w.fleet.Get(fmt.Sprint(service, i))
-		w.relay.Backoff.Asked(time.Now(), u, d)
+		w.relay.Backoff.Requested(time.Now(), u, d)
 	}
 }
 
@@ -112,7 +112,7 @@
 		is := is.New(t)
 		w := newWorld(t, reply{events: []int{0}})
 		backoffs := w.enableBackoff()
-		w.relay.Admitter = &sequentialAdmitter{fleet: w.fleet, onFirst: func(u fleet.Upstream) { backoffs.Asked(time.Now(), u, time.Minute) }}
+		w.relay.Admitter = &sequentialAdmitter{fleet: w.fleet, onFirst: func(u fleet.Upstream) { backoffs.Requested(time.Now(), u, time.Minute) }}
 		c := w.serve(t.Context(), "/draft/")
 		is.Equal(c.body.String(), "0;")
 		is.Equal(len(w.sender.sends), 1)
--- a/relay/check.go
+++ b/relay/check.go
@@ -34,7 +34,7 @@
 	}
 	maySend := r.Backoff.MaySend
 	if from != nil {
-		maySend = r.Backoff.MayExcept
+		maySend = r.Backoff.AllowException
 	}
 	if !maySend(time.Now(), u.ID) {
 		return &exchange.FailedError{NotSent: true, Err: &BackoffError{Upstream: u.ID}}
--- a/relay/disconnect.go
+++ b/relay/disconnect.go
@@ -25,7 +25,7 @@
 	}
 	now := time.Now()
 	engine, found := j.service.Engine != nil, liveness.Unknown
-	if !engine || r.Backoff.MayExcept(now, sent.upstream.ID) { // checking an engine sends it a request
+	if !engine || r.Backoff.AllowException(now, sent.upstream.ID) { // checking an engine sends it a request
 		found = r.Liveness.Look(ctx, sent.upstream, engine)
 	}
 	r.Metrics.Broke(found)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -59,32 +59,32 @@
 
 // Components are the dependencies of a relay.
 type Components struct {
-	Routes        *routecache.Cache
-	Fleet         *fleet.Fleet
-	Picker        *picker.Picker
-	Admitter      Admitter       // nil: requests go directly to the least loaded engine
-	Places        *places.Places // nil: requests go directly to the least loaded plain upstream
-	UpstreamLoad  *upstreamload.Tracker
-	Reliability   *reliability.Reliability
-	Speeds        *speeds.Speeds // nil if disabled
-	Sender        exchange.Sender
-	Liveness      LivenessChecker         // nil: broken connections are not examined
-	Quarantine    *quarantine.Quarantine  // nil: requests are never quarantined
-	Trials        Trials                  // serializes tries of suspected requests; nil: no serialization
-	Limits        *upstreamlimits.Tracker // rate limits announced by upstreams
-	Limiter       Limiter                 // enforces these limits; nil: they are not enforced
-	Backoff       *backoff.Tracker        // backoffs requested by upstreams; nil: they are ignored
-	Budget        *retry.Budget
-	Runs          *runs.Runs
-	OutputLengths *outputlen.Lengths // of answers, in tokens
-	Prefill       *prefill.Prefill
-	Metrics       *metrics.Metrics
-	Stopping      func() (Stop, bool)  // false unless this box is being stopped
-	Full          func() bool          // reports whether this box has reached its limit of requests
-	Buffers       *buffers.Buffers     // between upstreams and callers; nil: each event is written before the next is read
-	ServeStale    bool                 // serve with a stale configuration, whatever its age
-	StoreSilence  func() time.Duration // since the store last answered any box that reports to this one; 0 if none does; nil: not tracked
-	Log           *logrus.Entry
+	Routes *routecache.Cache
+	Fleet *fleet.Fleet
+	Picker *picker.Picker
+	Admitter Admitter // nil: requests go directly to the least loaded engine
+	Places *places.Places // nil: requests go directly to the least loaded plain upstream
+	UpstreamLoad *upstreamload.Tracker
+	Reliability *reliability.Reliability
+	Speeds *speeds.Speeds // nil if disabled
+	Sender exchange.Sender
+	Liveness LivenessChecker // nil: broken connections are not examined
+	Quarantine *quarantine.Quarantine // nil: requests are never quarantined
+	Trials Trials // serializes tries of suspected requests; nil: no serialization
+	Limits *upstreamlimits.Tracker // rate limits announced by upstreams
+	Limiter Limiter // enforces these limits; nil: they are not enforced
+	Backoff *backoff.Tracker // backoffs requested by upstreams; nil: they are ignored
+	Budget *retry.Budget
+	Runs *runs.Runs
+	OutputLengths *outputlen.Estimator // of answers, in tokens
+	Prefill *prefill.Prefill
+	Metrics *metrics.Metrics
+	Stopping func() (Stop, bool) // false unless this box is being stopped
+	Full func() bool // reports whether this box has reached its limit of requests
+	Buffers *buffers.Buffers // between upstreams and callers; nil: each event is written before the next is read
+	ServeStale bool // serve with a stale configuration, whatever its age
+	StoreSilence func() time.Duration // since the store last answered any box that reports to this one; 0 if none does; nil: not tracked
+	Log *logrus.Entry
 }
 
 // Admitter queues requests until an engine has capacity for them.
@@ -102,24 +102,24 @@
 
 // job is a request that is being served.
 type job struct {
-	req           *exchange.Request
-	route         route.Route
-	table         *route.Table
-	organisation  string
-	urgency       int
-	deadline      time.Time
-	service       route.Service
-	tried         []string // upstreams to which the request was sent
-	unreached     []string // upstreams that could not be reached
-	log           *logrus.Entry
-	timeToFirst   time.Duration // time to the first event or to the whole answer
-	waited        time.Duration // for capacity
-	lengths       *outputlen.Lengths
-	print         fingerprint.Fingerprint // identifies repeated requests in the quarantine
-	mayHaveRun    atomic.Bool             // an upstream may have run it
-	upstreamEnded atomic.Bool             // an upstream ended while it ran the last try
-	noWait        bool                    // the next try is sent at once or not at all
-	releaseTrial  func(ended bool)        // releases the trial turn; nil without one
+	req *exchange.Request
+	route route.Route
+	table *route.Table
+	organisation string
+	urgency int
+	deadline time.Time
+	service route.Service
+	tried []string // upstreams to which the request was sent
+	unreached []string // upstreams that could not be reached
+	log *logrus.Entry
+	timeToFirst time.Duration // time to the first event or to the whole answer
+	waited time.Duration // for capacity
+	lengths *outputlen.Estimator
+	print fingerprint.Fingerprint // identifies repeated requests in the quarantine
+	mayHaveRun atomic.Bool // an upstream may have run it
+	upstreamEnded atomic.Bool // an upstream ended while it ran the last try
+	noWait bool // the next try is sent at once or not at all
+	releaseTrial func(ended bool) // releases the trial turn; nil without one
 }
 
 // lengthKey returns the key of the length statistics that apply to the request.
@@ -129,7 +129,7 @@
 
 // remainingTokens returns the expected number of tokens still to come after made tokens.
 func (j *job) remainingTokens(made int) int {
-	return j.lengths.Left(j.lengthKey(), made, j.req.MaxTokens)
+	return j.lengths.Remaining(j.lengthKey(), made, j.req.MaxTokens)
 }
 
 // Serve serves a request and writes its answer or a refusal to c.
@@ -366,16 +366,16 @@
 
 // takePlace waits for a place at a plain upstream.
 func (r *Relay) takePlace(ctx context.Context, j *job) (u fleet.Upstream, load float64, err error) {
-	c, err := r.Places.Take(ctx, j.placeRequest())
+	c, err := r.Places.Acquire(ctx, j.placeRequest())
 	if err == nil {
 		r.Picker.Sent(time.Now(), j.service, c.Upstream)
 	}
 	return c.Upstream, c.Load, err
 }
 
-func (j *job) placeRequest() places.Ask {
-	return places.Ask{
-		Request: j.req.ID, Organisation: j.organisation, Urgency: j.urgency, Arrived: j.req.Arrived, Aim: j.route.Aim, Deadline: j.deadline, Want: j.want(),
+func (j *job) placeRequest() places.Request {
+	return places.Request{
+		ID: j.req.ID, Organisation: j.organisation, Urgency: j.urgency, Arrived: j.req.Arrived, Aim: j.route.Aim, Deadline: j.deadline, Want: j.want(),
 	}
 }
 
@@ -475,10 +475,10 @@
 func (r *Relay) handleHead(j *job, u fleet.Upstream, sent time.Time, answer *exchange.Answer) {
 	if answer.Status != http.StatusMisdirectedRequest { // otherwise another upstream has answered at this address
 		now := time.Now()
-		r.Limits.Heard(now, sent, u, answer.Limit, answer.Sealed && !answer.NotRun)
+		r.Limits.Observe(now, sent, u, answer.Limit, answer.Sealed && !answer.NotRun)
 		r.handleLeaving(now, j, u, answer)
 		if answer.Backoff > 0 {
-			r.Backoff.Asked(now, u, answer.Backoff)
+			r.Backoff.Requested(now, u, answer.Backoff)
 		} else {
 			r.Backoff.Answered(now, sent, u)
 		}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -673,9 +673,9 @@
 		w.fleet.CloseHall(time.Now().Add(-m.evacuatedAgo), "leith")
 	}
 	if m.backoffSends > 0 {
-		w.enableBackoff().Asked(time.Now(), fleet.Upstream{ID: "llm3", Service: "llm"}, time.Minute)
+		w.enableBackoff().Requested(time.Now(), fleet.Upstream{ID: "llm3", Service: "llm"}, time.Minute)
 		for range m.backoffSends - 1 {
-			is.True(w.relay.Backoff.MayExcept(time.Now(), "llm3"))
+			is.True(w.relay.Backoff.AllowException(time.Now(), "llm3"))
 		}
 	}
 	c := w.serve(t.Context(), "/draft/")
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -42,7 +42,7 @@
 	}
 	pace := cmp.Or(r.UpstreamLoad.Pace(), defaultPace)
 	events := int((stop.Remaining - stopMargin - r.Prefill.Time(j.req.Prompt)) / pace)
-	chance := j.lengths.Within(j.lengthKey(), events*j.eventTokens(), j.req.MaxTokens)
+	chance := j.lengths.ChanceWithin(j.lengthKey(), events*j.eventTokens(), j.req.MaxTokens)
 	if stop.MostBoxes {
 		return chance >= minFinishChanceMostBoxes
 	}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -235,8 +235,8 @@
 	f.resp.hangTimer.Stop()
 	if f.count == 0 {
 		f.resp.entry.Started()
-		r.Prefill.Read(f.resp.soloPrefill, now.Sub(f.resp.startedAt))
-		r.Speeds.Read(now, f.resp.upstream, f.resp.soloPrefill, now.Sub(f.resp.startedAt))
+		r.Prefill.Observe(f.resp.soloPrefill, now.Sub(f.resp.startedAt))
+		r.Speeds.RecordPrefill(now, f.resp.upstream, f.resp.soloPrefill, now.Sub(f.resp.startedAt))
 	}
 	f.count++
 	r.recordHealthy(now, f)
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -124,7 +124,7 @@
 
 // releasePlace releases a shared place. A rejection or a failure says nothing about how
 // long the upstream's work takes.
-func (r *Relay) releasePlace(ask places.Ask, u fleet.Upstream, result tryResult, took time.Duration) {
+func (r *Relay) releasePlace(ask places.Request, u fleet.Upstream, result tryResult, took time.Duration) {
 	if result.resp == nil || result.resp.answer.NotRun || result.resp.answer.Status >= http.StatusInternalServerError {
 		r.Places.Dropped(ask, u, took)
 		return
@@ -143,7 +143,7 @@
 	}
 	_, load, ok := r.Picker.Choose(time.Now(), j.want())
 	why := metrics.NotBesideBudget
-	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Crowded(time.Now(), j.service) {
+	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Overloaded(time.Now(), j.service) {
 		why = metrics.NotBesideNoRoom
 	}
 	if r.Quarantine.Standing(time.Now(), j.print).Kind != quarantine.Free {
