--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -526,7 +526,7 @@
 		time.Sleep(4 * time.Second)
 		lists, readers := c.table.listed()
 		t.Log("listings of the store's tables:", lists, "by", readers, "boxes")
-		is.True(readers <= 2*members.ReadersMost) // three for good, some until they had heard of a better one
+		is.True(readers <= 2*members.MaxReaders) // three for good, some until they had heard of a better one
 		c.busiest()
 		time.Sleep(time.Second)
 		asked, askers, used := c.busiest()
--- a/edge/join.go
+++ b/edge/join.go
@@ -87,7 +87,7 @@
 	var hubs []wire.BoxRecord
 	var halls []wire.HallBoxes
 	read := func(ctx context.Context) (err error) { hubs, halls, err = e.boxes.Hubs(ctx); return err }
-	if !e.insist(ctx, read) || len(hubs) == 0 || boxesOf(halls) <= members.StarMost {
+	if !e.insist(ctx, read) || len(hubs) == 0 || boxesOf(halls) <= members.MaxSmallFleet {
 		return false
 	}
 	for _, h := range halls {
@@ -190,7 +190,7 @@
 // whose boxes are not to read all together; fewer boxes when this one has joined: hubs
 // that restart with it would be called before they are up, and passed by for 3 s.
 func (e *Edge) restarts(before []wire.BoxRecord) {
-	if len(before) > members.StarMost {
+	if len(before) > members.MaxSmallFleet {
 		e.listed(before)
 	}
 	e.others.Store(true)
@@ -263,7 +263,7 @@
 // AllRead implements readpolicy.Boxes.
 func (e *Edge) AllRead() bool {
 	count := e.Count()
-	return count <= members.ReadersMost && len(e.members.Hubs(time.Now())) == count
+	return count <= members.MaxReaders && len(e.members.Hubs(time.Now())) == count
 }
 
 // HubHeard implements readpolicy.Boxes.
--- a/edge/start_test.go
+++ b/edge/start_test.go
@@ -148,7 +148,7 @@
 				fleets, rows, wrote := c.table.read()
 				t.Log("boxes that read the upstreams:", fleets, "rows of boxes read:", rows, "calls that write:", wrote)
 				is.True(rows <= rowsMost*boxes)
-				is.True(fleets <= 2*members.ReadersMost)
+				is.True(fleets <= 2*members.MaxReaders)
 				is.True(wrote <= tt.writes*boxes/100)
 				list, err := c.all[0].boxes.List(t.Context())
 				is.NoErr(err)
@@ -230,7 +230,7 @@
 			}
 		}
 		t.Log("boxes that read the upstreams:", readers)
-		is.True(readers <= 2*members.ReadersMost)
+		is.True(readers <= 2*members.MaxReaders)
 	})
 }
 
@@ -254,6 +254,6 @@
 		t.Log("all serve after", c.until(t, "serves", 10*time.Second, (*Edge).ready))
 		fleets, _, _ := c.table.read()
 		t.Log("boxes that read the upstreams:", fleets)
-		is.True(fleets <= 2*members.ReadersMost)
+		is.True(fleets <= 2*members.MaxReaders)
 	})
 }
--- a/members/hubs.go
+++ b/members/hubs.go
@@ -15,11 +15,11 @@
 const hubsKey = "hubs"
 
 const (
-	// StarMost is up to how many boxes each of them calls every hub: four calls a
+	// MaxSmallFleet is up to how many boxes each of them calls every hub: four calls a
 	// second of each are a thousand at a hub, of 40 us of processor each and some 0.3
 	// ms with what the system does for them. Beyond, a box calls two hubs, and hubs
 	// tell each other of their boxes.
-	StarMost = 240
+	MaxSmallFleet = 240
 	// hubBoxes is how many boxes of a hall a hub of such a crowd tells: with the loads
 	// of 3,000 upstreams an answer has some 25 KB, four times a second for each.
 	hubBoxes = 40
@@ -145,7 +145,7 @@
 	for _, boxes := range halls {
 		all += boxes
 	}
-	if all <= StarMost {
+	if all <= MaxSmallFleet {
 		return nil
 	}
 	return halls
@@ -293,11 +293,11 @@
 	return true
 }
 
-// ReadersMost bounds how many of the hubs follow the store for all others. Two
+// MaxReaders bounds how many of the hubs follow the store for all others. Two
 // may be lost at once, and news goes by way of every hub, so that each hears of
 // it within a quarter of a second; three that read in place of six halve the
 // calls to the store of a fleet of six halls.
-const ReadersMost = 3
+const MaxReaders = 3
 
 // Reads tells whether this box is one of the hubs that follow the store.
 func (m *Members) Reads(now time.Time) bool { return m.Reader(now, m.Self().Name) }
@@ -310,7 +310,7 @@
 // Reader tells whether a box is one of the hubs that follow the store.
 func (m *Members) Reader(now time.Time, name string) bool {
 	hubs := m.Hubs(now)
-	return slices.ContainsFunc(hubs[:min(len(hubs), ReadersMost)], func(b Box) bool { return b.Name == name })
+	return slices.ContainsFunc(hubs[:min(len(hubs), MaxReaders)], func(b Box) bool { return b.Name == name })
 }
 
 // Keeper returns the hub that is first in the rendezvous order of a key.
