--- a/edge/answers.go
+++ b/edge/answers.go
@@ -258,7 +258,7 @@
 	var records []wire.BoxRecord
 	for _, b := range e.members.Hubs(now) {
 		records = append(records, wire.BoxRecord{
-			Box: b.Name, Hall: b.Hall, Address: b.Address, Incarnation: b.Incarnation, Strong: b.Strong,
+			Box: b.Name, Hall: b.Hall, Address: b.Address, Incarnation: b.Incarnation, Strong: b.HubEligible,
 		})
 	}
 	return records
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -214,7 +214,7 @@
 	e.configuration = manifest.NewConfiguration(e.store, e.belief, e.halls, log)
 	e.members = members.New(members.Box{
 		Name: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: e.record.Incarnation, State: members.Live,
-		Strong: e.record.Strong,
+		HubEligible: e.record.Strong,
 	})
 	e.belief.OnSlept(e.slept)
 	e.fleet.OnSlept(e.slept)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -289,7 +289,7 @@
 		state = members.Leaving
 	}
 	e.members.Heard(now, members.Box{
-		Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: state, Strong: r.Strong,
+		Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: state, HubEligible: r.Strong,
 	})
 	e.mu.Lock()
 	e.heard[r.Box] = now
@@ -300,7 +300,7 @@
 func (e *Edge) introduce(now time.Time, r wire.BoxRecord) {
 	if r.Box != e.config.Box {
 		e.members.Introduce(now, members.Box{
-			Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: members.Live, Strong: r.Strong,
+			Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: members.Live, HubEligible: r.Strong,
 		})
 	}
 }
--- a/members/hubs.go
+++ b/members/hubs.go
@@ -124,7 +124,7 @@
 // 40 others serves nobody else.
 func (m *Members) more(hubs, others []Box, halls map[string]int) []Box {
 	for _, b := range others {
-		if b.Strong && halls[b.Hall]*hubBoxes < m.crowd[b.Hall] {
+		if b.HubEligible && halls[b.Hall]*hubBoxes < m.crowd[b.Hall] {
 			halls[b.Hall]++
 			hubs = append(hubs, b)
 		}
@@ -272,7 +272,7 @@
 // sorted sorts candidates, the fittest first.
 func sorted(list []candidate) []candidate {
 	slices.SortFunc(list, func(a, b candidate) int { return cmp.Compare(b.weight, a.weight) })
-	strong := func(c candidate) bool { return c.box.Strong }
+	strong := func(c candidate) bool { return c.box.HubEligible }
 	weak := slices.DeleteFunc(slices.Clone(list), strong)
 	return append(slices.DeleteFunc(list, func(c candidate) bool { return !strong(c) }), weak...)
 }
--- a/members/members.go
+++ b/members/members.go
@@ -49,7 +49,7 @@
 	Incarnation int
 	Revision    int
 	State       State
-	Strong      bool // fit to be a hub
+	HubEligible bool // fit to be a hub
 }
 
 type record struct {
@@ -126,7 +126,7 @@
 		}
 		r := m.record(now, l.Box)
 		r.listed = true
-		r.box.Strong = l.Strong
+		r.box.HubEligible = l.Strong
 		r.box.Hall = l.Hall
 		if r.box.Address != l.Address {
 			r.box.Address, r.failed = l.Address, time.Time{}
@@ -260,7 +260,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.boxes {
-		if r.box.Strong && r.box.State != Leaving {
+		if r.box.HubEligible && r.box.State != Leaving {
 			return true
 		}
 	}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -196,7 +196,7 @@
 }
 
 func inHall(i int, state members.State) members.Box {
-	return members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%6), Address: fmt.Sprint(i), Incarnation: 1, State: state, Strong: i%10 == 0}
+	return members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%6), Address: fmt.Sprint(i), Incarnation: 1, State: state, HubEligible: i%10 == 0}
 }
 
 // BenchmarkHubs is who is a hub, asked while boxes are heard that do not change.
@@ -255,7 +255,7 @@
 		}, stays: true},
 		"it leaves": {strike: func(m *members.Members, b members.Box) { b.State = members.Leaving; m.Heard(start, b) }},
 		"it turns weak": {strike: func(m *members.Members, b members.Box) {
-			b.Incarnation, b.Strong = 2, false
+			b.Incarnation, b.HubEligible = 2, false
 			m.Heard(start, b)
 		}},
 		"its hall was taken for another": {strike: func(m *members.Members, b members.Box) {
@@ -314,7 +314,7 @@
 // spreadOver returns what each of some boxes in some halls knows, all heard.
 func spreadOver(boxes, halls int) map[string]*members.Members {
 	box := func(i int) members.Box {
-		return members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%halls), Address: fmt.Sprint(i), Incarnation: 1, State: members.Live, Strong: true}
+		return members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%halls), Address: fmt.Sprint(i), Incarnation: 1, State: members.Live, HubEligible: true}
 	}
 	views := map[string]*members.Members{}
 	for i := range boxes {
@@ -334,12 +334,12 @@
 	for i := range 60 {
 		m := members.New(members.Box{Name: fmt.Sprint("box", i), Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
 		for _, hall := range []string{"hall0", "hall1"} {
-			m.Heard(start, members.Box{Name: "hub " + hall, Hall: hall, Address: hall, Incarnation: 1, State: members.Live, Strong: true})
+			m.Heard(start, members.Box{Name: "hub " + hall, Hall: hall, Address: hall, Incarnation: 1, State: members.Live, HubEligible: true})
 		}
 		is.Equal(m.Nearest(start).Name, "hub hall0")
 		m = members.New(members.Box{Name: fmt.Sprint("box", i), Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
 		for _, hub := range []string{"one", "two"} { // one hall has two
-			m.Heard(start, members.Box{Name: hub, Hall: "hall0", Address: hub, Incarnation: 1, State: members.Live, Strong: true})
+			m.Heard(start, members.Box{Name: hub, Hall: "hall0", Address: hub, Incarnation: 1, State: members.Live, HubEligible: true})
 		}
 		named[m.Nearest(start).Name]++
 	}
@@ -359,7 +359,7 @@
 func TestHubs(t *testing.T) {
 	now := time.Now()
 	spread := func(boxes, halls int, strong func(i int) bool) *members.Members {
-		m := members.New(members.Box{Name: "b000", Hall: "h0", Address: "a000", State: members.Live, Strong: strong(0)})
+		m := members.New(members.Box{Name: "b000", Hall: "h0", Address: "a000", State: members.Live, HubEligible: strong(0)})
 		var list []wire.Member
 		for i := 1; i < boxes; i++ {
 			list = append(list, wire.Member{
@@ -415,7 +415,7 @@
 	is := is.New(t)
 	m := listed(58, func(i int) bool { return i%7 == 3 })
 	for _, h := range m.Hubs(now) {
-		is.True(h.Strong)
+		is.True(h.HubEligible)
 	}
 }
 
@@ -524,7 +524,7 @@
 	var list []wire.Member
 	for i := range n {
 		name := fmt.Sprint("box", i)
-		boxes = append(boxes, members.Box{Name: name, Hall: "h", Address: name + ":1", State: members.Live, Strong: true})
+		boxes = append(boxes, members.Box{Name: name, Hall: "h", Address: name + ":1", State: members.Live, HubEligible: true})
 		list = append(list, wire.Member{Box: name, Hall: "h", Address: name + ":1", State: wire.MemberStateLive, Strong: true})
 	}
 	all = map[string]*members.Members{}
@@ -541,7 +541,7 @@
 	m := members.New(members.Box{Name: "self", Hall: "hall0", Address: "self:1", State: members.Live})
 	for i := range 300 {
 		b := inHall(i, members.Live)
-		b.Strong = false
+		b.HubEligible = false
 		m.Heard(start, b)
 	}
 	is.New(t).Equal(len(m.Hubs(start)), 6)
