--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -72,7 +72,7 @@
 // Heartbeat takes a peer's.
 func (d *Daemon) Heartbeat(from wire.Heartbeat) wire.HeartbeatAnswer {
 	now := time.Now()
-	d.members.Heard(now, boxOf(from))
+	d.members.MarkSeen(now, boxOf(from))
 	uses := map[string]quota.Use{}
 	for _, u := range from.Demand {
 		uses[u.Organisation] = quota.Use{Rate: u.Rate, Tokens: u.Tokens}
@@ -106,7 +106,7 @@
 	if a.Leaving {
 		b.State = members.Leaving
 	}
-	d.members.Heard(time.Now(), b)
+	d.members.MarkSeen(time.Now(), b)
 	d.newer(a.Revision, b.Address)
 }
 
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -134,7 +134,7 @@
 
 // shareRoom lets home boxes of parted sides spend their parts only.
 func (d *Daemon) shareRoom(now time.Time) {
-	reached, all := d.members.Reached(now)
+	reached, all := d.members.CountReachable(now)
 	d.grants.Share(float64(reached) / float64(all))
 }
 
@@ -227,7 +227,7 @@
 			d.log.WithError(err).Debug("list_not_read")
 			return
 		}
-		d.members.Listed(time.Now(), list)
+		d.members.ApplyList(time.Now(), list)
 		d.quota.Boxes(len(d.members.All(time.Now())))
 	}
 	read(time.Now())
--- a/edge/admit.go
+++ b/edge/admit.go
@@ -56,13 +56,13 @@
 
 // Keeps returns the box that keeps the queue of a service, as this one sees it.
 func (e *Edge) Keeps(service string) string {
-	keeper, _ := e.members.Keeper(time.Now(), "admission/"+service)
+	keeper, _ := e.members.Owner(time.Now(), "admission/"+service)
 	return keeper.Name
 }
 
 func (e *Edge) admit(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
 	for ctx.Err() == nil {
-		keeper, ok := e.members.Keeper(time.Now(), "admission/"+ask.Service.Name)
+		keeper, ok := e.members.Owner(time.Now(), "admission/"+ask.Service.Name)
 		if !ok || keeper.Name == e.config.Box || !e.hears(keeper.Name) {
 			break
 		}
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -40,7 +40,7 @@
 	}
 	e.hearDeparting(now, from.Departing)
 	e.quarantine.Told(now, from.Ends)
-	e.limits.Told(now, from.Limits, e.members.Hub(now, from.Sender.Box))
+	e.limits.Told(now, from.Limits, e.members.IsHubBox(now, from.Sender.Box))
 	e.hearWords(now, from.Sender.Box, wordsOf(from), from.Counts, peerstate.Cover{Boxes: from.Covers, Near: from.CoversNear})
 	a := wire.GossipAnswer{Sender: e.record, Leaving: e.draining.Load(), Tells: e.tells(now, from.Wants), StoreSilentMs: e.storeAge(now)}
 	switch a.Tells {
@@ -65,12 +65,12 @@
 // is told what other hubs know too, as it hears none of them; a hub only what this one
 // knows, as two would else remind each other for good of boxes that are gone.
 func (e *Edge) answerCrowd(now time.Time, a *wire.GossipAnswer) {
-	crowd := e.members.Crowd(now)
+	crowd := e.members.LargeFleetCounts(now)
 	if crowd == nil || a.Tells == wire.GossipScopeNone {
 		return
 	}
 	if a.Tells == wire.GossipScopeAll {
-		crowd = e.members.CrowdOfAll(now)
+		crowd = e.members.MergedLargeFleetCounts(now)
 	}
 	for hall, boxes := range crowd {
 		a.Crowd = append(a.Crowd, wire.HallBoxes{Hall: hall, Boxes: boxes})
@@ -90,7 +90,7 @@
 	if wanted != wire.GossipScopeAll {
 		return wanted
 	}
-	others := e.members.Count(now) - e.members.Leaving() - 1
+	others := e.members.Count(now) - e.members.CountLeaving() - 1
 	told := float64(e.tally.Boxes(now)) >= hubTold*float64(others)
 	since, hub := e.members.IsHub(now)
 	if hub && (told || since >= hubKnows) {
@@ -175,7 +175,7 @@
 		a.FleetLater = true
 		return
 	}
-	if !e.tables.allow(now, len(packed)+fleetCall) && !e.members.Hub(now, from.Sender.Box) {
+	if !e.tables.allow(now, len(packed)+fleetCall) && !e.members.IsHubBox(now, from.Sender.Box) {
 		a.FleetLater = true
 		e.metrics.FleetTold("later")
 		return
--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -745,7 +745,7 @@
 func (c *crowd) gossip(b *testing.B, e, hub *Edge, box, at *second) {
 	b.Helper()
 	calls := 4
-	if e.members.Spare(time.Now(), hub.members.Self()) {
+	if e.members.IsBackupHub(time.Now(), hub.members.Self()) {
 		calls = 1
 	}
 	for range calls {
@@ -819,9 +819,9 @@
 // is no hub, and those that its hub answers.
 func (c *crowd) round(b *testing.B, named map[string]*Edge, box, hub *second) {
 	one := c.all[slices.IndexFunc(c.all, func(e *Edge) bool { return !e.IsHub() })]
-	nearest := one.members.Nearest(time.Now()).Name
+	nearest := one.members.PrimaryHub(time.Now()).Name
 	for _, e := range c.all {
-		for _, h := range e.members.Asks(time.Now()) {
+		for _, h := range e.members.HubsToCall(time.Now()) {
 			by, at := &second{}, &second{}
 			if e == one {
 				by = box
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -356,7 +356,7 @@
 		return relay.Stop{}, false
 	}
 	now := time.Now()
-	most := 2*e.members.Leaving() >= e.members.Count(now)
+	most := 2*e.members.CountLeaving() >= e.members.Count(now)
 	return relay.Stop{Since: now.Sub(s.began), Left: s.until.Sub(now), Most: most}, true
 }
 
--- a/edge/join.go
+++ b/edge/join.go
@@ -74,7 +74,7 @@
 	e.timer.Sleep(ctx, settleTime)
 	e.readAsHub(ctx)
 	e.joined.Store(true)
-	if e.members.Crowd(time.Now()) != nil {
+	if e.members.LargeFleetCounts(time.Now()) != nil {
 		e.timer.Sleep(ctx, registerSettles)
 		e.readAsHub(ctx)
 		e.countHall(ctx)
@@ -91,7 +91,7 @@
 		return false
 	}
 	for _, h := range halls {
-		e.members.ToldCrowd(time.Now(), h.Hall, h.Boxes)
+		e.members.UpdateHallCount(time.Now(), h.Hall, h.Boxes)
 	}
 	e.leaveRow(hubs)
 	e.others.Store(true)
@@ -121,7 +121,7 @@
 
 // leaveRow takes the boxes that are fit to be hubs for all that there are to be known here.
 func (e *Edge) leaveRow(hubs []wire.BoxRecord) {
-	e.members.HubsOnly()
+	e.members.SetHubsOnly()
 	e.listed(hubs)
 	e.unlisted.Store(true)
 }
@@ -135,7 +135,7 @@
 
 // ownHall returns how many boxes of a crowd this one's hall has; nothing where there is none.
 func (e *Edge) ownHall() []wire.HallBoxes {
-	boxes, crowd := e.members.Crowd(time.Now())[e.config.Hall]
+	boxes, crowd := e.members.LargeFleetCounts(time.Now())[e.config.Hall]
 	if !crowd {
 		return nil
 	}
@@ -232,7 +232,7 @@
 	for _, r := range list {
 		known = append(known, wire.Member{Box: r.Box, Hall: r.Hall, Address: r.Address, State: wire.MemberStateLive, Strong: r.Strong})
 	}
-	e.members.Listed(time.Now(), known)
+	e.members.ApplyList(time.Now(), known)
 	e.log.WithField("boxes", len(known)).Info("boxes_listed")
 }
 
@@ -252,13 +252,13 @@
 }
 
 // Reads implements readpolicy.Boxes.
-func (e *Edge) Reads() bool { return e.members.Reads(time.Now()) }
+func (e *Edge) Reads() bool { return e.members.IsReader(time.Now()) }
 
 // Count implements readpolicy.Boxes.
 func (e *Edge) Count() int { return e.members.Count(time.Now()) }
 
 // Crowded implements readpolicy.Boxes.
-func (e *Edge) Crowded() bool { return e.members.Crowd(time.Now()) != nil }
+func (e *Edge) Crowded() bool { return e.members.LargeFleetCounts(time.Now()) != nil }
 
 // AllRead implements readpolicy.Boxes.
 func (e *Edge) AllRead() bool {
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -111,10 +111,10 @@
 // on engines to all, or one hub for each plain upstream, the first that is heard.
 func (l *limiter) keeper(now time.Time, service route.Service, upstream string) (keeper members.Box, own bool) {
 	if service.Engine != nil {
-		keeper, ok := l.members.Keeper(now, "admission/"+service.Name)
+		keeper, ok := l.members.Owner(now, "admission/"+service.Name)
 		return keeper, !ok || keeper.Name == l.config.Box
 	}
-	keeper, _ = l.members.KeeperHeard(now, "limit/"+upstream, l.hears)
+	keeper, _ = l.members.ReachableOwner(now, "limit/"+upstream, l.hears)
 	return keeper, keeper.Name == l.config.Box
 }
 
@@ -133,7 +133,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.reachAt) >= reachLasts {
-		known := max(l.members.Count(now)-l.members.Leaving(), 1)
+		known := max(l.members.Count(now)-l.members.CountLeaving(), 1)
 		heard := 1 + l.tally.Heard(now, reachWithin) + l.tally.HeardBehind(now, reachLeg)
 		l.reached, l.reachAt = min(reachOver*float64(heard)/float64(known), 1), now
 	}
@@ -309,7 +309,7 @@
 	if from.EndsOf == e.record.Incarnation {
 		after = from.LimitsAfter
 	}
-	a.Limits, a.LimitsAt = e.limits.Since(now, after, e.members.Hub(now, from.Sender.Box))
+	a.Limits, a.LimitsAt = e.limits.Since(now, after, e.members.IsHubBox(now, from.Sender.Box))
 }
 
 // hearLimits takes a hub's word.
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -343,7 +343,7 @@
 					_, err := e.configuration.List(t.Context(), false)
 					is.New(t).NoErr(err)
 				}
-				keeper, _ := c.all[0].members.KeeperHeard(now, "limit/u0", func(string) bool { return true })
+				keeper, _ := c.all[0].members.ReachableOwner(now, "limit/u0", func(string) bool { return true })
 				at := slices.IndexFunc(c.all, func(e *Edge) bool { return (e.Name() == keeper.Name) == tt.first })
 				time.Sleep(tt.silent)
 				answer := c.all[at].AllowFor(wire.AllowAsk{Box: "asker", Limit: wire.UpstreamLimit{Upstream: "u0", PerSecond: 2, Period: 1, Holds: true}})
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -61,7 +61,7 @@
 		Sender: e.record, Leaving: e.draining.Load(), Wants: e.wants(now, hub), Version: version,
 		Departing: departing, Unpacks: true, WholeFleet: whole, FleetOf: m.incarnation, FleetAfter: m.change,
 	}
-	g.Unlisted = e.unlisted.Load() && e.members.Nearest(now).Name == hub.Name
+	g.Unlisted = e.unlisted.Load() && e.members.PrimaryHub(now).Name == hub.Name
 	if age, known := e.fleet.Age(now); known {
 		g.FleetKnownMs = int(age.Milliseconds()) + 1
 	}
@@ -81,8 +81,8 @@
 		w.say(g)
 		g.Covers, g.CoversNear = covers.Boxes, covers.Near
 		return
-	case e.members.Crowd(now) == nil:
-	case e.members.Nearest(now).Name != hub.Name:
+	case e.members.LargeFleetCounts(now) == nil:
+	case e.members.PrimaryHub(now).Name != hub.Name:
 		return
 	default:
 		g.Counts = true
@@ -94,10 +94,10 @@
 // knows nothing by it yet: the nearest is, and any other while that is not heard.
 // Hubs are told by each other; the many of a crowd by those that read the store.
 func (e *Edge) wantsFleet(now time.Time, hub members.Box) bool {
-	nearest := e.members.Nearest(now).Name
+	nearest := e.members.PrimaryHub(now).Name
 	switch {
-	case e.IsHub() && e.members.Crowd(now) != nil:
-		return !e.Reads() && e.members.Reader(now, hub.Name)
+	case e.IsHub() && e.members.LargeFleetCounts(now) != nil:
+		return !e.Reads() && e.members.IsReaderBox(now, hub.Name)
 	case e.IsHub(), nearest == hub.Name:
 		return true
 	}
@@ -145,7 +145,7 @@
 	switch {
 	case e.IsHub():
 		return wire.GossipScopeOwn
-	case e.members.Nearest(now).Name == hub.Name, e.tally.SumAge(now) > sumOld:
+	case e.members.PrimaryHub(now).Name == hub.Name, e.tally.SumAge(now) > sumOld:
 		return wire.GossipScopeAll
 	}
 	return wire.GossipScopeNone
@@ -160,7 +160,7 @@
 		e.introduce(now, r)
 	}
 	if slices.ContainsFunc(a.Hubs, e.isOwn) {
-		e.members.Named(now)
+		e.members.MarkNamedAsHub(now)
 	}
 	e.hearCrowd(now, a, sent)
 	for _, w := range a.Halls { // before the configuration, with which they are known
@@ -187,7 +187,7 @@
 // other hubs: this box may not call them itself.
 func (e *Edge) hearCrowd(now time.Time, a wire.GossipAnswer, sent time.Time) {
 	for _, h := range a.Crowd {
-		e.members.ToldCrowd(now, h.Hall, h.Boxes)
+		e.members.UpdateHallCount(now, h.Hall, h.Boxes)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -288,7 +288,7 @@
 	if leaving {
 		state = members.Leaving
 	}
-	e.members.Heard(now, members.Box{
+	e.members.MarkSeen(now, members.Box{
 		Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: state, HubEligible: r.Strong,
 	})
 	e.mu.Lock()
--- a/edge/register.go
+++ b/edge/register.go
@@ -48,7 +48,7 @@
 		return
 	}
 	for _, row := range rows {
-		r.members.Registered(row.Box)
+		r.members.MarkRegistered(row.Box)
 	}
 	r.done(rows)
 	r.log.WithField("boxes", len(rows)).Info("boxes_registered")
--- a/edge/run.go
+++ b/edge/run.go
@@ -251,7 +251,7 @@
 		age, known := r.age(now)
 		r.edge.metrics.StoreRead(r.table, string(reason))
 		r.edge.log.WithFields(logrus.Fields{
-			"table": r.table, "reason": reason, "known": known, "age_ms": min(age, neverAge).Milliseconds(), "nearest": r.edge.members.Nearest(now).Name,
+			"table": r.table, "reason": reason, "known": known, "age_ms": min(age, neverAge).Milliseconds(), "nearest": r.edge.members.PrimaryHub(now).Name,
 		}).Info("store_read")
 	}
 	r.last = reason
--- a/edge/trials.go
+++ b/edge/trials.go
@@ -56,7 +56,7 @@
 
 // takeOfAll waits for this box's turn among the boxes.
 func (t trials) takeOfAll(ctx context.Context, key string) (giveBack func(), ok bool) {
-	keeper, known := t.members.Keeper(time.Now(), key)
+	keeper, known := t.members.Owner(time.Now(), key)
 	if !known || keeper.Name == t.config.Box {
 		_, ok := t.turns.Take(ctx, moveturns.Ask{Box: t.config.Box, Source: key, Targets: []string{key}, Most: trialMost})
 		return func() { t.turns.GiveBack(key, t.config.Box) }, ok
--- a/edge/turns.go
+++ b/edge/turns.go
@@ -32,7 +32,7 @@
 	if e.config.Edge.Moves != wire.EdgeMovesTurns {
 		return ask.Targets[0], alone
 	}
-	keeper, ok := e.members.Keeper(time.Now(), "turns/"+ask.Source.Service)
+	keeper, ok := e.members.Owner(time.Now(), "turns/"+ask.Source.Service)
 	if !ok || keeper.Name == e.config.Box {
 		own := moveturns.Ask{Box: e.config.Box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens}
 		target, ok := e.turns.Take(ctx, own)
--- a/edge/view.go
+++ b/edge/view.go
@@ -22,13 +22,13 @@
 	now := time.Now()
 	v := wire.BoxView{
 		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.Reads(), Keeps: e.keeps(), Hubs: []string{}, Asks: []string{},
-		Nearest: e.members.Nearest(now).Name, Boxes: e.members.Count(now), Leaving: e.members.Leaving(), Told: e.tally.Boxes(now),
+		Nearest: e.members.PrimaryHub(now).Name, Boxes: e.members.Count(now), Leaving: e.members.CountLeaving(), Told: e.tally.Boxes(now),
 		ConfigurationAgeMs: unknownAge, UpstreamsAgeMs: unknownAge, StoreSilentMs: unknownAge, LoadsAgeMs: unknownAge,
 		Upstreams: e.fleet.Open(), Waiting: e.admission.Waiting(), Serving: int(e.serving.Load()), Stopping: e.draining.Load(),
 		Halls: e.hallWords(now), Places: e.viewPlaces(now), Quarantine: e.quarantine.View(now), Limits: e.limiter.View(now),
 		Rests: e.rest.View(now), LeavingUpstreams: e.leavingUpstreams(now),
 	}
-	for _, b := range e.members.Asks(now) {
+	for _, b := range e.members.HubsToCall(now) {
 		v.Asks = append(v.Asks, b.Name)
 	}
 	_, v.Tells = e.tally.Part(now)
@@ -90,7 +90,7 @@
 func (e *Edge) noteRole() {
 	now := time.Now()
 	role := logrus.Fields{
-		"hub": e.IsHub(), "reads": e.Reads(), "keeps": strings.Join(e.keeps(), ","), "nearest": e.members.Nearest(now).Name, "crowd": e.Crowded(),
+		"hub": e.IsHub(), "reads": e.Reads(), "keeps": strings.Join(e.keeps(), ","), "nearest": e.members.PrimaryHub(now).Name, "crowd": e.Crowded(),
 	}
 	if maps.Equal(e.role, role) {
 		return
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -87,7 +87,7 @@
 // hubs returns the hubs that are called by address.
 func (g *Gossip) hubs(now time.Time) map[string]members.Box {
 	hubs := map[string]members.Box{}
-	for _, b := range g.members.Asks(now) {
+	for _, b := range g.members.HubsToCall(now) {
 		hubs[b.Address] = b
 	}
 	return hubs
@@ -98,7 +98,7 @@
 	silent := 0
 	var last time.Time
 	g.timer.Every(ctx, b.Name, period, func(now time.Time) {
-		if g.members.Spare(now, b) && g.answered(g.members.Nearest(now).Name) && now.Sub(last) < sparePeriod-period/2 {
+		if g.members.IsBackupHub(now, b) && g.answered(g.members.PrimaryHub(now).Name) && now.Sub(last) < sparePeriod-period/2 {
 			return
 		}
 		last = now
@@ -113,7 +113,7 @@
 		g.note(b.Name, err == nil)
 		if err == nil {
 			silent = 0
-			g.members.Answered(b.Name)
+			g.members.MarkAnswered(b.Name)
 			g.heard(b)
 			g.box.Hear(answer, sent)
 			return
@@ -125,7 +125,7 @@
 		var stranger *StrangerError
 		if peer.Refused(err) || errors.As(err, &stranger) || silent >= failAfter {
 			g.peers.Forget(b.Address)
-			g.members.Failed(time.Now(), b.Name)
+			g.members.MarkFailed(time.Now(), b.Name)
 			g.missed(b, err)
 		}
 	})
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -139,7 +139,7 @@
 		name := "b" + string(rune('a'+i%26)) + string(rune('a'+i/26))
 		list = append(list, wire.Member{Box: name, Hall: []string{"leith", "gorgie", "sighthill", "musselburgh"}[i%4], Address: name, State: wire.MemberStateLive, Strong: true})
 	}
-	m.Listed(time.Now(), list)
+	m.ApplyList(time.Now(), list)
 	return m
 }
 
@@ -298,7 +298,7 @@
 		gossip.New(m, n, b, timer.New(), logs.New(io.Discard, "info", "self")).Run(ctx)
 	}()
 	time.Sleep(6 * time.Second)
-	asks := m.Asks(time.Now())
+	asks := m.HubsToCall(time.Now())
 	is.Equal(len(asks), 2)
 	is.Equal(n.called(), 2)
 	second := time.Now().Add(-time.Second)
@@ -306,7 +306,7 @@
 	is.True(n.since(asks[1].Address, second) <= 1)
 	is.True(n.since(asks[1].Address, second.Add(-time.Second)) >= 1)
 	for _, hub := range asks {
-		m.Heard(time.Now(), hub)
+		m.MarkSeen(time.Now(), hub)
 	}
 	n.strikeAll(asks, how)
 	for struck := time.Now(); time.Since(struck) < 10*time.Second; {
@@ -332,7 +332,7 @@
 			gossip.New(m, n, b, timer.New(), logs.New(io.Discard, "info", "self")).Run(ctx)
 		}()
 		time.Sleep(6 * time.Second)
-		nearest, spare := m.Asks(time.Now())[0], m.Asks(time.Now())[1]
+		nearest, spare := m.HubsToCall(time.Now())[0], m.HubsToCall(time.Now())[1]
 		n.strike(nearest.Address, "silent")
 		struck := time.Now()
 		time.Sleep(1250 * time.Millisecond) // two calls that are not answered, and what was left of a pause
--- a/grantclient/grantclient.go
+++ b/grantclient/grantclient.go
@@ -116,7 +116,7 @@
 func (h *Client) answered(ctx context.Context, home members.Box, ask wire.Ask, g wire.Grant, err error) (wire.Grant, bool) {
 	switch {
 	case err == nil && g.Reason == string(refusal.Draining):
-		h.members.Heard(time.Now(), withState(home, members.Leaving))
+		h.members.MarkSeen(time.Now(), withState(home, members.Leaving))
 		return wire.Grant{}, true
 	case err == nil:
 		return g, false
@@ -124,7 +124,7 @@
 		h.withdraw(home, ask)
 		return wire.Grant{Reason: string(refusal.Deadline)}, false
 	}
-	h.members.Failed(time.Now(), home.Name)
+	h.members.MarkFailed(time.Now(), home.Name)
 	return wire.Grant{}, true
 }
 
@@ -165,7 +165,7 @@
 	var done wire.Nothing
 	err := h.peers.Call(ctx, home.Address, peer.Settle, s, &done)
 	if peer.Refused(err) {
-		h.members.Failed(time.Now(), home.Name)
+		h.members.MarkFailed(time.Now(), home.Name)
 	}
 	return err == nil
 }
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -100,7 +100,7 @@
 			}
 			lost = true
 			if peer.Refused(err) {
-				h.members.Failed(time.Now(), b.Name)
+				h.members.MarkFailed(time.Now(), b.Name)
 			}
 			return
 		}
--- a/members/hubs.go
+++ b/members/hubs.go
@@ -164,9 +164,9 @@
 	return halls
 }
 
-// Crowd returns how many boxes of each hall this one knows for itself; nil unless
+// LargeFleetCounts returns how many boxes of each hall this one knows for itself; nil unless
 // they are too many for each to call all hubs. It is shared and not to be changed.
-func (m *Members) Crowd(now time.Time) map[string]int {
+func (m *Members) LargeFleetCounts(now time.Time) map[string]int {
 	m.Hubs(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -176,17 +176,17 @@
 	return m.known
 }
 
-// CrowdOfAll returns what Crowd does, by all that others told of late too.
-func (m *Members) CrowdOfAll(now time.Time) map[string]int {
+// MergedLargeFleetCounts returns what Crowd does, by all that others told of late too.
+func (m *Members) MergedLargeFleetCounts(now time.Time) map[string]int {
 	m.Hubs(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.crowd
 }
 
-// ToldCrowd takes a hub's count of the boxes of a hall: a box that started among many
+// UpdateHallCount takes a hub's count of the boxes of a hall: a box that started among many
 // has read only those that had joined before it.
-func (m *Members) ToldCrowd(now time.Time, hall string, boxes int) {
+func (m *Members) UpdateHallCount(now time.Time, hall string, boxes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old := m.told[hall]
@@ -200,19 +200,19 @@
 	}
 }
 
-// Asks returns the hubs that this box calls: all others, or in a crowd, unless it is
+// HubsToCall returns the hubs that this box calls: all others, or in a crowd, unless it is
 // one of them, the one that tells it of all boxes and one that tells it the news if that
 // fails. A hub is called by hubBoxes boxes so, and by as many that do not need it
 // yet, however many there are. Boxes that would be hubs had they not failed some time ago
 // are called beside them, and are hubs again once they answer: while a hall is cut off for
 // long, its boxes would else turn back to it every few seconds, each time for two calls
 // that are not answered.
-func (m *Members) Asks(now time.Time) []Box {
+func (m *Members) HubsToCall(now time.Time) []Box {
 	hubs := m.Hubs(now)
 	m.mu.Lock()
 	self, probes := m.self.Name, m.probes
 	m.mu.Unlock()
-	if _, hub := m.IsHub(now); !hub && m.Crowd(now) != nil {
+	if _, hub := m.IsHub(now); !hub && m.LargeFleetCounts(now) != nil {
 		probes = m.nearest(probes)
 		return append(m.nearestAndSpare(hubs), probes[:min(len(probes), 1)]...)
 	}
@@ -233,11 +233,11 @@
 	return []Box{near[0], near[spare]}
 }
 
-// Spare tells whether a hub tells this box nothing, as another does and boxes are too
+// IsBackupHub tells whether a hub tells this box nothing, as another does and boxes are too
 // many for each to call all hubs.
-func (m *Members) Spare(now time.Time, hub Box) bool {
+func (m *Members) IsBackupHub(now time.Time, hub Box) bool {
 	_, is := m.IsHub(now)
-	return !is && m.Crowd(now) != nil && m.Nearest(now).Name != hub.Name
+	return !is && m.LargeFleetCounts(now) != nil && m.PrimaryHub(now).Name != hub.Name
 }
 
 // hold notes that the hubs are to be worked out anew at a time, if not before.
@@ -299,22 +299,22 @@
 // calls to the store of a fleet of six halls.
 const MaxReaders = 3
 
-// Reads tells whether this box is one of the hubs that follow the store.
-func (m *Members) Reads(now time.Time) bool { return m.Reader(now, m.Self().Name) }
+// IsReader tells whether this box is one of the hubs that follow the store.
+func (m *Members) IsReader(now time.Time) bool { return m.IsReaderBox(now, m.Self().Name) }
 
-// Hub tells whether a box is a hub.
-func (m *Members) Hub(now time.Time, name string) bool {
+// IsHubBox tells whether a box is a hub.
+func (m *Members) IsHubBox(now time.Time, name string) bool {
 	return slices.ContainsFunc(m.Hubs(now), func(b Box) bool { return b.Name == name })
 }
 
-// Reader tells whether a box is one of the hubs that follow the store.
-func (m *Members) Reader(now time.Time, name string) bool {
+// IsReaderBox tells whether a box is one of the hubs that follow the store.
+func (m *Members) IsReaderBox(now time.Time, name string) bool {
 	hubs := m.Hubs(now)
 	return slices.ContainsFunc(hubs[:min(len(hubs), MaxReaders)], func(b Box) bool { return b.Name == name })
 }
 
-// Keeper returns the hub that is first in the rendezvous order of a key.
-func (m *Members) Keeper(now time.Time, key string) (Box, bool) {
+// Owner returns the hub that is first in the rendezvous order of a key.
+func (m *Members) Owner(now time.Time, key string) (Box, bool) {
 	hubs := m.Hubs(now)
 	if len(hubs) == 0 {
 		return Box{}, false
@@ -322,10 +322,10 @@
 	return slices.MaxFunc(hubs, func(a, b Box) int { return cmp.Compare(weight(key, a.Name), weight(key, b.Name)) }), true
 }
 
-// KeeperHeard returns the hub that is first in the rendezvous order of a key among this
+// ReachableOwner returns the hub that is first in the rendezvous order of a key among this
 // box and those that it hears; false if there is none. Boxes that have parted agree on
 // one each side as soon as they no longer hear the other.
-func (m *Members) KeeperHeard(now time.Time, key string, hears func(name string) bool) (Box, bool) {
+func (m *Members) ReachableOwner(now time.Time, key string, hears func(name string) bool) (Box, bool) {
 	self := m.Self().Name
 	first, found, most := Box{}, false, uint64(0)
 	for _, b := range m.Hubs(now) {
@@ -337,9 +337,9 @@
 	return first, found
 }
 
-// Nearest returns the hub that tells this box of all others: one of its own hall
+// PrimaryHub returns the hub that tells this box of all others: one of its own hall
 // where there is one. Where several are alike, boxes are shared out among them.
-func (m *Members) Nearest(now time.Time) Box {
+func (m *Members) PrimaryHub(now time.Time) Box {
 	hubs := m.nearest(m.Hubs(now))
 	if len(hubs) == 0 {
 		return Box{}
--- a/members/members.go
+++ b/members/members.go
@@ -111,9 +111,9 @@
 	m.changed()
 }
 
-// Listed takes the platform's list. A box missing from it is dropped only
+// ApplyList takes the platform's list. A box missing from it is dropped only
 // when it is silent too.
-func (m *Members) Listed(now time.Time, list []wire.Member) {
+func (m *Members) ApplyList(now time.Time, list []wire.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.changed()
@@ -142,9 +142,9 @@
 	}
 }
 
-// Heard takes a sign of life. An older incarnation's is dropped, and so is
+// MarkSeen takes a sign of life. An older incarnation's is dropped, and so is
 // what it says of not leaving.
-func (m *Members) Heard(now time.Time, b Box) {
+func (m *Members) MarkSeen(now time.Time, b Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if b.Name == m.self.Name {
@@ -175,8 +175,8 @@
 	return b == o
 }
 
-// Failed notes that a box refused a connection, so that it is passed by at once.
-func (m *Members) Failed(now time.Time, name string) {
+// MarkFailed notes that a box refused a connection, so that it is passed by at once.
+func (m *Members) MarkFailed(now time.Time, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.boxes[name]; ok {
@@ -185,8 +185,8 @@
 	}
 }
 
-// Answered notes that a box answered that had refused a connection.
-func (m *Members) Answered(name string) {
+// MarkAnswered notes that a box answered that had refused a connection.
+func (m *Members) MarkAnswered(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.boxes[name]; ok && !r.failed.IsZero() {
@@ -235,18 +235,18 @@
 	return max(all, len(m.boxes)+1)
 }
 
-// HubsOnly notes that this box has read none of the others but those that are fit to be
+// SetHubsOnly notes that this box has read none of the others but those that are fit to be
 // hubs: it does not know who else of its hall might be one, and is none unless others name
 // it, or it knows of nobody else.
-func (m *Members) HubsOnly() {
+func (m *Members) SetHubsOnly() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hubsOnly = true
 	m.changed()
 }
 
-// Named notes that another box takes this one for a hub.
-func (m *Members) Named(now time.Time) {
+// MarkNamedAsHub notes that another box takes this one for a hub.
+func (m *Members) MarkNamedAsHub(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.hubsOnly && now.Sub(m.named) >= namedFor {
@@ -255,8 +255,8 @@
 	m.named = now
 }
 
-// AnyStrong tells whether another box is known that is fit to be a hub.
-func (m *Members) AnyStrong() bool {
+// AnyHubEligible tells whether another box is known that is fit to be a hub.
+func (m *Members) AnyHubEligible() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.boxes {
@@ -275,8 +275,8 @@
 	return ok && r.listed
 }
 
-// Registered notes that a box was put into the table.
-func (m *Members) Registered(name string) {
+// MarkRegistered notes that a box was put into the table.
+func (m *Members) MarkRegistered(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.boxes[name]; ok {
@@ -284,8 +284,8 @@
 	}
 }
 
-// Leaving returns how many of the boxes leave.
-func (m *Members) Leaving() int {
+// CountLeaving returns how many of the boxes leave.
+func (m *Members) CountLeaving() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	leaving := 0
@@ -312,9 +312,9 @@
 	return peers
 }
 
-// Reached returns how many boxes this one hears, itself included, and how many
+// CountReachable returns how many boxes this one hears, itself included, and how many
 // it has heard that the platform still lists. The rest are lost or cut off.
-func (m *Members) Reached(now time.Time) (reached, all int) {
+func (m *Members) CountReachable(now time.Time) (reached, all int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	reached, all = 1, 1
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -32,36 +32,36 @@
 		at   time.Duration
 		want members.State
 	}{
-		"listed":              {does: func(m *members.Members) { m.Listed(start, []wire.Member{member("b", live)}) }, at: time.Second, want: members.Live},
-		"listed and silent":   {does: func(m *members.Members) { m.Listed(start, []wire.Member{member("b", live)}) }, at: 4 * time.Second, want: members.Suspect},
-		"heard":               {does: func(m *members.Members) { m.Heard(start.Add(2*time.Second), alive("b", 1, members.Live)) }, at: 4 * time.Second, want: members.Live},
-		"heard, off the list": {does: func(m *members.Members) { m.Heard(start, alive("b", 1, members.Live)); m.Listed(start, nil) }, at: time.Second, want: members.Live},
+		"listed":              {does: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", live)}) }, at: time.Second, want: members.Live},
+		"listed and silent":   {does: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", live)}) }, at: 4 * time.Second, want: members.Suspect},
+		"heard":               {does: func(m *members.Members) { m.MarkSeen(start.Add(2*time.Second), alive("b", 1, members.Live)) }, at: 4 * time.Second, want: members.Live},
+		"heard, off the list": {does: func(m *members.Members) { m.MarkSeen(start, alive("b", 1, members.Live)); m.ApplyList(start, nil) }, at: time.Second, want: members.Live},
 		"long silent, off the list": {does: func(m *members.Members) {
-			m.Heard(start, alive("b", 1, members.Live))
-			m.Listed(start.Add(time.Minute), nil)
+			m.MarkSeen(start, alive("b", 1, members.Live))
+			m.ApplyList(start.Add(time.Minute), nil)
 		}, at: time.Minute, want: ""},
-		"list says leaving": {does: func(m *members.Members) { m.Listed(start, []wire.Member{member("b", leaving)}) }, at: time.Second, want: members.Leaving},
+		"list says leaving": {does: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", leaving)}) }, at: time.Second, want: members.Leaving},
 		"leaving, then an old live": {does: func(m *members.Members) {
-			m.Heard(start, alive("b", 2, members.Leaving))
-			m.Heard(start, alive("b", 1, members.Live))
+			m.MarkSeen(start, alive("b", 2, members.Leaving))
+			m.MarkSeen(start, alive("b", 1, members.Live))
 		}, at: time.Second, want: members.Leaving},
 		"leaving, then the list lags": {does: func(m *members.Members) {
-			m.Heard(start, alive("b", 2, members.Leaving))
-			m.Listed(start, []wire.Member{member("b", live)})
+			m.MarkSeen(start, alive("b", 2, members.Leaving))
+			m.ApplyList(start, []wire.Member{member("b", live)})
 		}, at: time.Second, want: members.Leaving},
 		"leaving, then a late live": {does: func(m *members.Members) {
-			m.Heard(start, alive("b", 2, members.Leaving))
-			m.Heard(start, alive("b", 2, members.Live))
+			m.MarkSeen(start, alive("b", 2, members.Leaving))
+			m.MarkSeen(start, alive("b", 2, members.Live))
 		}, at: time.Second, want: members.Leaving},
 		"leaving, then started anew": {does: func(m *members.Members) {
-			m.Heard(start, alive("b", 2, members.Leaving))
-			m.Heard(start, alive("b", 3, members.Live))
+			m.MarkSeen(start, alive("b", 2, members.Leaving))
+			m.MarkSeen(start, alive("b", 3, members.Live))
 		}, at: time.Second, want: members.Live},
-		"refused a connection": {does: func(m *members.Members) { m.Heard(start, alive("b", 1, members.Live)); m.Failed(start, "b") }, at: time.Second, want: members.Suspect},
+		"refused a connection": {does: func(m *members.Members) { m.MarkSeen(start, alive("b", 1, members.Live)); m.MarkFailed(start, "b") }, at: time.Second, want: members.Suspect},
 		"refused, then heard": {does: func(m *members.Members) {
-			m.Heard(start, alive("b", 1, members.Live))
-			m.Failed(start, "b")
-			m.Heard(start, alive("b", 1, members.Live))
+			m.MarkSeen(start, alive("b", 1, members.Live))
+			m.MarkFailed(start, "b")
+			m.MarkSeen(start, alive("b", 1, members.Live))
 		}, at: time.Second, want: members.Live},
 	}
 	for name, tt := range tests {
@@ -86,17 +86,17 @@
 	m := members.New(alive("a", 1, members.Live))
 	both := []wire.Member{member("b", wire.MemberStateLive), member("c", wire.MemberStateLive)}
 	count := func(at time.Duration) [2]int {
-		reached, all := m.Reached(start.Add(at))
+		reached, all := m.CountReachable(start.Add(at))
 		return [2]int{reached, all}
 	}
-	m.Listed(start, both)
+	m.ApplyList(start, both)
 	is.Equal(count(0), [2]int{1, 1}) // never heard
-	m.Heard(start, alive("b", 1, members.Live))
-	m.Heard(start, alive("c", 1, members.Live))
+	m.MarkSeen(start, alive("b", 1, members.Live))
+	m.MarkSeen(start, alive("c", 1, members.Live))
 	is.Equal(count(time.Second), [2]int{3, 3})
-	m.Heard(start.Add(9*time.Second), alive("b", 1, members.Live))
+	m.MarkSeen(start.Add(9*time.Second), alive("b", 1, members.Live))
 	is.Equal(count(10*time.Second), [2]int{2, 3}) // c is silent
-	m.Listed(start.Add(10*time.Second), both[:1])
+	m.ApplyList(start.Add(10*time.Second), both[:1])
 	is.Equal(count(10*time.Second), [2]int{2, 2}) // and off the list
 }
 
@@ -109,7 +109,7 @@
 		m := members.New(alive(self, 1, members.Live))
 		for _, n := range names {
 			if n != gone {
-				m.Heard(start, alive(n, 1, members.Live))
+				m.MarkSeen(start, alive(n, 1, members.Live))
 			}
 		}
 		return m
@@ -129,7 +129,7 @@
 	}
 	is.True(moved > 0 && moved < keys/2)
 	m := view("a", "")
-	m.Heard(start, members.Box{Name: "z", Hall: "gorgie", Address: "z:1", Incarnation: 1, State: members.Live})
+	m.MarkSeen(start, members.Box{Name: "z", Hall: "gorgie", Address: "z:1", Incarnation: 1, State: members.Live})
 	is.Equal(m.Order(start, "gorgie/0", "gorgie")[0].Name, "z")
 	first, ok := m.First(start, "gorgie/0", "gorgie")
 	is.True(ok)
@@ -142,7 +142,7 @@
 			m := members.New(alive("self", 1, members.Live))
 			now := time.Now()
 			for i := range n - 1 {
-				m.Heard(now, members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%13), Address: fmt.Sprint(i), State: members.Live})
+				m.MarkSeen(now, members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%13), Address: fmt.Sprint(i), State: members.Live})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -158,7 +158,7 @@
 			m := members.New(alive("self", 1, members.Live))
 			now := time.Now()
 			for i := range n - 1 {
-				m.Heard(now, members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%13), Address: fmt.Sprint(i), State: members.Live})
+				m.MarkSeen(now, members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%13), Address: fmt.Sprint(i), State: members.Live})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -175,7 +175,7 @@
 			before := heapsize.Used()
 			l := members.New(alive("self", 1, members.Live))
 			for i := range n {
-				l.Heard(start, members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%13), Address: fmt.Sprint(i), State: members.Live})
+				l.MarkSeen(start, members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%13), Address: fmt.Sprint(i), State: members.Live})
 			}
 			used := float64(heapsize.Used() - before)
 			runtime.KeepAlive(l)
@@ -190,7 +190,7 @@
 func crowd(n int) *members.Members {
 	m := members.New(members.Box{Name: "self", Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
 	for i := range n - 1 {
-		m.Heard(start, inHall(i, members.Live))
+		m.MarkSeen(start, inHall(i, members.Live))
 	}
 	return m
 }
@@ -207,7 +207,7 @@
 			same := inHall(1, members.Live)
 			b.ReportAllocs()
 			for b.Loop() {
-				m.Heard(start, same)
+				m.MarkSeen(start, same)
 				m.Hubs(start)
 			}
 		})
@@ -222,7 +222,7 @@
 	m.Hubs(start)
 	same := inHall(1, members.Live)
 	is.Equal(testing.AllocsPerRun(100, func() {
-		m.Heard(start, same)
+		m.MarkSeen(start, same)
 		m.Hubs(start)
 	}), 0.0)
 }
@@ -237,26 +237,26 @@
 		asked  bool // whether it is back
 	}{
 		"nothing":        {strike: func(*members.Members, members.Box) {}, stays: true},
-		"it fails":       {strike: func(m *members.Members, b members.Box) { m.Failed(start, b.Name) }},
-		"it just failed": {strike: func(m *members.Members, b members.Box) { m.Failed(start, b.Name) }, after: 2999 * time.Millisecond},
+		"it fails":       {strike: func(m *members.Members, b members.Box) { m.MarkFailed(start, b.Name) }},
+		"it just failed": {strike: func(m *members.Members, b members.Box) { m.MarkFailed(start, b.Name) }, after: 2999 * time.Millisecond},
 		"its failure has lapsed": {strike: func(m *members.Members, b members.Box) {
-			m.Failed(start, b.Name)
+			m.MarkFailed(start, b.Name)
 			m.Hubs(start)
 		}, after: 3 * time.Second, asked: true},
 		"its failure has lapsed, and it is heard": {strike: func(m *members.Members, b members.Box) {
-			m.Failed(start, b.Name)
+			m.MarkFailed(start, b.Name)
 			m.Hubs(start.Add(3 * time.Second))
-			m.Heard(start.Add(3*time.Second), b)
+			m.MarkSeen(start.Add(3*time.Second), b)
 		}, after: 3 * time.Second, stays: true},
 		"it fails and is heard": {strike: func(m *members.Members, b members.Box) {
-			m.Failed(start, b.Name)
+			m.MarkFailed(start, b.Name)
 			m.Hubs(start)
-			m.Heard(start, b)
+			m.MarkSeen(start, b)
 		}, stays: true},
-		"it leaves": {strike: func(m *members.Members, b members.Box) { b.State = members.Leaving; m.Heard(start, b) }},
+		"it leaves": {strike: func(m *members.Members, b members.Box) { b.State = members.Leaving; m.MarkSeen(start, b) }},
 		"it turns weak": {strike: func(m *members.Members, b members.Box) {
 			b.Incarnation, b.HubEligible = 2, false
-			m.Heard(start, b)
+			m.MarkSeen(start, b)
 		}},
 		"its hall was taken for another": {strike: func(m *members.Members, b members.Box) {
 			b.Incarnation, b.Hall = 2, "elsewhere"
@@ -272,7 +272,7 @@
 			tt.strike(m, first)
 			stays := slices.ContainsFunc(m.Hubs(start.Add(tt.after)), func(b members.Box) bool { return b.Name == first.Name && b.Hall == first.Hall })
 			is.Equal(stays, tt.stays)
-			asked := slices.ContainsFunc(m.Asks(start.Add(tt.after)), func(b members.Box) bool { return b.Name == first.Name })
+			asked := slices.ContainsFunc(m.HubsToCall(start.Add(tt.after)), func(b members.Box) bool { return b.Name == first.Name })
 			is.Equal(asked, tt.asked || tt.stays)
 		})
 	}
@@ -300,9 +300,9 @@
 			reads := 0
 			for _, m := range views {
 				for _, b := range failed {
-					m.Failed(start, b.Name)
+					m.MarkFailed(start, b.Name)
 				}
-				if m.Reads(start) {
+				if m.IsReader(start) {
 					reads++
 				}
 			}
@@ -320,7 +320,7 @@
 	for i := range boxes {
 		m := members.New(box(i))
 		for j := range boxes {
-			m.Heard(start, box(j))
+			m.MarkSeen(start, box(j))
 		}
 		views[box(i).Name] = m
 	}
@@ -334,14 +334,14 @@
 	for i := range 60 {
 		m := members.New(members.Box{Name: fmt.Sprint("box", i), Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
 		for _, hall := range []string{"hall0", "hall1"} {
-			m.Heard(start, members.Box{Name: "hub " + hall, Hall: hall, Address: hall, Incarnation: 1, State: members.Live, HubEligible: true})
+			m.MarkSeen(start, members.Box{Name: "hub " + hall, Hall: hall, Address: hall, Incarnation: 1, State: members.Live, HubEligible: true})
 		}
-		is.Equal(m.Nearest(start).Name, "hub hall0")
+		is.Equal(m.PrimaryHub(start).Name, "hub hall0")
 		m = members.New(members.Box{Name: fmt.Sprint("box", i), Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
 		for _, hub := range []string{"one", "two"} { // one hall has two
-			m.Heard(start, members.Box{Name: hub, Hall: "hall0", Address: hub, Incarnation: 1, State: members.Live, HubEligible: true})
+			m.MarkSeen(start, members.Box{Name: hub, Hall: "hall0", Address: hub, Incarnation: 1, State: members.Live, HubEligible: true})
 		}
-		named[m.Nearest(start).Name]++
+		named[m.PrimaryHub(start).Name]++
 	}
 	is.True(named["one"] > 15 && named["two"] > 15)
 }
@@ -350,10 +350,10 @@
 func TestLeavingCount(t *testing.T) {
 	is := is.New(t)
 	m := crowd(10)
-	m.Heard(start, inHall(3, members.Leaving))
-	is.Equal([2]int{m.Leaving(), m.Count(start)}, [2]int{1, 10})
+	m.MarkSeen(start, inHall(3, members.Leaving))
+	is.Equal([2]int{m.CountLeaving(), m.Count(start)}, [2]int{1, 10})
 	m.Leave()
-	is.Equal([2]int{m.Leaving(), m.Count(start)}, [2]int{2, 10})
+	is.Equal([2]int{m.CountLeaving(), m.Count(start)}, [2]int{2, 10})
 }
 
 func TestHubs(t *testing.T) {
@@ -366,7 +366,7 @@
 				Box: fmt.Sprintf("b%03d", i), Hall: fmt.Sprint("h", i%halls), Address: fmt.Sprintf("a%03d", i), State: wire.MemberStateLive, Strong: strong(i),
 			})
 		}
-		m.Listed(now, list)
+		m.ApplyList(now, list)
 		return m
 	}
 	listed := func(boxes int, strong func(i int) bool) *members.Members { return spread(boxes, 5, strong) }
@@ -385,10 +385,10 @@
 		"many: one a hall": {members: listed(58, all), hubs: 5},
 		"hundreds: two":    {members: listed(350, all), hubs: 10, halls: 5},
 		"only weak ones":   {members: listed(58, func(int) bool { return false }), hubs: 5},
-		"the first fails":  {members: listed(58, all), hubs: 5, moved: true, strike: func(m *members.Members, first members.Box) { m.Failed(now, first.Name) }},
+		"the first fails":  {members: listed(58, all), hubs: 5, moved: true, strike: func(m *members.Members, first members.Box) { m.MarkFailed(now, first.Name) }},
 		"the first leaves": {members: listed(58, all), hubs: 5, moved: true, strike: func(m *members.Members, first members.Box) {
 			first.State = members.Leaving
-			m.Heard(now, first)
+			m.MarkSeen(now, first)
 		}},
 	}
 	for name, tt := range tests {
@@ -440,14 +440,14 @@
 			for _, m := range spreadOver(tt.boxes, tt.halls) {
 				is.Equal(len(m.Hubs(start)), tt.hubs)
 				_, hub := m.IsHub(start)
-				asks := m.Asks(start)
+				asks := m.HubsToCall(start)
 				if hub {
 					is.Equal(len(asks), tt.hubs-1)
 					continue
 				}
 				is.Equal(len(asks), tt.asks)
-				is.True(tt.asks > 2 || asks[0].Name == m.Nearest(start).Name)
-				tells[m.Nearest(start).Name]++
+				is.True(tt.asks > 2 || asks[0].Name == m.PrimaryHub(start).Name)
+				tells[m.PrimaryHub(start).Name]++
 				for _, b := range asks {
 					calls[b.Name]++
 				}
@@ -466,17 +466,17 @@
 	is := is.New(t)
 	m := crowd(100)
 	hubs := len(m.Hubs(start))
-	is.Equal(m.Crowd(start), nil)
-	m.ToldCrowd(start, "hall0", 250)
-	m.ToldCrowd(start, "hall0", 90)      // by one that has read few itself
-	is.Equal(len(m.Hubs(start)), hubs+3) // seven would share 250 boxes; four of the hall are fit
+	is.Equal(m.LargeFleetCounts(start), nil)
+	m.UpdateHallCount(start, "hall0", 250)
+	m.UpdateHallCount(start, "hall0", 90) // by one that has read few itself
+	is.Equal(len(m.Hubs(start)), hubs+3)  // seven would share 250 boxes; four of the hall are fit
 	own := 0
-	for _, boxes := range m.Crowd(start) { // which it does not pass on
+	for _, boxes := range m.LargeFleetCounts(start) { // which it does not pass on
 		own += boxes
 	}
 	is.Equal(own, 100)
 	later := start.Add(6 * time.Second)
-	m.ToldCrowd(later, "hall0", 90)
+	m.UpdateHallCount(later, "hall0", 90)
 	is.Equal(len(m.Hubs(later)), hubs)
 }
 
@@ -485,14 +485,14 @@
 func TestToldCrowdLapses(t *testing.T) {
 	is := is.New(t)
 	m := crowd(100)
-	m.ToldCrowd(start, "hall0", 250)
-	is.True(m.Crowd(start.Add(4*time.Second)) != nil)
-	m.ToldCrowd(start.Add(4*time.Second), "hall0", 250)
-	is.True(m.Crowd(start.Add(8*time.Second)) != nil)
+	m.UpdateHallCount(start, "hall0", 250)
+	is.True(m.LargeFleetCounts(start.Add(4*time.Second)) != nil)
+	m.UpdateHallCount(start.Add(4*time.Second), "hall0", 250)
+	is.True(m.LargeFleetCounts(start.Add(8*time.Second)) != nil)
 	later := start.Add(10 * time.Second)
-	is.Equal(m.Crowd(later), nil)
-	m.ToldCrowd(later, "hall0", 250)
-	is.True(m.Crowd(later) != nil)
+	is.Equal(m.LargeFleetCounts(later), nil)
+	m.UpdateHallCount(later, "hall0", 250)
+	is.True(m.LargeFleetCounts(later) != nil)
 }
 
 // TestCrowdLeft lets boxes of a small crowd leave, as in a planned stop of some of them,
@@ -504,15 +504,15 @@
 			is := is.New(t)
 			all, boxes := alike(245)
 			is.Equal(len(all["box0"].Hubs(start)), 7)
-			others := slices.DeleteFunc(boxes, func(b members.Box) bool { return all["box0"].Hub(start, b.Name) })
+			others := slices.DeleteFunc(boxes, func(b members.Box) bool { return all["box0"].IsHubBox(start, b.Name) })
 			for _, b := range others[:gone] {
 				b.State = members.Leaving
-				for _, hub := range all[b.Name].Asks(start) {
-					all[hub.Name].Heard(start, b)
+				for _, hub := range all[b.Name].HubsToCall(start) {
+					all[hub.Name].MarkSeen(start, b)
 				}
 			}
 			for _, b := range others[gone:] {
-				_, hub := all[all[b.Name].Nearest(start).Name].IsHub(start)
+				_, hub := all[all[b.Name].PrimaryHub(start).Name].IsHub(start)
 				is.True(hub)
 			}
 		})
@@ -530,7 +530,7 @@
 	all = map[string]*members.Members{}
 	for _, b := range boxes {
 		all[b.Name] = members.New(b)
-		all[b.Name].Listed(start, list)
+		all[b.Name].ApplyList(start, list)
 	}
 	return all, boxes
 }
@@ -542,7 +542,7 @@
 	for i := range 300 {
 		b := inHall(i, members.Live)
 		b.HubEligible = false
-		m.Heard(start, b)
+		m.MarkSeen(start, b)
 	}
 	is.New(t).Equal(len(m.Hubs(start)), 6)
 }
@@ -570,14 +570,14 @@
 			for i := range tt.boxes - 1 {
 				list = append(list, wire.Member{Box: fmt.Sprint("box", i), Hall: "h", Address: fmt.Sprint(i), State: wire.MemberStateLive, Strong: true})
 			}
-			m.Listed(start, list)
+			m.ApplyList(start, list)
 			first := m.Hubs(start)[0]
 			if tt.heard {
-				m.Heard(start, first)
+				m.MarkSeen(start, first)
 			}
 			at := start.Add(tt.after)
-			m.Failed(at, first.Name)
-			is.New(t).Equal(m.Hub(at, first.Name), tt.stays)
+			m.MarkFailed(at, first.Name)
+			is.New(t).Equal(m.IsHubBox(at, first.Name), tt.stays)
 		})
 	}
 }
@@ -597,14 +597,14 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := members.New(members.Box{Name: "self", Hall: "hall0", Address: "self", State: members.Live})
-			m.HubsOnly()
+			m.SetHubsOnly()
 			var list []wire.Member
 			for i := range tt.others { // of another hall: its own has none
 				list = append(list, wire.Member{Box: fmt.Sprint("b", i), Hall: "hall1", Address: fmt.Sprint(i), State: wire.MemberStateLive, Strong: true})
 			}
-			m.Listed(start, list)
+			m.ApplyList(start, list)
 			if tt.named > 0 {
-				m.Named(start.Add(-tt.named))
+				m.MarkNamedAsHub(start.Add(-tt.named))
 			}
 			_, hub := m.IsHub(start)
 			is.New(t).Equal(hub, tt.want)
