--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -32,10 +32,10 @@
 // table is not told that its entry went.
 const keptMost = time.Hour
 
-// BornMost bounds what an upstream may say of its start, in Unix ms: decades from now.
+// MaxStartedAt bounds what an upstream may say of its start, in Unix ms: decades from now.
 // A later one is of another unit or another writer, and no later start would ever count
 // as newer.
-const BornMost = 1 << 42
+const MaxStartedAt = 1 << 42
 
 // Upstream is one incarnation of a worker. Values are immutable.
 type Upstream struct {
