--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -583,7 +583,7 @@
 		w.chooser.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
 		w.chooser.Part = func(route.Service) float64 { return 1 }
 		u := w.fleet.Serving("llm")[0]
-		u.Version, u.Cold = 2, time.Now().Add(10*time.Second)
+		u.Version, u.ColdUntil = 2, time.Now().Add(10*time.Second)
 		w.fleet.Put(time.Now(), u)
 		ask := check("a")
 		ask.Service.ColdPerSecond = 4
--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -101,11 +101,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, known := r.spans[u.ID]
-	if known && u.Born < s.born {
+	if known && u.StartedAt < s.born {
 		return
 	}
-	if !known || u.Born > s.born {
-		s = &span{service: u.Service, born: u.Born, asked: now}
+	if !known || u.StartedAt > s.born {
+		s = &span{service: u.Service, born: u.StartedAt, asked: now}
 		r.spans[u.ID] = s
 		r.count.Store(int64(len(r.spans)))
 	}
@@ -121,7 +121,7 @@
 	}
 	s.until, s.trial = until, time.Time{}
 	s.back = until.Add(time.Duration(r.random.Int64N(int64(min(d/spreadPart, spreadMost)) + 1)))
-	r.note(change, u.ID, logrus.Fields{"rest_ms": d.Milliseconds(), "left_ms": s.back.Sub(now).Milliseconds(), "born": u.Born})
+	r.note(change, u.ID, logrus.Fields{"rest_ms": d.Milliseconds(), "left_ms": s.back.Sub(now).Milliseconds(), "born": u.StartedAt})
 }
 
 // Answered takes an answer that asks for no rest, to a request that was sent at a time.
@@ -132,7 +132,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, known := r.spans[u.ID]
-	if !known || u.Born < s.born || sent.Before(s.back) {
+	if !known || u.StartedAt < s.born || sent.Before(s.back) {
 		return
 	}
 	r.note(Over, u.ID, logrus.Fields{"asked_ms": now.Sub(s.asked).Milliseconds(), "after_ms": now.Sub(s.until).Milliseconds()})
--- a/backoff/backoff_test.go
+++ b/backoff/backoff_test.go
@@ -60,7 +60,7 @@
 			began := time.Now()
 			ms := func(n int) time.Time { return began.Add(time.Duration(n) * time.Millisecond) }
 			for _, w := range tt.words {
-				u := fleet.Upstream{ID: "u", Service: "s", Born: w.born}
+				u := fleet.Upstream{ID: "u", Service: "s", StartedAt: w.born}
 				if w.rest > 0 {
 					r.Asked(ms(w.at), u, time.Duration(w.rest)*time.Millisecond)
 				} else {
--- a/balance/speeds/record.go
+++ b/balance/speeds/record.go
@@ -58,7 +58,7 @@
 func (r record) weight() float64 { return r.alone.weight + r.beside.weight + r.read.weight }
 
 // keyOf names an incarnation of an upstream.
-func keyOf(u fleet.Upstream) string { return keyFor(u.ID, int(u.Born)) }
+func keyOf(u fleet.Upstream) string { return keyFor(u.ID, int(u.StartedAt)) }
 
 func keyFor(id string, born int) string { return id + "@" + strconv.Itoa(born) }
 
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -196,7 +196,7 @@
 	for _, u := range list {
 		records = append(records, wire.UpstreamRecord{
 			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, ColdMs: coldMs(now, u),
-			State: string(u.State), Version: int(u.Version), Said: u.Said, Born: int(u.Born),
+			State: string(u.State), Version: int(u.Version), Said: u.Announced, Born: int(u.StartedAt),
 		})
 	}
 	return records
@@ -228,10 +228,10 @@
 
 // coldMs returns for how much longer an upstream is cold, in ms.
 func coldMs(now time.Time, u fleet.Upstream) int {
-	if u.Cold.IsZero() {
+	if u.ColdUntil.IsZero() {
 		return 0
 	}
-	return int(max(u.Cold.Sub(now), 0).Milliseconds())
+	return int(max(u.ColdUntil.Sub(now), 0).Milliseconds())
 }
 
 // pacer lets things through one after the other, each taking its time at a rate.
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -381,11 +381,11 @@
 func (e *Edge) departed(ctx context.Context) fleet.Listener {
 	return func(u fleet.Upstream, source string) {
 		if u.State != fleet.Leaving {
-			e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.Born, "source": source}).Info("upstream_back")
+			e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.StartedAt, "source": source}).Info("upstream_back")
 			return
 		}
 		at := len(e.runs.At(u.ID))
-		e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.Born, "source": source, "runs": at}).Info("upstream_leaves")
+		e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.StartedAt, "source": source, "runs": at}).Info("upstream_leaves")
 		if e.config.Edge.Moves != wire.EdgeMovesNone {
 			e.evacuator.Leaves(ctx, u)
 		}
@@ -405,7 +405,7 @@
 		cut, copies := e.runs.Restarted(u)
 		e.metrics.Restarted()
 		e.log.WithFields(logrus.Fields{
-			"upstream": u.ID, "service": u.Service, "born": u.Born, "state": u.State, "source": source, "cut": cut, "copies": copies,
+			"upstream": u.ID, "service": u.Service, "born": u.StartedAt, "state": u.State, "source": source, "cut": cut, "copies": copies,
 		}).Warn("upstream_restarted")
 	}
 }
--- a/edge/incarnations.go
+++ b/edge/incarnations.go
@@ -8,7 +8,7 @@
 // born returns the incarnation of an upstream that this box knows; 0 for none.
 func (e *Edge) born(upstream string) int {
 	u, _ := e.fleet.Get(upstream)
-	return int(u.Born)
+	return int(u.StartedAt)
 }
 
 // bornLoads names the incarnations that loads are told of.
@@ -54,5 +54,5 @@
 // current tells whether a word is of no earlier incarnation than this box knows. One
 // that names none is taken as of the known one.
 func (e *Edge) current(upstream string, born int) bool {
-	return born == 0 || e.fleet.Current(fleet.Upstream{ID: upstream, Born: int64(born)})
+	return born == 0 || e.fleet.Current(fleet.Upstream{ID: upstream, StartedAt: int64(born)})
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -238,8 +238,8 @@
 			continue
 		}
 		e.fleet.Told(now, fleet.Upstream{
-			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, Cold: coldUntil(now, u.ColdMs),
-			State: fleet.State(u.State), Version: int64(u.Version), Said: u.Said, Born: int64(u.Born),
+			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, ColdUntil: coldUntil(now, u.ColdMs),
+			State: fleet.State(u.State), Version: int64(u.Version), Announced: u.Said, StartedAt: int64(u.Born),
 		})
 	}
 	if old && !a.FleetFromNow {
--- a/edge/view.go
+++ b/edge/view.go
@@ -57,7 +57,7 @@
 func (e *Edge) leavingUpstreams(now time.Time) []wire.LeavingView {
 	list := []wire.LeavingView{}
 	e.fleet.EachLeaving(now, func(u fleet.Upstream, since time.Duration) {
-		list = append(list, wire.LeavingView{Upstream: u.ID, SinceMs: int(since.Milliseconds()), Said: u.Said})
+		list = append(list, wire.LeavingView{Upstream: u.ID, SinceMs: int(since.Milliseconds()), Said: u.Announced})
 	})
 	slices.SortFunc(list, func(a, b wire.LeavingView) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return list
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -33,7 +33,7 @@
 			for b.Loop() {
 				version++
 				u := one(int(version)%upstreams, fleet.Open, version)
-				u.Cold = now.Add(time.Duration(version))
+				u.ColdUntil = now.Add(time.Duration(version))
 				f.Told(now, u)
 				f.Serving("llm")
 			}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -39,16 +39,16 @@
 
 // Upstream is one incarnation of a worker. Values are immutable.
 type Upstream struct {
-	ID      string
-	Service string
-	Address string
-	Hall    string
-	Slots   int
-	Cold    time.Time // until then it bears few requests a second; zero if it is warm
-	State   State
-	Version int64 // of the table's last change that is known of it
-	Said    bool  // it said itself that it leaves
-	Born    int64 // when it started, in Unix ms by its own clock; 0 where it is not known
+	ID        string
+	Service   string
+	Address   string
+	Hall      string
+	Slots     int
+	ColdUntil time.Time // until then it bears few requests a second; zero if it is warm
+	State     State
+	Version   int64 // of the table's last change that is known of it
+	Announced bool  // it said itself that it leaves
+	StartedAt int64 // when it started, in Unix ms by its own clock; 0 where it is not known
 }
 
 func (u Upstream) withVersion(version int64) Upstream {
@@ -150,7 +150,7 @@
 }
 
 func (f *Fleet) put(now time.Time, u Upstream) {
-	u.Said = u.State == Leaving
+	u.Announced = u.State == Leaving
 	e, ok := f.all[u.ID]
 	switch {
 	case !ok:
@@ -159,18 +159,18 @@
 		f.all[u.ID] = e
 		f.set(e, u)
 		f.change(e)
-	case e.older(u.Born):
+	case e.older(u.StartedAt):
 		return
-	case e.newer(u.Born):
+	case e.newer(u.StartedAt):
 		e.listed = true
 		f.restart(now, e, u, "entry")
 		return
-	case u.Version <= e.upstream.Version && !u.Said && e.upstream.State == Leaving, u.Version < e.upstream.Version:
+	case u.Version <= e.upstream.Version && !u.Announced && e.upstream.State == Leaving, u.Version < e.upstream.Version:
 		return // told late
 	default:
 		f.renew(now, e, u)
 	}
-	if u.Said {
+	if u.Announced {
 		f.leave(now, e, "entry")
 	}
 }
@@ -178,8 +178,8 @@
 // renew takes a newer entry. One that has said that it leaves stays so.
 func (f *Fleet) renew(now time.Time, e *entry, u Upstream) {
 	old := e.upstream
-	u.State, u.Said, u.Born = old.State, old.Said || u.Said, max(old.Born, u.Born)
-	if !u.Said && old.State != Open {
+	u.State, u.Announced, u.StartedAt = old.State, old.Announced || u.Announced, max(old.StartedAt, u.StartedAt)
+	if !u.Announced && old.State != Open {
 		u.State, e.since = Open, now
 	}
 	e.listed = true
@@ -187,16 +187,18 @@
 	if old.State == Leaving && u.State == Open {
 		f.tell(e, "entry")
 	}
-	if u.State != old.State || u.Address != old.Address || !u.Cold.Equal(old.Cold) || u.Born != old.Born {
+	if u.State != old.State || u.Address != old.Address || !u.ColdUntil.Equal(old.ColdUntil) || u.StartedAt != old.StartedAt {
 		f.change(e)
 	}
 }
 
 // older tells whether a word is of an incarnation before the known one.
-func (e *entry) older(born int64) bool { return born > 0 && born < e.upstream.Born }
+func (e *entry) older(born int64) bool { return born > 0 && born < e.upstream.StartedAt }
 
 // newer tells whether a word is of an incarnation after the known one.
-func (e *entry) newer(born int64) bool { return e.upstream.Born > 0 && born > e.upstream.Born }
+func (e *entry) newer(born int64) bool {
+	return e.upstream.StartedAt > 0 && born > e.upstream.StartedAt
+}
 
 // restart takes the first word of a newer incarnation: nothing of the one before
 // holds, nor does the order of its versions.
@@ -227,7 +229,7 @@
 		return
 	}
 	u := e.upstream
-	u.Born, u.State, u.Said, u.Cold = born, Open, false, time.Time{}
+	u.StartedAt, u.State, u.Announced, u.ColdUntil = born, Open, false, time.Time{}
 	f.restart(now, e, u, source)
 }
 
@@ -236,7 +238,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.all[u.ID]
-	return !ok || !e.older(u.Born)
+	return !ok || !e.older(u.StartedAt)
 }
 
 // Remove takes the news that an entry is gone, by a change of a version: the
@@ -275,7 +277,7 @@
 	}
 	if e.newer(d.Born) {
 		u := e.upstream
-		u.Born, u.State, u.Said, u.Cold = d.Born, Leaving, d.Said, time.Time{}
+		u.StartedAt, u.State, u.Announced, u.ColdUntil = d.Born, Leaving, d.Said, time.Time{}
 		u.Version = max(u.Version, d.Version)
 		f.restart(now, e, u, source)
 		return
@@ -284,8 +286,8 @@
 		return
 	}
 	u := e.upstream.withVersion(max(e.upstream.Version, d.Version))
-	u.Said = u.Said || d.Said
-	if u.Said != e.upstream.Said {
+	u.Announced = u.Announced || d.Said
+	if u.Announced != e.upstream.Announced {
 		f.change(e)
 	}
 	f.set(e, u)
@@ -377,7 +379,7 @@
 	defer f.mu.Unlock()
 	e, ok := f.all[u.ID]
 	if !ok {
-		if u.State == Leaving && !u.Said {
+		if u.State == Leaving && !u.Announced {
 			return // nothing of this box can be there
 		}
 		e = &entry{since: now, listed: true}
@@ -386,14 +388,14 @@
 		f.change(e)
 		return
 	}
-	if e.older(u.Born) {
+	if e.older(u.StartedAt) {
 		return
 	}
-	if e.newer(u.Born) {
+	if e.newer(u.StartedAt) {
 		f.restart(now, e, u, "hub")
 		return
 	}
-	if u.Version < e.upstream.Version && !u.Said {
+	if u.Version < e.upstream.Version && !u.Announced {
 		return
 	}
 	f.hear(now, e, u)
@@ -404,18 +406,18 @@
 func (f *Fleet) hear(now time.Time, e *entry, u Upstream) {
 	old := e.upstream
 	is, newer := old.withVersion(max(old.Version, u.Version)), u.Version > old.Version
-	is.Born, is.Said = max(old.Born, u.Born), old.Said || u.Said
+	is.StartedAt, is.Announced = max(old.StartedAt, u.StartedAt), old.Announced || u.Announced
 	if newer {
-		is.Cold = u.Cold
+		is.ColdUntil = u.ColdUntil
 	}
-	if is.Born != old.Born || !is.Cold.Equal(old.Cold) {
+	if is.StartedAt != old.StartedAt || !is.ColdUntil.Equal(old.ColdUntil) {
 		f.change(e)
 	}
 	f.set(e, is)
 	switch {
 	case u.State == Leaving:
 		f.leave(now, e, "hub")
-	case newer && !is.Said && old.State != u.State, old.State == Open && u.State == Missing:
+	case newer && !is.Announced && old.State != u.State, old.State == Open && u.State == Missing:
 		e.since = now
 		f.set(e, is.withState(u.State))
 		f.change(e)
@@ -479,8 +481,8 @@
 	delete(f.closed, hall)
 	clear(f.index.serving)
 	for _, e := range f.all {
-		if e.upstream.Hall == hall && e.upstream.Cold.Before(cold) {
-			e.upstream.Cold = cold
+		if e.upstream.Hall == hall && e.upstream.ColdUntil.Before(cold) {
+			e.upstream.ColdUntil = cold
 		}
 	}
 }
@@ -587,7 +589,7 @@
 	defer f.mu.Unlock()
 	for _, e := range f.index.since(after) {
 		if e.upstream.State == Leaving && now.Sub(e.since) < within {
-			list = append(list, Departure{ID: e.upstream.ID, Version: e.upstream.Version, Said: e.upstream.Said, Born: e.upstream.Born})
+			list = append(list, Departure{ID: e.upstream.ID, Version: e.upstream.Version, Said: e.upstream.Announced, Born: e.upstream.StartedAt})
 		}
 	}
 	slices.SortFunc(list, func(a, b Departure) int { return strings.Compare(a.ID, b.ID) })
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -32,7 +32,7 @@
 
 // born is an upstream's word as one of its incarnations has it.
 func born(at int64, u fleet.Upstream) fleet.Upstream {
-	u.Born = at
+	u.StartedAt = at
 	return u
 }
 
@@ -160,7 +160,7 @@
 			is := is.New(t)
 			f := fleet.New(grace)
 			u := up("u", fleet.Leaving, 6)
-			u.Said = tt.said
+			u.Announced = tt.said
 			f.Told(now, u)
 			is.Equal(len(f.Serving("s")), 0)
 			f.Tick(now.Add(tt.after))
@@ -282,7 +282,7 @@
 	later, latest := now.Add(time.Second), now.Add(3*time.Second)
 	cold := func(version int64, until time.Time) fleet.Upstream {
 		u := up("u", fleet.Open, version)
-		u.Hall, u.Cold = "leith", until
+		u.Hall, u.ColdUntil = "leith", until
 		return u
 	}
 	tests := map[string]struct {
@@ -308,9 +308,9 @@
 			_, at := f.Since(0)
 			tt.learn(f)
 			u, _ := f.Get("u")
-			is.True(u.Cold.Equal(tt.want))
+			is.True(u.ColdUntil.Equal(tt.want))
 			changed, _ := f.Since(at)
-			is.True(len(changed) == 1 || u.Cold.IsZero() || u.Cold.Equal(latest)) // told on, but for halls, which all hear of
+			is.True(len(changed) == 1 || u.ColdUntil.IsZero() || u.ColdUntil.Equal(latest)) // told on, but for halls, which all hear of
 		})
 	}
 }
@@ -330,7 +330,7 @@
 
 // told is a hub's word.
 func told(u fleet.Upstream) func(*fleet.Fleet) {
-	u.Said = u.State == fleet.Leaving
+	u.Announced = u.State == fleet.Leaving
 	return func(f *fleet.Fleet) { f.Told(now, u) }
 }
 
@@ -391,7 +391,7 @@
 				learn(f)
 			}
 			u, _ := f.Get("u")
-			is.Equal(known{u.Born, u.State, u.Said}, tt.want)
+			is.Equal(known{u.StartedAt, u.State, u.Announced}, tt.want)
 			is.Equal(restarts, tt.restarts)
 			is.Equal(len(f.Serving("s")) == 1, tt.want.State != fleet.Leaving)
 			is.True(!f.Current(born(99, up("u", fleet.Open, 5))))
@@ -409,7 +409,7 @@
 	f.Put(now, up("u", fleet.Leaving, 5))
 	f.Put(now, born(100, up("u", fleet.Open, 6)))
 	u, _ := f.Get("u")
-	is.Equal(u.Born, int64(100))
+	is.Equal(u.StartedAt, int64(100))
 	is.Equal(u.State, fleet.Leaving)
 }
 
@@ -503,7 +503,7 @@
 }
 
 func cold(u fleet.Upstream) fleet.Upstream {
-	u.Cold = now.Add(time.Second)
+	u.ColdUntil = now.Add(time.Second)
 	return u
 }
 
--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -75,12 +75,12 @@
 func (l *Liveness) Look(ctx context.Context, u fleet.Upstream, engine bool) Finding {
 	known, _ := l.fleet.Get(u.ID)
 	switch {
-	case u.Born > 0 && known.Born > u.Born: // it has started again, and lost what it had
+	case u.StartedAt > 0 && known.StartedAt > u.StartedAt: // it has started again, and lost what it had
 		return Ended
-	case known.Born == u.Born && known.State == fleet.Leaving:
+	case known.StartedAt == u.StartedAt && known.State == fleet.Leaving:
 		return Leaving
 	}
-	at, first := l.begin(life{u.ID, u.Born})
+	at, first := l.begin(life{u.ID, u.StartedAt})
 	if first {
 		l.look(context.WithoutCancel(ctx), u, engine, at)
 	}
@@ -121,7 +121,7 @@
 		at.found = Lives
 	}
 	if at.found != Ended {
-		delete(l.looks, life{u.ID, u.Born}) // it may be otherwise at the next break
+		delete(l.looks, life{u.ID, u.StartedAt}) // it may be otherwise at the next break
 	}
 	close(at.done)
 }
--- a/liveness/liveness_test.go
+++ b/liveness/liveness_test.go
@@ -79,7 +79,7 @@
 		time.Sleep(time.Second)
 		is.Equal(l.Look(t.Context(), u, true), liveness.Ended)
 		is.Equal(p.calls.Load(), int64(1))
-		u.Born = 5 // another life under the same id
+		u.StartedAt = 5 // another life under the same id
 		p.ended = false
 		is.Equal(l.Look(t.Context(), u, true), liveness.Lives)
 		is.Equal(p.calls.Load(), int64(2))
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -142,7 +142,7 @@
 
 // Sent notes that a request goes to an upstream.
 func (c *Picker) Sent(now time.Time, s route.Service, u fleet.Upstream) {
-	if c.Warmup != nil && now.Before(u.Cold) {
+	if c.Warmup != nil && now.Before(u.ColdUntil) {
 		c.Warmup.Sent(now, u.ID, c.limit(s))
 	}
 	if c.Limits != nil && s.Engine != nil {
@@ -167,7 +167,7 @@
 // moves there is not held: turns give an upstream one copy at a time, and the run
 // would be lost.
 func (c *Picker) held(now time.Time, w Want, u fleet.Upstream) bool {
-	return c.Warmup != nil && now.Before(u.Cold) && !w.Moves && !c.Warmup.May(now, u.ID, c.limit(w.Service))
+	return c.Warmup != nil && now.Before(u.ColdUntil) && !w.Moves && !c.Warmup.May(now, u.ID, c.limit(w.Service))
 }
 
 func (c *Picker) limit(s route.Service) warmup.Limit {
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -174,7 +174,7 @@
 			c.Part = func(route.Service) float64 { return tt.part }
 			for i := range tt.cold {
 				u, _ := c.Fleet.Get(fmt.Sprint("e", i))
-				u.Version, u.Cold = 2, now.Add(time.Second)
+				u.Version, u.ColdUntil = 2, now.Add(time.Second)
 				c.Fleet.Put(now, u)
 			}
 			u, _, ok := c.Choose(now, picker.Want{Service: service, Tokens: 100, Moves: tt.moves})
@@ -191,7 +191,7 @@
 	c, _ := chooserOf([]string{"leith"})
 	c.Warmup, c.Part = warmup.New(rand.New(rand.NewPCG(1, 1))), func(route.Service) float64 { return 1 }
 	u := c.Fleet.Serving("llm")[0]
-	u.Version, u.Cold = 2, now.Add(time.Second)
+	u.Version, u.ColdUntil = 2, now.Add(time.Second)
 	c.Fleet.Put(now, u)
 	sent := 0
 	for ; sent < 100; sent++ {
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -162,12 +162,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := fleet.New(time.Second)
-				u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, Born: 100}
+				u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, StartedAt: 100}
 				f.Put(time.Now(), u)
 				w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 				w.Look(t.Context(), time.Now())
 				got, _ := f.Get("u")
-				is.Equal(got.Born, tt.born)
+				is.Equal(got.StartedAt, tt.born)
 				is.Equal(got.State, tt.want)
 			})
 		})
@@ -178,7 +178,7 @@
 type late struct{ fleet *fleet.Fleet }
 
 func (l late) Word(context.Context, string) (probe.Word, error) {
-	l.fleet.Put(time.Now(), fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:81", State: fleet.Open, Version: 1, Born: 200})
+	l.fleet.Put(time.Now(), fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:81", State: fleet.Open, Version: 1, StartedAt: 200})
 	return probe.Word{Leaves: true}, nil
 }
 
@@ -187,11 +187,11 @@
 func TestLateReport(t *testing.T) {
 	is := is.New(t)
 	f := fleet.New(time.Second)
-	u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, Born: 100}
+	u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, StartedAt: 100}
 	f.Put(time.Now(), u)
 	w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, late{f}, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
 	w.Look(t.Context(), time.Now())
 	got, _ := f.Get("u")
-	is.Equal(got.Born, int64(200))
+	is.Equal(got.StartedAt, int64(200))
 	is.Equal(got.State, fleet.Open)
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -152,7 +152,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gone(now, life{u.ID, u.Born})
+	q.gone(now, life{u.ID, u.StartedAt})
 }
 
 // gone notes the end of a life; false if it is known, or too many are.
@@ -176,11 +176,11 @@
 		q.counter.Quarantined(Excused)
 		return
 	}
-	if q.add(now, fp, life{u.ID, u.Born}) {
+	if q.add(now, fp, life{u.ID, u.StartedAt}) {
 		s := q.suspects[fp]
 		s.own = true
 		q.log.WithFields(logrus.Fields{
-			"fingerprint": fp, "upstream": u.ID, "born": u.Born, "ends": s.count(now), "beside": len(q.lives[life{u.ID, u.Born}].fps) - 1,
+			"fingerprint": fp, "upstream": u.ID, "born": u.StartedAt, "ends": s.count(now), "beside": len(q.lives[life{u.ID, u.StartedAt}].fps) - 1,
 		}).Info("ended_under")
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -155,13 +155,13 @@
 			time.Sleep(time.Second)
 		}
 		together = step.rack
-		q.Gone(time.Now(), fleet.Upstream{ID: step.engine, Born: step.born})
+		q.Gone(time.Now(), fleet.Upstream{ID: step.engine, StartedAt: step.born})
 		for _, r := range step.good {
 			q.Good(time.Now(), of(r))
 		}
 		for _, r := range step.at {
 			there[r] = true
-			q.Ended(time.Now(), of(r), fleet.Upstream{ID: step.engine, Born: step.born})
+			q.Ended(time.Now(), of(r), fleet.Upstream{ID: step.engine, StartedAt: step.born})
 		}
 	}
 	time.Sleep(1100 * time.Millisecond)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -494,9 +494,9 @@
 		return
 	}
 	if !r.Fleet.Leaving(u.ID) {
-		j.log.WithFields(logrus.Fields{"upstream": u.ID, "born": u.Born, "status": answer.Status}).Info("leaving_heard")
+		j.log.WithFields(logrus.Fields{"upstream": u.ID, "born": u.StartedAt, "status": answer.Status}).Info("leaving_heard")
 	}
-	r.Fleet.Leaves(now, fleet.Departure{ID: u.ID, Said: true, Born: u.Born}, sourceAnswer)
+	r.Fleet.Leaves(now, fleet.Departure{ID: u.ID, Said: true, Born: u.StartedAt}, sourceAnswer)
 }
 
 // RestartedError says that an upstream has started again, and lost what it had.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -832,7 +832,7 @@
 		w.relay.Chooser.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
 		w.relay.Chooser.Part = func(route.Service) float64 { return 0 }
 		for _, u := range w.fleet.Serving("plain") {
-			u.Version, u.Cold = 2, time.Now().Add(2*time.Second)
+			u.Version, u.ColdUntil = 2, time.Now().Add(2*time.Second)
 			w.fleet.Put(time.Now(), u)
 		}
 		c := w.serve(t.Context(), "/public/")
@@ -902,7 +902,7 @@
 	})
 	say := func(id string, born int64) {
 		u, _ := w.fleet.Get(id)
-		u.Born, u.Version = born, u.Version+1
+		u.StartedAt, u.Version = born, u.Version+1
 		w.fleet.Put(time.Now(), u)
 	}
 	for _, service := range []string{"plain", "llm"} {
@@ -980,7 +980,7 @@
 // after a request was placed there that it has started again, or takes nothing new.
 func TestNewsBeforeSent(t *testing.T) {
 	tests := map[string]func(w *world, u fleet.Upstream){
-		"it has started again": func(w *world, u fleet.Upstream) { w.fleet.Started(time.Now(), u.ID, u.Born+1, "report") },
+		"it has started again": func(w *world, u fleet.Upstream) { w.fleet.Started(time.Now(), u.ID, u.StartedAt+1, "report") },
 		"it leaves": func(w *world, u fleet.Upstream) {
 			w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Said: true}, "answer")
 		},
@@ -993,7 +993,7 @@
 				w := newWorld(t, reply{events: []int{0}})
 				for i := range 2 {
 					u, _ := w.fleet.Get(fmt.Sprint("llm", i))
-					u.Born, u.Hall, u.Version = 100, fmt.Sprint("hall", i), u.Version+1
+					u.StartedAt, u.Hall, u.Version = 100, fmt.Sprint("hall", i), u.Version+1
 					w.fleet.Put(time.Now(), u)
 				}
 				w.relay.Admitter = &placed{fleet: w.fleet, news: func(u fleet.Upstream) { news(w, u) }}
--- a/runs/runs.go
+++ b/runs/runs.go
@@ -126,10 +126,10 @@
 func (r *Run) restarted(u fleet.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.upstream.ID == u.ID && r.upstream.Born < u.Born {
+	if r.upstream.ID == u.ID && r.upstream.StartedAt < u.StartedAt {
 		r.stopped(Handoff{})
 	}
-	if r.copied == nil || r.copied.Target.ID != u.ID || r.copied.Target.Born >= u.Born {
+	if r.copied == nil || r.copied.Target.ID != u.ID || r.copied.Target.StartedAt >= u.StartedAt {
 		return false
 	}
 	r.copied = nil
@@ -239,7 +239,7 @@
 	s.mu.Lock()
 	var lost []*send
 	for at := range s.sent {
-		if at.upstream.ID == u.ID && at.upstream.Born < u.Born {
+		if at.upstream.ID == u.ID && at.upstream.StartedAt < u.StartedAt {
 			lost = append(lost, at)
 		}
 	}
--- a/upstreamlimits/upstreamlimits.go
+++ b/upstreamlimits/upstreamlimits.go
@@ -144,9 +144,9 @@
 	defer l.mu.Unlock()
 	have, known := l.list[u.ID]
 	switch {
-	case known && u.Born < have.born: // it has started again since
+	case known && u.StartedAt < have.born: // it has started again since
 	case said.Said == exchange.LimitNamed:
-		have = l.of(u.ID, u.Born)
+		have = l.of(u.ID, u.StartedAt)
 		if !have.holds {
 			have.period++
 		}
@@ -208,7 +208,7 @@
 
 // unreadable notes a word that is no limit; what was named before holds on.
 func (l *Tracker) unreadable(now time.Time, u fleet.Upstream) {
-	have := l.of(u.ID, u.Born)
+	have := l.of(u.ID, u.StartedAt)
 	if !have.unreadable {
 		l.note(Unreadable, u.ID, logrus.Fields{"holds": have.holds, "per_second": have.perSecond})
 	}
--- a/upstreamlimits/upstreamlimits_test.go
+++ b/upstreamlimits/upstreamlimits_test.go
@@ -64,7 +64,7 @@
 			began := time.Now()
 			at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 			for _, h := range tt.heads {
-				l.Heard(at(h.came), at(h.sent), fleet.Upstream{ID: "u", Born: h.born}, h.said, h.whole)
+				l.Heard(at(h.came), at(h.sent), fleet.Upstream{ID: "u", StartedAt: h.born}, h.said, h.whole)
 			}
 			perSecond, _, limited := l.Of(at(40).Add(easesFor), "u")
 			is.Equal(perSecond, tt.holds)
