--- a/edge/peers.go
+++ b/edge/peers.go
@@ -269,7 +269,7 @@
 
 func (e *Edge) hearDeparting(now time.Time, list []wire.UpstreamDeparture) {
 	for _, d := range list {
-		e.fleet.Leaves(now, fleet.Departure{ID: d.Upstream, Version: int64(d.Version), Said: d.Said, Born: int64(d.Born)}, "peer")
+		e.fleet.Leaves(now, fleet.Departure{ID: d.Upstream, Version: int64(d.Version), Announced: d.Said, StartedAt: int64(d.Born)}, "peer")
 	}
 }
 
@@ -278,7 +278,7 @@
 func (e *Edge) departing(now time.Time, after int) (list []wire.UpstreamDeparture, last int) {
 	departures, last := e.fleet.Departing(now, departingFor, after)
 	for _, d := range departures {
-		list = append(list, wire.UpstreamDeparture{Upstream: d.ID, Version: int(d.Version), Said: d.Said, Born: int(d.Born)})
+		list = append(list, wire.UpstreamDeparture{Upstream: d.ID, Version: int(d.Version), Said: d.Announced, Born: int(d.StartedAt)})
 	}
 	return list, last
 }
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -72,7 +72,7 @@
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			f := many(upstreams)
 			_, before := f.Since(0)
-			f.Leaves(now, fleet.Departure{ID: "u7", Said: true}, "peer")
+			f.Leaves(now, fleet.Departure{ID: "u7", Announced: true}, "peer")
 			for b.Loop() {
 				f.Since(before)
 				f.Departing(now, time.Minute, before)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -63,10 +63,10 @@
 
 // Departure is the news that an upstream leaves. Values are immutable.
 type Departure struct {
-	ID      string
-	Version int64 // of the change; 0 where it is not known
-	Said    bool  // the upstream itself said so
-	Born    int64 // of the incarnation that leaves; 0 where it is not known
+	ID        string
+	Version   int64 // of the change; 0 where it is not known
+	Announced bool  // the upstream itself said so
+	StartedAt int64 // of the incarnation that leaves; 0 where it is not known
 }
 
 type entry struct {
@@ -272,21 +272,21 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.all[d.ID]
-	if !ok || e.older(d.Born) {
+	if !ok || e.older(d.StartedAt) {
 		return
 	}
-	if e.newer(d.Born) {
+	if e.newer(d.StartedAt) {
 		u := e.upstream
-		u.StartedAt, u.State, u.Announced, u.ColdUntil = d.Born, Leaving, d.Said, time.Time{}
+		u.StartedAt, u.State, u.Announced, u.ColdUntil = d.StartedAt, Leaving, d.Announced, time.Time{}
 		u.Version = max(u.Version, d.Version)
 		f.restart(now, e, u, source)
 		return
 	}
-	if !d.Said && d.Version < e.upstream.Version {
+	if !d.Announced && d.Version < e.upstream.Version {
 		return
 	}
 	u := e.upstream.withVersion(max(e.upstream.Version, d.Version))
-	u.Announced = u.Announced || d.Said
+	u.Announced = u.Announced || d.Announced
 	if u.Announced != e.upstream.Announced {
 		f.change(e)
 	}
@@ -589,7 +589,7 @@
 	defer f.mu.Unlock()
 	for _, e := range f.index.since(after) {
 		if e.upstream.State == Leaving && now.Sub(e.since) < within {
-			list = append(list, Departure{ID: e.upstream.ID, Version: e.upstream.Version, Said: e.upstream.Announced, Born: e.upstream.StartedAt})
+			list = append(list, Departure{ID: e.upstream.ID, Version: e.upstream.Version, Announced: e.upstream.Announced, StartedAt: e.upstream.StartedAt})
 		}
 	}
 	slices.SortFunc(list, func(a, b Departure) int { return strings.Compare(a.ID, b.ID) })
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 }
 
 // said is the news that an upstream says that it leaves.
-func said(id string) fleet.Departure { return fleet.Departure{ID: id, Said: true} }
+func said(id string) fleet.Departure { return fleet.Departure{ID: id, Announced: true} }
 
 // gone is the news that its entry went by a change of a version.
 func gone(id string, version int64) fleet.Departure {
@@ -246,7 +246,7 @@
 		"a listing":                 {func(f *fleet.Fleet) { f.Replace(now, []fleet.Upstream{open("c", 2)}, 2, false) }, []string{"c"}},
 		"a hub's word":              {func(f *fleet.Fleet) { f.Told(now, leaving("b", 2)) }, []string{"a"}},
 		"a hub's word of another":   {func(f *fleet.Fleet) { f.Told(now, open("c", 2)) }, []string{"a", "b", "c"}},
-		"a peer's word":             {func(f *fleet.Fleet) { f.Leaves(now, fleet.Departure{ID: "a", Said: true}, "peer") }, []string{"b"}},
+		"a peer's word":             {func(f *fleet.Fleet) { f.Leaves(now, fleet.Departure{ID: "a", Announced: true}, "peer") }, []string{"b"}},
 		"its hall is closed":        {func(f *fleet.Fleet) { f.CloseHall(now, "leith") }, nil},
 		"another hall is closed":    {func(f *fleet.Fleet) { f.CloseHall(now, "gorgie") }, []string{"a", "b"}},
 		"its hall is open again":    {func(f *fleet.Fleet) { f.CloseHall(now, "leith"); f.OpenHall("leith", now) }, []string{"a", "b"}},
@@ -358,13 +358,13 @@
 	"an older entry in a newer listing":       {[]func(*fleet.Fleet){listing(9, born(50, up("u", fleet.Open, 9)))}, known{100, fleet.Open, false}, 0},
 	"an older entry that says that it leaves": {[]func(*fleet.Fleet){put(born(50, up("u", fleet.Leaving, 9)))}, known{100, fleet.Open, false}, 0},
 	"a hub tells of a newer one": {[]func(*fleet.Fleet){
-		leaves(fleet.Departure{ID: "u", Born: 100, Said: true}), told(born(200, up("u", fleet.Open, 6)))}, known{200, fleet.Open, false}, 1},
+		leaves(fleet.Departure{ID: "u", StartedAt: 100, Announced: true}), told(born(200, up("u", fleet.Open, 6)))}, known{200, fleet.Open, false}, 1},
 	"a hub tells of a newer one that leaves": {[]func(*fleet.Fleet){told(born(200, up("u", fleet.Leaving, 6)))}, known{200, fleet.Leaving, true}, 1},
 	"a hub that lags tells that the older one leaves": {[]func(*fleet.Fleet){
 		put(born(200, up("u", fleet.Open, 6))), told(born(100, up("u", fleet.Leaving, 9)))}, known{200, fleet.Open, false}, 1},
 	"a peer tells late that the older one leaves": {[]func(*fleet.Fleet){
-		put(born(200, up("u", fleet.Open, 6))), leaves(fleet.Departure{ID: "u", Born: 100, Said: true, Version: 9})}, known{200, fleet.Open, false}, 1},
-	"a peer tells that a newer one leaves": {[]func(*fleet.Fleet){leaves(fleet.Departure{ID: "u", Born: 200, Said: true})}, known{200, fleet.Leaving, true}, 1},
+		put(born(200, up("u", fleet.Open, 6))), leaves(fleet.Departure{ID: "u", StartedAt: 100, Announced: true, Version: 9})}, known{200, fleet.Open, false}, 1},
+	"a peer tells that a newer one leaves": {[]func(*fleet.Fleet){leaves(fleet.Departure{ID: "u", StartedAt: 200, Announced: true})}, known{200, fleet.Leaving, true}, 1},
 	"an entry without an incarnation":      {[]func(*fleet.Fleet){put(up("u", fleet.Leaving, 6))}, known{100, fleet.Leaving, true}, 0},
 	"an older one without an incarnation":  {[]func(*fleet.Fleet){put(up("u", fleet.Open, 4))}, known{100, fleet.Open, false}, 0},
 	"news without an incarnation":          {[]func(*fleet.Fleet){leaves(said("u"))}, known{100, fleet.Leaving, true}, 0},
@@ -420,7 +420,7 @@
 	f := fleet.New(grace)
 	f.Put(now, born(100, up("u", fleet.Open, 5)))
 	f.Remove(now, "u", 6, false)
-	f.Leaves(now, fleet.Departure{ID: "u", Version: 7, Born: 200}, "peer")
+	f.Leaves(now, fleet.Departure{ID: "u", Version: 7, StartedAt: 200}, "peer")
 	f.Tick(now.Add(time.Minute))
 	_, ok := f.Get("u")
 	is.True(!ok)
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -124,6 +124,6 @@
 	w.limits.Heard(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
 	w.fleet.Started(time.Now(), u.ID, word.Born, sourceReport)
 	if word.Leaves {
-		w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Said: true, Born: cmp.Or(word.Born, u.StartedAt)}, sourceReport)
+		w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Announced: true, StartedAt: cmp.Or(word.Born, u.StartedAt)}, sourceReport)
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -496,7 +496,7 @@
 	if !r.Fleet.Leaving(u.ID) {
 		j.log.WithFields(logrus.Fields{"upstream": u.ID, "born": u.StartedAt, "status": answer.Status}).Info("leaving_heard")
 	}
-	r.Fleet.Leaves(now, fleet.Departure{ID: u.ID, Said: true, Born: u.StartedAt}, sourceAnswer)
+	r.Fleet.Leaves(now, fleet.Departure{ID: u.ID, Announced: true, StartedAt: u.StartedAt}, sourceAnswer)
 }
 
 // RestartedError says that an upstream has started again, and lost what it had.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -982,7 +982,7 @@
 	tests := map[string]func(w *world, u fleet.Upstream){
 		"it has started again": func(w *world, u fleet.Upstream) { w.fleet.Started(time.Now(), u.ID, u.StartedAt+1, "report") },
 		"it leaves": func(w *world, u fleet.Upstream) {
-			w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Said: true}, "answer")
+			w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Announced: true}, "answer")
 		},
 		"its hall is evacuated": func(w *world, u fleet.Upstream) { w.fleet.CloseHall(time.Now(), u.Hall) },
 	}
