--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -227,7 +227,7 @@
 				w.fill("e0", 5, 500)
 				w.fill("e1", 5, 500)
 				runs := w.fill("e2", tt.leaving, 900)
-				w.fleet.Leaves(time.Now(), fleet.Departure{ID: "e2", Announced: true}, "entry")
+				w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: "e2", Announced: true}, "entry")
 				ask := tt.ask
 				ask.Arrived = time.Now()
 				if tt.stay {
--- a/admission/uneven_test.go
+++ b/admission/uneven_test.go
@@ -63,7 +63,7 @@
 			c.engines[id] = e
 			c.mu.Unlock()
 			engines.Go(func() { e.work(ctx) })
-			c.fleet.Leaves(time.Now(), fleet.Departure{ID: ids[0], Announced: true}, "test")
+			c.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: ids[0], Announced: true}, "test")
 			c.fleet.Put(time.Now(), fleet.Upstream{ID: id, Service: "llm", Hall: "hall0", Slots: 24, State: fleet.Open})
 			ids = append(ids[1:], id)
 			n++
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -219,7 +219,7 @@
 	case from.FleetKnownMs == 0:
 		return 0
 	}
-	change, known := e.fleet.At(now.Add(-config.Millis(from.FleetKnownMs) - askTime))
+	change, known := e.fleet.ChangeAt(now.Add(-config.Millis(from.FleetKnownMs) - askTime))
 	if !known {
 		return 0
 	}
--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -561,7 +561,7 @@
 // all boxes know within a second.
 func (c *crowd) learns(t testing.TB, upstream string, version int) {
 	c.table.put("servers", upstream, string(worker(5, 1, "draining")))
-	t.Log("a departure is known after", c.until(t, "knows the departure", time.Second, func(e *Edge) bool { return e.fleet.Leaving(upstream) }))
+	t.Log("a departure is known after", c.until(t, "knows the departure", time.Second, func(e *Edge) bool { return e.fleet.IsLeaving(upstream) }))
 	c.table.put("op", "config", fmt.Sprintf(`{"version":%d,"routes":[],"services":[],"limits":{"max_body_bytes":4096},"tenants":[]}`, version))
 	t.Log("a version is known after", c.until(t, "knows the version", time.Second, func(e *Edge) bool { return e.View().Version == version }))
 }
@@ -728,7 +728,7 @@
 	c.table.put("servers", "u99", string(worker(99, 1, "ready")))
 	c.table.put("op", "config", `{"version":9,"routes":[],"services":[],"limits":{"max_body_bytes":4096},"tenants":[]}`)
 	c.until(t, "knows all that is new", waitLong, func(e *Edge) bool {
-		return e.fleet.Leaving("u5") && e.fleet.Takes("u99") && e.View().Version == 9
+		return e.fleet.IsLeaving("u5") && e.fleet.Takes("u99") && e.View().Version == 9
 	})
 }
 
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -254,7 +254,7 @@
 	e.callers = callers.New(e.relay, e.bodyMost, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Parts{
 		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.tally,
-		Moved: e.metrics.Moved, Log: e.log, Leaving: e.fleet.Leaving, Takes: e.fleet.Takes,
+		Moved: e.metrics.Moved, Log: e.log, Leaving: e.fleet.IsLeaving, Takes: e.fleet.Takes,
 	})
 }
 
@@ -423,7 +423,7 @@
 		log.Info("hall_taken_back")
 		return
 	}
-	if !e.fleet.Knows(w.Hall) {
+	if !e.fleet.HasHall(w.Hall) {
 		log = log.WithField("upstreams", 0) // maybe a name that was mistyped
 	}
 	log.Warn("hall_evacuated")
--- a/edge/incarnations.go
+++ b/edge/incarnations.go
@@ -54,5 +54,5 @@
 // current tells whether a word is of no earlier incarnation than this box knows. One
 // that names none is taken as of the known one.
 func (e *Edge) current(upstream string, born int) bool {
-	return born == 0 || e.fleet.Current(fleet.Upstream{ID: upstream, StartedAt: int64(born)})
+	return born == 0 || e.fleet.IsCurrent(fleet.Upstream{ID: upstream, StartedAt: int64(born)})
 }
--- a/edge/leaving_test.go
+++ b/edge/leaving_test.go
@@ -144,7 +144,7 @@
 				p := newProtocol(ctx, t, tt.boxes, 4)
 				c := p.crowd
 				at := c.all[len(c.all)-1]
-				at.fleet.Leaves(time.Now(), fleet.Departure{ID: "w0", Announced: true}, "answer")
+				at.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: "w0", Announced: true}, "answer")
 				tt.meanwhile(ctx, t, c, at)
 				t.Log("all pass it by after", c.until(t, "passes it by", leftMost, func(e *Edge) bool { return !e.fleet.Takes("w0") }))
 				p.stop(end)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -237,7 +237,7 @@
 		if old && fleet.State(u.State) != fleet.Leaving {
 			continue
 		}
-		e.fleet.Told(now, fleet.Upstream{
+		e.fleet.UpdateFromPeer(now, fleet.Upstream{
 			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, ColdUntil: coldUntil(now, u.ColdMs),
 			State: fleet.State(u.State), Version: int64(u.Version), Announced: u.Said, StartedAt: int64(u.Born),
 		})
@@ -269,7 +269,7 @@
 
 func (e *Edge) hearDeparting(now time.Time, list []wire.UpstreamDeparture) {
 	for _, d := range list {
-		e.fleet.Leaves(now, fleet.Departure{ID: d.Upstream, Version: int64(d.Version), Announced: d.Said, StartedAt: int64(d.Born)}, "peer")
+		e.fleet.ApplyDeparture(now, fleet.Departure{ID: d.Upstream, Version: int64(d.Version), Announced: d.Said, StartedAt: int64(d.Born)}, "peer")
 	}
 }
 
--- a/edge/start_test.go
+++ b/edge/start_test.go
@@ -220,7 +220,7 @@
 		is.True(len(c.hubs()) <= halls*3)  // one for 40 boxes of a hall
 		const spareCalls = 2 * time.Second // two calls to a spare hub, and some
 		c.table.put("servers", "u5", string(worker(5, 1, "draining")))
-		c.until(t, "knows the departure", spareCalls, func(e *Edge) bool { return e.fleet.Leaving("u5") })
+		c.until(t, "knows the departure", spareCalls, func(e *Edge) bool { return e.fleet.IsLeaving("u5") })
 		c.table.put("op", "config", `{"version":4,"routes":[],"services":[],"limits":{"max_body_bytes":4096},"tenants":[]}`)
 		c.until(t, "knows the version", spareCalls, func(e *Edge) bool { return e.View().Version == 4 })
 		readers := 0
--- a/edge/view.go
+++ b/edge/view.go
@@ -24,7 +24,7 @@
 		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.Reads(), Keeps: e.keeps(), Hubs: []string{}, Asks: []string{},
 		Nearest: e.members.PrimaryHub(now).Name, Boxes: e.members.Count(now), Leaving: e.members.CountLeaving(), Told: e.tally.Boxes(now),
 		ConfigurationAgeMs: unknownAge, UpstreamsAgeMs: unknownAge, StoreSilentMs: unknownAge, LoadsAgeMs: unknownAge,
-		Upstreams: e.fleet.Open(), Waiting: e.admission.Waiting(), Serving: int(e.serving.Load()), Stopping: e.draining.Load(),
+		Upstreams: e.fleet.CountOpen(), Waiting: e.admission.Waiting(), Serving: int(e.serving.Load()), Stopping: e.draining.Load(),
 		Halls: e.hallWords(now), Places: e.viewPlaces(now), Quarantine: e.quarantine.View(now), Limits: e.limiter.View(now),
 		Rests: e.rest.View(now), LeavingUpstreams: e.leavingUpstreams(now),
 	}
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -34,7 +34,7 @@
 				version++
 				u := one(int(version)%upstreams, fleet.Open, version)
 				u.ColdUntil = now.Add(time.Duration(version))
-				f.Told(now, u)
+				f.UpdateFromPeer(now, u)
 				f.Serving("llm")
 			}
 		})
@@ -47,7 +47,7 @@
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			f := many(upstreams)
 			for b.Loop() {
-				f.Told(now, one(1, fleet.Open, 1))
+				f.UpdateFromPeer(now, one(1, fleet.Open, 1))
 				f.Serving("llm")
 			}
 		})
@@ -72,7 +72,7 @@
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			f := many(upstreams)
 			_, before := f.Since(0)
-			f.Leaves(now, fleet.Departure{ID: "u7", Announced: true}, "peer")
+			f.ApplyDeparture(now, fleet.Departure{ID: "u7", Announced: true}, "peer")
 			for b.Loop() {
 				f.Since(before)
 				f.Departing(now, time.Minute, before)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -219,9 +219,9 @@
 	}
 }
 
-// Started takes an upstream's own word, from elsewhere than its entry, of which
+// MarkStarted takes an upstream's own word, from elsewhere than its entry, of which
 // incarnation it is.
-func (f *Fleet) Started(now time.Time, id string, born int64, source string) {
+func (f *Fleet) MarkStarted(now time.Time, id string, born int64, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.all[id]
@@ -233,8 +233,8 @@
 	f.restart(now, e, u, source)
 }
 
-// Current tells whether an upstream is no older incarnation than the known one.
-func (f *Fleet) Current(u Upstream) bool {
+// IsCurrent tells whether an upstream is no older incarnation than the known one.
+func (f *Fleet) IsCurrent(u Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.all[u.ID]
@@ -266,9 +266,9 @@
 	}
 }
 
-// Leaves takes the news from elsewhere that an upstream leaves; source is for
+// ApplyDeparture takes the news from elsewhere that an upstream leaves; source is for
 // the log. News that is older than an entry that came back is dropped.
-func (f *Fleet) Leaves(now time.Time, d Departure, source string) {
+func (f *Fleet) ApplyDeparture(now time.Time, d Departure, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.all[d.ID]
@@ -372,9 +372,9 @@
 	return changed, f.changes
 }
 
-// Told takes another box's knowledge of an upstream, unless what is known here
+// UpdateFromPeer takes another box's knowledge of an upstream, unless what is known here
 // is newer.
-func (f *Fleet) Told(now time.Time, u Upstream) {
+func (f *Fleet) UpdateFromPeer(now time.Time, u Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, ok := f.all[u.ID]
@@ -458,8 +458,8 @@
 	return e.upstream, true
 }
 
-// Leaving tells whether an upstream leaves, or is known no longer.
-func (f *Fleet) Leaving(id string) bool {
+// IsLeaving tells whether an upstream leaves, or is known no longer.
+func (f *Fleet) IsLeaving(id string) bool {
 	u, ok := f.Get(id)
 	return !ok || u.State == Leaving
 }
@@ -495,8 +495,8 @@
 	return since, closed
 }
 
-// Knows tells whether any upstream of a hall is known.
-func (f *Fleet) Knows(hall string) bool {
+// HasHall tells whether any upstream of a hall is known.
+func (f *Fleet) HasHall(hall string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.all {
@@ -542,9 +542,9 @@
 	})
 }
 
-// Leavers returns the upstreams of a service that leave, as far as that became known
+// RecentlyLeaving returns the upstreams of a service that leave, as far as that became known
 // within a time, by id.
-func (f *Fleet) Leavers(now time.Time, service string, within time.Duration) []Upstream {
+func (f *Fleet) RecentlyLeaving(now time.Time, service string, within time.Duration) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []Upstream
@@ -569,8 +569,8 @@
 	}
 }
 
-// Open returns how many upstreams take new work.
-func (f *Fleet) Open() int {
+// CountOpen returns how many upstreams take new work.
+func (f *Fleet) CountOpen() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	open := 0
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -49,15 +49,15 @@
 	"says that it drains, no newer entry brings it back": {[]func(*fleet.Fleet){
 		func(f *fleet.Fleet) { f.Put(now, up("u", fleet.Leaving, 6)) },
 		func(f *fleet.Fleet) { f.Put(now, up("u", fleet.Open, 7)) },
-		func(f *fleet.Fleet) { f.Told(now, up("u", fleet.Open, 8)) }}, fleet.Leaving},
+		func(f *fleet.Fleet) { f.UpdateFromPeer(now, up("u", fleet.Open, 8)) }}, fleet.Leaving},
 	"its report says that it drains": {[]func(*fleet.Fleet){
-		func(f *fleet.Fleet) { f.Leaves(now, said("u"), "report") },
+		func(f *fleet.Fleet) { f.ApplyDeparture(now, said("u"), "report") },
 		func(f *fleet.Fleet) { f.Put(now, up("u", fleet.Open, 7)) }}, fleet.Leaving},
 	"an older entry told late does not bring it back": {[]func(*fleet.Fleet){
-		func(f *fleet.Fleet) { f.Leaves(now, gone("u", 6), "peer") },
+		func(f *fleet.Fleet) { f.ApplyDeparture(now, gone("u", 6), "peer") },
 		func(f *fleet.Fleet) { f.Put(now, up("u", fleet.Open, 5)) }}, fleet.Leaving},
 	"nor does an older listing": {[]func(*fleet.Fleet){
-		func(f *fleet.Fleet) { f.Leaves(now, gone("u", 6), "peer") },
+		func(f *fleet.Fleet) { f.ApplyDeparture(now, gone("u", 6), "peer") },
 		func(f *fleet.Fleet) { f.Replace(now, []fleet.Upstream{up("u", fleet.Open, 5)}, 5, false) }}, fleet.Leaving},
 	"its row goes without a word": {[]func(*fleet.Fleet){
 		func(f *fleet.Fleet) { f.Remove(now, "u", 6, false) }}, fleet.Leaving},
@@ -67,12 +67,12 @@
 	"it is back, older news of its going is told late": {[]func(*fleet.Fleet){
 		func(f *fleet.Fleet) { f.Remove(now, "u", 6, false) },
 		func(f *fleet.Fleet) { f.Put(now, up("u", fleet.Open, 9)) },
-		func(f *fleet.Fleet) { f.Leaves(now, gone("u", 6), "peer") },
-		func(f *fleet.Fleet) { f.Told(now, up("u", fleet.Leaving, 6)) },
+		func(f *fleet.Fleet) { f.ApplyDeparture(now, gone("u", 6), "peer") },
+		func(f *fleet.Fleet) { f.UpdateFromPeer(now, up("u", fleet.Leaving, 6)) },
 		func(f *fleet.Fleet) { f.Remove(now, "u", 6, false) }}, fleet.Open},
 	"it is back, a hub tells": {[]func(*fleet.Fleet){
-		func(f *fleet.Fleet) { f.Leaves(now, gone("u", 6), "peer") },
-		func(f *fleet.Fleet) { f.Told(now, up("u", fleet.Open, 9)) }}, fleet.Open},
+		func(f *fleet.Fleet) { f.ApplyDeparture(now, gone("u", 6), "peer") },
+		func(f *fleet.Fleet) { f.UpdateFromPeer(now, up("u", fleet.Open, 9)) }}, fleet.Open},
 	"its row lapses in an outage": {[]func(*fleet.Fleet){
 		func(f *fleet.Fleet) { f.Remove(now, "u", 6, true) }}, fleet.Missing},
 	"it is back after the outage": {[]func(*fleet.Fleet){
@@ -92,16 +92,16 @@
 	"missing from a listing after an outage": {[]func(*fleet.Fleet){
 		func(f *fleet.Fleet) { f.Replace(now, []fleet.Upstream{up("v", fleet.Open, 2)}, 6, true) }}, fleet.Missing},
 	"a hub knows that it leaves": {[]func(*fleet.Fleet){
-		func(f *fleet.Fleet) { f.Told(now, up("u", fleet.Leaving, 6)) }}, fleet.Leaving},
+		func(f *fleet.Fleet) { f.UpdateFromPeer(now, up("u", fleet.Leaving, 6)) }}, fleet.Leaving},
 	"a hub that lags does not bring it back": {[]func(*fleet.Fleet){
-		func(f *fleet.Fleet) { f.Leaves(now, gone("u", 6), "peer") },
-		func(f *fleet.Fleet) { f.Told(now, up("u", fleet.Open, 5)) }}, fleet.Leaving},
+		func(f *fleet.Fleet) { f.ApplyDeparture(now, gone("u", 6), "peer") },
+		func(f *fleet.Fleet) { f.UpdateFromPeer(now, up("u", fleet.Open, 5)) }}, fleet.Leaving},
 	"a hub has it back": {[]func(*fleet.Fleet){
 		func(f *fleet.Fleet) { f.Remove(now, "u", 6, true) },
-		func(f *fleet.Fleet) { f.Told(now, up("u", fleet.Open, 7)) }}, fleet.Open},
+		func(f *fleet.Fleet) { f.UpdateFromPeer(now, up("u", fleet.Open, 7)) }}, fleet.Open},
 	"a hub's grace for it is over": {[]func(*fleet.Fleet){
 		func(f *fleet.Fleet) { f.Remove(now, "u", 6, true) },
-		func(f *fleet.Fleet) { f.Told(now, up("u", fleet.Leaving, 6)) }}, fleet.Leaving},
+		func(f *fleet.Fleet) { f.UpdateFromPeer(now, up("u", fleet.Leaving, 6)) }}, fleet.Leaving},
 }
 
 // TestStates holds what is learned of one upstream against what may be sent to
@@ -132,8 +132,8 @@
 func TestForgottenUnread(t *testing.T) {
 	is := is.New(t)
 	f := fleet.New(grace)
-	f.Told(now, up("u", fleet.Open, 5))
-	f.Told(now, up("u", fleet.Leaving, 6))
+	f.UpdateFromPeer(now, up("u", fleet.Open, 5))
+	f.UpdateFromPeer(now, up("u", fleet.Leaving, 6))
 	f.Tick(now.Add(10 * time.Minute))
 	_, known := f.Get("u")
 	is.True(known)
@@ -161,7 +161,7 @@
 			f := fleet.New(grace)
 			u := up("u", fleet.Leaving, 6)
 			u.Announced = tt.said
-			f.Told(now, u)
+			f.UpdateFromPeer(now, u)
 			is.Equal(len(f.Serving("s")), 0)
 			f.Tick(now.Add(tt.after))
 			f.Put(now.Add(tt.after), up("u", fleet.Open, 7))
@@ -185,7 +185,7 @@
 		f.Put(now, up("u", fleet.Open, 5))
 		f.Put(now, up("u", fleet.Leaving, 6))
 		f.Remove(now, "u", 7, false)
-		f.Leaves(now, gone("u", 7), "peer")
+		f.ApplyDeparture(now, gone("u", 7), "peer")
 		synctest.Wait()
 		is.Equal(told, 1)
 		f.Put(now, up("v", fleet.Open, 5))
@@ -208,7 +208,7 @@
 	is.Equal(len(none), 0)
 	is.Equal(same, at)
 	f.Put(now, up("u", fleet.Open, 6)) // nothing new
-	f.Leaves(now, gone("v", 7), "peer")
+	f.ApplyDeparture(now, gone("v", 7), "peer")
 	changed, later := f.Since(at)
 	is.Equal(len(changed), 1)
 	is.Equal(changed[0].State, fleet.Leaving)
@@ -218,7 +218,7 @@
 	f.Tick(now.Add(2 * time.Minute))
 	_, ok := f.Get("v")
 	is.True(!ok)
-	f.Told(now, up("v", fleet.Leaving, 7))
+	f.UpdateFromPeer(now, up("v", fleet.Leaving, 7))
 	_, ok = f.Get("v")
 	is.True(!ok)
 }
@@ -244,14 +244,14 @@
 		"an entry that leaves":      {func(f *fleet.Fleet) { f.Put(now, leaving("a", 2)) }, []string{"b"}},
 		"an entry is gone":          {func(f *fleet.Fleet) { f.Remove(now, "a", 2, false) }, []string{"b"}},
 		"a listing":                 {func(f *fleet.Fleet) { f.Replace(now, []fleet.Upstream{open("c", 2)}, 2, false) }, []string{"c"}},
-		"a hub's word":              {func(f *fleet.Fleet) { f.Told(now, leaving("b", 2)) }, []string{"a"}},
-		"a hub's word of another":   {func(f *fleet.Fleet) { f.Told(now, open("c", 2)) }, []string{"a", "b", "c"}},
-		"a peer's word":             {func(f *fleet.Fleet) { f.Leaves(now, fleet.Departure{ID: "a", Announced: true}, "peer") }, []string{"b"}},
+		"a hub's word":              {func(f *fleet.Fleet) { f.UpdateFromPeer(now, leaving("b", 2)) }, []string{"a"}},
+		"a hub's word of another":   {func(f *fleet.Fleet) { f.UpdateFromPeer(now, open("c", 2)) }, []string{"a", "b", "c"}},
+		"a peer's word":             {func(f *fleet.Fleet) { f.ApplyDeparture(now, fleet.Departure{ID: "a", Announced: true}, "peer") }, []string{"b"}},
 		"its hall is closed":        {func(f *fleet.Fleet) { f.CloseHall(now, "leith") }, nil},
 		"another hall is closed":    {func(f *fleet.Fleet) { f.CloseHall(now, "gorgie") }, []string{"a", "b"}},
 		"its hall is open again":    {func(f *fleet.Fleet) { f.CloseHall(now, "leith"); f.OpenHall("leith", now) }, []string{"a", "b"}},
 		"an entry in a closed hall": {func(f *fleet.Fleet) { f.CloseHall(now, "leith"); f.Put(now, open("c", 2)) }, nil},
-		"a hub's word of one there": {func(f *fleet.Fleet) { f.CloseHall(now, "leith"); f.Told(now, open("c", 2)) }, nil},
+		"a hub's word of one there": {func(f *fleet.Fleet) { f.CloseHall(now, "leith"); f.UpdateFromPeer(now, open("c", 2)) }, nil},
 		"a listing of a closed hall": {func(f *fleet.Fleet) {
 			f.CloseHall(now, "leith")
 			f.Replace(now, []fleet.Upstream{open("a", 2)}, 2, false)
@@ -292,8 +292,8 @@
 		"it never said so":             {func(*fleet.Fleet) {}, time.Time{}},
 		"its entry says so":            {func(f *fleet.Fleet) { f.Put(now, cold(6, later)) }, later},
 		"an entry that is told late":   {func(f *fleet.Fleet) { f.Put(now, cold(4, later)) }, time.Time{}},
-		"a hub says so":                {func(f *fleet.Fleet) { f.Told(now, cold(6, later)) }, later},
-		"a hub that knows less":        {func(f *fleet.Fleet) { f.Told(now, cold(4, later)) }, time.Time{}},
+		"a hub says so":                {func(f *fleet.Fleet) { f.UpdateFromPeer(now, cold(6, later)) }, later},
+		"a hub that knows less":        {func(f *fleet.Fleet) { f.UpdateFromPeer(now, cold(4, later)) }, time.Time{}},
 		"it says that it is warm":      {func(f *fleet.Fleet) { f.Put(now, cold(6, later)); f.Put(now, cold(7, time.Time{})) }, time.Time{}},
 		"its hall is taken back":       {func(f *fleet.Fleet) { f.CloseHall(now, "leith"); f.OpenHall("leith", latest) }, latest},
 		"and it says that it is warm":  {func(f *fleet.Fleet) { f.OpenHall("leith", latest); f.Put(now, cold(6, time.Time{})) }, time.Time{}},
@@ -331,11 +331,11 @@
 // told is a hub's word.
 func told(u fleet.Upstream) func(*fleet.Fleet) {
 	u.Announced = u.State == fleet.Leaving
-	return func(f *fleet.Fleet) { f.Told(now, u) }
+	return func(f *fleet.Fleet) { f.UpdateFromPeer(now, u) }
 }
 
 func leaves(d fleet.Departure) func(*fleet.Fleet) {
-	return func(f *fleet.Fleet) { f.Leaves(now, d, "peer") }
+	return func(f *fleet.Fleet) { f.ApplyDeparture(now, d, "peer") }
 }
 
 // incarnations are words of one upstream, of incarnation 100 and version 5 before.
@@ -369,11 +369,11 @@
 	"an older one without an incarnation":  {[]func(*fleet.Fleet){put(up("u", fleet.Open, 4))}, known{100, fleet.Open, false}, 0},
 	"news without an incarnation":          {[]func(*fleet.Fleet){leaves(said("u"))}, known{100, fleet.Leaving, true}, 0},
 	"its report tells of a newer one": {[]func(*fleet.Fleet){
-		put(born(100, up("u", fleet.Leaving, 6))), func(f *fleet.Fleet) { f.Started(now, "u", 200, "report") }}, known{200, fleet.Open, false}, 1},
+		put(born(100, up("u", fleet.Leaving, 6))), func(f *fleet.Fleet) { f.MarkStarted(now, "u", 200, "report") }}, known{200, fleet.Open, false}, 1},
 	"its report is late": {[]func(*fleet.Fleet){
-		put(born(200, up("u", fleet.Leaving, 6))), func(f *fleet.Fleet) { f.Started(now, "u", 100, "report") }}, known{200, fleet.Leaving, true}, 1},
+		put(born(200, up("u", fleet.Leaving, 6))), func(f *fleet.Fleet) { f.MarkStarted(now, "u", 100, "report") }}, known{200, fleet.Leaving, true}, 1},
 	"the old one's row goes after its report told": {[]func(*fleet.Fleet){
-		func(f *fleet.Fleet) { f.Started(now, "u", 200, "report") }, put(born(100, up("u", fleet.Leaving, 7))),
+		func(f *fleet.Fleet) { f.MarkStarted(now, "u", 200, "report") }, put(born(100, up("u", fleet.Leaving, 7))),
 		func(f *fleet.Fleet) { f.Remove(now, "u", 4, false) }}, known{200, fleet.Open, false}, 1},
 }
 
@@ -394,8 +394,8 @@
 			is.Equal(known{u.StartedAt, u.State, u.Announced}, tt.want)
 			is.Equal(restarts, tt.restarts)
 			is.Equal(len(f.Serving("s")) == 1, tt.want.State != fleet.Leaving)
-			is.True(!f.Current(born(99, up("u", fleet.Open, 5))))
-			is.True(f.Current(born(tt.want.Born, u)) && f.Current(born(0, u)))
+			is.True(!f.IsCurrent(born(99, up("u", fleet.Open, 5))))
+			is.True(f.IsCurrent(born(tt.want.Born, u)) && f.IsCurrent(born(0, u)))
 		})
 	}
 }
@@ -420,7 +420,7 @@
 	f := fleet.New(grace)
 	f.Put(now, born(100, up("u", fleet.Open, 5)))
 	f.Remove(now, "u", 6, false)
-	f.Leaves(now, fleet.Departure{ID: "u", Version: 7, StartedAt: 200}, "peer")
+	f.ApplyDeparture(now, fleet.Departure{ID: "u", Version: 7, StartedAt: 200}, "peer")
 	f.Tick(now.Add(time.Minute))
 	_, ok := f.Get("u")
 	is.True(!ok)
@@ -453,7 +453,7 @@
 				f.Tick(now)
 			}
 			f.Tick(end)
-			change, known := f.At(end.Add(-tt.ago))
+			change, known := f.ChangeAt(end.Add(-tt.ago))
 			is.Equal(known, tt.known)
 			if !known {
 				return
@@ -492,7 +492,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := many(20)
-			f.Leaves(now, gone("u5", 3), "peer")
+			f.ApplyDeparture(now, gone("u5", 3), "peer")
 			before := f.Serving("llm")
 			tt.word(f)
 			after := f.Serving("llm")
@@ -540,13 +540,13 @@
 	id := fmt.Sprint("u", i)
 	switch random.IntN(6) {
 	case 0:
-		f.Told(at, one(i, []fleet.State{fleet.Open, fleet.Leaving, fleet.Missing}[random.IntN(3)], version))
+		f.UpdateFromPeer(at, one(i, []fleet.State{fleet.Open, fleet.Leaving, fleet.Missing}[random.IntN(3)], version))
 	case 1:
 		u := one(i, fleet.Open, version)
 		u.Service = []string{"llm", "plain"}[random.IntN(2)]
 		f.Put(at, born(int64(step/500), u))
 	case 2:
-		f.Leaves(at, gone(id, version), "peer")
+		f.ApplyDeparture(at, gone(id, version), "peer")
 	case 3:
 		f.Remove(at, id, version, random.IntN(2) == 0)
 	case 4:
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// At returns the number of a change after which all came that became known since a
+// ChangeAt returns the number of a change after which all came that became known since a
 // time; false where that is too long ago.
-func (f *Fleet) At(t time.Time) (change int, known bool) {
+func (f *Fleet) ChangeAt(t time.Time) (change int, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := len(f.history) - 1; i >= 0; i-- {
--- a/liveness/liveness_test.go
+++ b/liveness/liveness_test.go
@@ -53,7 +53,7 @@
 				f := fleet.New(time.Second)
 				f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
 				if tt.leaves {
-					f.Leaves(time.Now(), fleet.Departure{ID: "e1", Version: 2}, "test")
+					f.ApplyDeparture(time.Now(), fleet.Departure{ID: "e1", Version: 2}, "test")
 				}
 				l := liveness.New(tt.prober, f)
 				gone, cancel := context.WithCancel(t.Context())
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -203,7 +203,7 @@
 // Leaving returns what runs at the upstreams of a service that leave.
 func (c *Picker) Leaving(now time.Time, service string) upstreamload.Load {
 	var sum upstreamload.Load
-	for _, u := range c.Fleet.Leavers(now, service, leavingFor) {
+	for _, u := range c.Fleet.RecentlyLeaving(now, service, leavingFor) {
 		sum = sum.Plus(c.Tally.Load(now, u.ID))
 	}
 	return sum
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -122,8 +122,8 @@
 	}
 	w.rests.Asked(time.Now(), u, word.Rest)
 	w.limits.Heard(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
-	w.fleet.Started(time.Now(), u.ID, word.Born, sourceReport)
+	w.fleet.MarkStarted(time.Now(), u.ID, word.Born, sourceReport)
 	if word.Leaves {
-		w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Announced: true, StartedAt: cmp.Or(word.Born, u.StartedAt)}, sourceReport)
+		w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: u.ID, Announced: true, StartedAt: cmp.Or(word.Born, u.StartedAt)}, sourceReport)
 	}
 }
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -92,7 +92,7 @@
 				f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
 				f.Confirm(time.Now())
 				if tt.left {
-					f.Leaves(time.Now(), fleet.Departure{ID: "u", Announced: true}, "entry")
+					f.ApplyDeparture(time.Now(), fleet.Departure{ID: "u", Announced: true}, "entry")
 				}
 				runs := running{"u": u}
 				if tt.idle {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -426,7 +426,7 @@
 		forget()
 		unsent()
 	}
-	if !r.Fleet.Current(u) { // the news came before Sent, which it would have cut
+	if !r.Fleet.IsCurrent(u) { // the news came before Sent, which it would have cut
 		leave()
 		cancel(nil)
 		entry.End()
@@ -493,10 +493,10 @@
 	if !answer.Leaves {
 		return
 	}
-	if !r.Fleet.Leaving(u.ID) {
+	if !r.Fleet.IsLeaving(u.ID) {
 		j.log.WithFields(logrus.Fields{"upstream": u.ID, "born": u.StartedAt, "status": answer.Status}).Info("leaving_heard")
 	}
-	r.Fleet.Leaves(now, fleet.Departure{ID: u.ID, Announced: true, StartedAt: u.StartedAt}, sourceAnswer)
+	r.Fleet.ApplyDeparture(now, fleet.Departure{ID: u.ID, Announced: true, StartedAt: u.StartedAt}, sourceAnswer)
 }
 
 // RestartedError says that an upstream has started again, and lost what it had.
@@ -507,7 +507,7 @@
 
 // record notes how an upstream fared, unless it has started again since.
 func (r *Relay) record(u fleet.Upstream, failed bool) {
-	if r.Fleet.Current(u) {
+	if r.Fleet.IsCurrent(u) {
 		r.Reliability.Record(time.Now(), u.ID, failed)
 	}
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -980,9 +980,9 @@
 // after a request was placed there that it has started again, or takes nothing new.
 func TestNewsBeforeSent(t *testing.T) {
 	tests := map[string]func(w *world, u fleet.Upstream){
-		"it has started again": func(w *world, u fleet.Upstream) { w.fleet.Started(time.Now(), u.ID, u.StartedAt+1, "report") },
+		"it has started again": func(w *world, u fleet.Upstream) { w.fleet.MarkStarted(time.Now(), u.ID, u.StartedAt+1, "report") },
 		"it leaves": func(w *world, u fleet.Upstream) {
-			w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Announced: true}, "answer")
+			w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: u.ID, Announced: true}, "answer")
 		},
 		"its hall is evacuated": func(w *world, u fleet.Upstream) { w.fleet.CloseHall(time.Now(), u.Hall) },
 	}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -281,7 +281,7 @@
 			at = h.Source
 			continue
 		}
-		if !r.Fleet.Current(at) {
+		if !r.Fleet.IsCurrent(at) {
 			f.job.log.WithField("upstream", at.ID).Warn("not_gone_on_restarted")
 			at = h.Source
 			continue
