--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -628,7 +628,7 @@
 		is.NoErr(err)
 		hub.belief.Confirm(time.Now())
 		time.Sleep(900 * time.Millisecond)
-		e.Hear(hub.Heard(e.Say(hub.members.Self())), time.Now())
+		e.HandleAnswer(hub.Heard(e.ReportFor(hub.members.Self())), time.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(e.View().Version, 3)
 		is.True(e.View().ConfigurationAgeMs >= 1000 && e.View().ConfigurationAgeMs < 1010)
@@ -656,7 +656,7 @@
 					e.unheard("keeper")
 					time.Sleep(tt.cut)
 				}
-				e.Hear(wire.GossipAnswer{Sender: wire.BoxRecord{Box: "hub", Address: "hub:1"}, Heard: []wire.BoxHeard{{Box: "keeper", AgoMs: int(tt.ago.Milliseconds())}}}, time.Now())
+				e.HandleAnswer(wire.GossipAnswer{Sender: wire.BoxRecord{Box: "hub", Address: "hub:1"}, Heard: []wire.BoxHeard{{Box: "keeper", AgoMs: int(tt.ago.Milliseconds())}}}, time.Now())
 				is.New(t).Equal(e.hears("keeper"), tt.want)
 			})
 		})
@@ -750,13 +750,13 @@
 	}
 	for range calls {
 		began := time.Now()
-		say := e.Say(hub.members.Self())
+		say := e.ReportFor(hub.members.Self())
 		size := encoded(b, say)
 		said := time.Now()
 		answer := hub.Heard(say)
 		size += encoded(b, answer)
 		answered := time.Now()
-		e.Hear(answer, began)
+		e.HandleAnswer(answer, began)
 		at.took += answered.Sub(said)
 		box.took += said.Sub(began) + time.Since(answered)
 		for _, s := range []*second{box, at} {
--- a/edge/fleet_test.go
+++ b/edge/fleet_test.go
@@ -42,7 +42,7 @@
 				is := is.New(t)
 				e := alone(t, "hub", "leith", true)
 				if !tt.blank {
-					e.Hear(wire.GossipAnswer{Sender: record("far", "gorgie", true), FleetAt: 1, Upstreams: rows("open", 1)}, time.Now())
+					e.HandleAnswer(wire.GossipAnswer{Sender: record("far", "gorgie", true), FleetAt: 1, Upstreams: rows("open", 1)}, time.Now())
 				}
 				for range tt.before {
 					e.Heard(wire.Gossip{Sender: record("other", "leith", false), WholeFleet: true})
@@ -66,22 +66,24 @@
 	e := alone(t, "b1", "leith", false)
 	near, far := record("near", "leith", true), record("far", "gorgie", true)
 	known := func() bool { return e.View().UpstreamsAgeMs >= 0 }
-	wants := func(hub wire.BoxRecord) bool { return e.Say(members.Box{Name: hub.Box, Hall: hub.Hall}).WholeFleet }
+	wants := func(hub wire.BoxRecord) bool {
+		return e.ReportFor(members.Box{Name: hub.Box, Hall: hub.Hall}).WholeFleet
+	}
 	e.Heard(wire.Gossip{Sender: near})
 	e.Heard(wire.Gossip{Sender: far})
 	is.True(wants(near))
 	is.True(!wants(far)) // the nearest may still answer
-	e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 5, FleetFromNow: true}, time.Now())
+	e.HandleAnswer(wire.GossipAnswer{Sender: far, FleetAt: 5, FleetFromNow: true}, time.Now())
 	is.True(!known())
-	e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 6, Upstreams: rows("open", 1)[:1]}, time.Now())
+	e.HandleAnswer(wire.GossipAnswer{Sender: far, FleetAt: 6, Upstreams: rows("open", 1)[:1]}, time.Now())
 	is.True(!known()) // one upstream of those that there are
-	e.Hear(wire.GossipAnswer{Sender: near, FleetLater: true}, time.Now())
+	e.HandleAnswer(wire.GossipAnswer{Sender: near, FleetLater: true}, time.Now())
 	is.True(!known())
 	is.True(time.Since(e.Promised()) < waitMost)
-	e.Hear(wire.GossipAnswer{Sender: near, FleetAt: 9, Upstreams: rows("open", 1)}, time.Now())
+	e.HandleAnswer(wire.GossipAnswer{Sender: near, FleetAt: 9, Upstreams: rows("open", 1)}, time.Now())
 	is.True(known())
 	is.Equal(e.View().Upstreams, 2)
-	is.Equal(e.Say(members.Box{Name: far.Box}).FleetAfter, 6)
+	is.Equal(e.ReportFor(members.Box{Name: far.Box}).FleetAfter, 6)
 }
 
 // TestWantsFleet shows that another hub is asked for the whole fleet while the
@@ -91,12 +93,12 @@
 		is := is.New(t)
 		e := alone(t, "b1", "leith", false)
 		near, far := record("near", "leith", true), record("far", "gorgie", true)
-		e.Hear(wire.GossipAnswer{Sender: near}, time.Now())
-		e.Hear(wire.GossipAnswer{Sender: far}, time.Now())
-		wants := func() bool { return e.Say(members.Box{Name: far.Box, Hall: far.Hall}).WholeFleet }
+		e.HandleAnswer(wire.GossipAnswer{Sender: near}, time.Now())
+		e.HandleAnswer(wire.GossipAnswer{Sender: far}, time.Now())
+		wants := func() bool { return e.ReportFor(members.Box{Name: far.Box, Hall: far.Hall}).WholeFleet }
 		is.True(!wants())
 		time.Sleep(time.Second)
 		is.True(wants())
-		is.True(alone(t, "hub", "leith", true).Say(members.Box{Name: far.Box}).WholeFleet) // a hub is told by all others
+		is.True(alone(t, "hub", "leith", true).ReportFor(members.Box{Name: far.Box}).WholeFleet) // a hub is told by all others
 	})
 }
--- a/edge/gossip_test.go
+++ b/edge/gossip_test.go
@@ -73,7 +73,7 @@
 					e.Heard(wire.Gossip{Sender: record("strong too", "leith", true)})
 				}
 				for i := range tt.silent {
-					e.Hear(wire.GossipAnswer{Sender: record(fmt.Sprint("s", i), "leith", false)}, time.Now())
+					e.HandleAnswer(wire.GossipAnswer{Sender: record(fmt.Sprint("s", i), "leith", false)}, time.Now())
 				}
 				e.Heard(wire.Gossip{Sender: record("b1", "leith", false), Tallies: []wire.UpstreamTally{{Upstream: "u1", Requests: 2, Tokens: 500}}})
 				e.IsHub() // as it looks all the while
@@ -113,10 +113,10 @@
 				for _, b := range tt.hubs {
 					e.Heard(wire.Gossip{Sender: b})
 				}
-				e.Hear(wire.GossipAnswer{Sender: tt.hubs[0], Tells: wire.GossipScopeAll}, time.Now())
+				e.HandleAnswer(wire.GossipAnswer{Sender: tt.hubs[0], Tells: wire.GossipScopeAll}, time.Now())
 				time.Sleep(tt.told)
 				hub := members.Box{Name: tt.hub.Box, Hall: tt.hub.Hall}
-				is.New(t).Equal(e.Say(hub).Wants, tt.want)
+				is.New(t).Equal(e.ReportFor(hub).Wants, tt.want)
 			})
 		})
 	}
@@ -128,9 +128,9 @@
 	is := is.New(t)
 	e := alone(t, "b1", "leith", false)
 	far, near := record("far", "gorgie", true), record("near", "leith", true)
-	said := func(hub wire.BoxRecord) int { return len(e.Say(members.Box{Name: hub.Box}).Departing) }
+	said := func(hub wire.BoxRecord) int { return len(e.ReportFor(members.Box{Name: hub.Box}).Departing) }
 	answers := func(hub wire.BoxRecord, state string, version int) {
-		e.Hear(wire.GossipAnswer{Sender: hub, Tells: wire.GossipScopeNone, FleetAt: version, Upstreams: rows(state, version)}, time.Now())
+		e.HandleAnswer(wire.GossipAnswer{Sender: hub, Tells: wire.GossipScopeNone, FleetAt: version, Upstreams: rows(state, version)}, time.Now())
 	}
 	is.Equal(said(far), 0)
 	answers(far, "open", 1)
@@ -151,9 +151,9 @@
 	is := is.New(t)
 	e := alone(t, "b1", "leith", false)
 	hub := record("near", "leith", true)
-	e.Hear(wire.GossipAnswer{Sender: hub, FleetAt: 1, Upstreams: rows("open", 1)[:1]}, time.Now())
-	e.Hear(wire.GossipAnswer{Sender: hub, FleetAt: 2, FleetAgeMs: 9000, Upstreams: rows("leaving", 2)}, time.Now())
-	say := e.Say(members.Box{Name: hub.Box, Hall: "leith"})
+	e.HandleAnswer(wire.GossipAnswer{Sender: hub, FleetAt: 1, Upstreams: rows("open", 1)[:1]}, time.Now())
+	e.HandleAnswer(wire.GossipAnswer{Sender: hub, FleetAt: 2, FleetAgeMs: 9000, Upstreams: rows("leaving", 2)}, time.Now())
+	say := e.ReportFor(members.Box{Name: hub.Box, Hall: "leith"})
 	is.Equal(fmt.Sprint(say.Departing), fmt.Sprint([]wire.UpstreamDeparture{{Upstream: "u1", Version: 2}}))
 	is.Equal(say.FleetAfter, 1) // the rest is told again once it is young
 }
@@ -165,7 +165,7 @@
 	e := alone(t, "b1", "leith", false)
 	is.Equal(e.Heard(wire.Gossip{}).StoreSilentMs, int(time.Hour.Milliseconds())) // never heard of
 	tells := func(hub string, ms int, ago time.Duration) {
-		e.Hear(wire.GossipAnswer{Sender: record(hub, "leith", true), StoreSilentMs: ms}, time.Now().Add(-ago))
+		e.HandleAnswer(wire.GossipAnswer{Sender: record(hub, "leith", true), StoreSilentMs: ms}, time.Now().Add(-ago))
 	}
 	tells("lost", 900000, 0)
 	tells("near", 100000, 0)
@@ -219,7 +219,7 @@
 				near, far := record("near", "leith", true), record("far", "gorgie", true)
 				e.Heard(wire.Gossip{Sender: near})
 				e.Heard(wire.Gossip{Sender: far})
-				answers := func(a wire.GossipAnswer) { e.Hear(a, time.Now()) }
+				answers := func(a wire.GossipAnswer) { e.HandleAnswer(a, time.Now()) }
 				answers(wire.GossipAnswer{Sender: near, FleetAt: 1, FleetAgeMs: 800, Upstreams: rows("open", 1)[:1]})
 				answers(wire.GossipAnswer{Sender: far, FleetAt: 9, FleetFromNow: true})
 				time.Sleep(tt.later)
@@ -227,7 +227,7 @@
 				time.Sleep(time.Second) // without a word of the nearest
 				answers(wire.GossipAnswer{Sender: far, FleetAt: 9, FleetAgeMs: 800})
 				is.Equal(e.View().UpstreamsAgeMs, int(tt.age.Milliseconds()))
-				say := e.Say(members.Box{Name: "far", Hall: "gorgie"})
+				say := e.ReportFor(members.Box{Name: "far", Hall: "gorgie"})
 				is.Equal(say.WholeFleet && say.FleetAfter == 0, tt.whole)
 				answers(wire.GossipAnswer{Sender: far, FleetAt: 9, FleetAgeMs: 800, Upstreams: rows("open", 1)})
 				is.Equal(e.View().UpstreamsAgeMs, 800)
@@ -287,7 +287,7 @@
 				e := alone(t, "b1", "leith", false)
 				is.True(e.IsHub())
 				time.Sleep(1250 * time.Millisecond) // a hub knows then
-				e.Hear(wire.GossipAnswer{Sender: record("hub", "leith", true), Crowd: []wire.HallBoxes{{Hall: "leith", Boxes: 250}}}, time.Now())
+				e.HandleAnswer(wire.GossipAnswer{Sender: record("hub", "leith", true), Crowd: []wire.HallBoxes{{Hall: "leith", Boxes: 250}}}, time.Now())
 				a := e.Heard(wire.Gossip{Sender: record("hub", "leith", true), Wants: tt.wants})
 				is.Equal(a.Crowd, []wire.HallBoxes{{Hall: "leith", Boxes: tt.boxes}})
 			})
--- a/edge/halls_test.go
+++ b/edge/halls_test.go
@@ -130,9 +130,9 @@
 			is := is.New(t)
 			e := alone(t, "b1", "leith", false)
 			hubs := []wire.BoxRecord{record("near", "leith", true), record("far", "gorgie", true)}
-			e.Hear(wire.GossipAnswer{Sender: hubs[0], FleetAt: 1, Upstreams: rows("open", 1)}, time.Now())
+			e.HandleAnswer(wire.GossipAnswer{Sender: hubs[0], FleetAt: 1, Upstreams: rows("open", 1)}, time.Now())
 			for i, words := range tt.words {
-				e.Hear(wire.GossipAnswer{Sender: hubs[i%2], FleetAt: 1, Halls: words}, time.Now())
+				e.HandleAnswer(wire.GossipAnswer{Sender: hubs[i%2], FleetAt: 1, Halls: words}, time.Now())
 			}
 			is.Equal(e.View().Upstreams, tt.takes)
 		})
--- a/edge/incarnations_test.go
+++ b/edge/incarnations_test.go
@@ -34,7 +34,7 @@
 				e := alone(t, "hub", "leith", true)
 				list := rows("open", 1)
 				list[0].Born = 100
-				e.Hear(wire.GossipAnswer{Sender: record("far", "gorgie", true), FleetAt: 1, Upstreams: list}, time.Now())
+				e.HandleAnswer(wire.GossipAnswer{Sender: record("far", "gorgie", true), FleetAt: 1, Upstreams: list}, time.Now())
 				e.IsHub() // as it looks all the while
 				time.Sleep(2 * time.Second)
 				e.Heard(wire.Gossip{
@@ -67,7 +67,7 @@
 		list := rows("open", 1)
 		list[0].Born = 100
 		far := record("far", "gorgie", true)
-		e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 1, Upstreams: list}, time.Now())
+		e.HandleAnswer(wire.GossipAnswer{Sender: far, FleetAt: 1, Upstreams: list}, time.Now())
 		e.IsHub() // as it looks all the while
 		time.Sleep(2 * time.Second)
 		e.Heard(wire.Gossip{
@@ -76,7 +76,7 @@
 			Failures: []wire.UpstreamFailures{{Upstream: "u1", Failed: 300, All: 300, Born: 100}},
 		})
 		list[0].Born, list[0].State = 200, "open"
-		e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 2, Upstreams: list}, time.Now())
+		e.HandleAnswer(wire.GossipAnswer{Sender: far, FleetAt: 2, Upstreams: list}, time.Now())
 		a := e.Heard(wire.Gossip{Sender: record("b2", "leith", false), Wants: wire.GossipScopeAll})
 		is.Equal(a.Tallies, []wire.UpstreamTally{{Upstream: "u2", Requests: 1}})
 		is.Equal(len(a.Failures), 0)
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -293,12 +293,12 @@
 				keeper, hub := hubs[0], hubs[1]
 				boxes := slices.DeleteFunc(slices.Clone(c.all), func(e *Edge) bool { return e.IsHub() })[:39]
 				for _, e := range boxes {
-					g := e.Say(hub.members.Self())
+					g := e.ReportFor(hub.members.Self())
 					g.Counts = true
 					hub.Heard(g)
 				}
 				time.Sleep(tt.silent)
-				keeper.Heard(hub.Say(keeper.members.Self()))
+				keeper.Heard(hub.ReportFor(keeper.members.Self()))
 				time.Sleep(tt.parted)
 				now := time.Now()
 				is.New(t).Equal(keeper.tally.Heard(now, reachWithin)+keeper.tally.HeardBehind(now, reachLeg), tt.heard)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -46,8 +46,8 @@
 	limits      newsMark
 }
 
-// Say implements gossip.Box.
-func (e *Edge) Say(hub members.Box) wire.Gossip {
+// ReportFor implements gossip.Box.
+func (e *Edge) ReportFor(hub members.Box) wire.Gossip {
 	now := time.Now()
 	version := 0
 	if table, _, _ := e.belief.Now(now); table != nil {
@@ -151,8 +151,8 @@
 	return wire.GossipScopeNone
 }
 
-// Hear implements gossip.Box.
-func (e *Edge) Hear(a wire.GossipAnswer, sent time.Time) {
+// HandleAnswer implements gossip.Box.
+func (e *Edge) HandleAnswer(a wire.GossipAnswer, sent time.Time) {
 	now := time.Now()
 	e.heardBox(now, a.Sender, a.Leaving)
 	e.answered(now, a.Sender)
--- a/edge/speeds_test.go
+++ b/edge/speeds_test.go
@@ -51,15 +51,15 @@
 					stream.Event(time.Now(), false)
 				}
 				to := members.Box{Name: "hub", Hall: "leith", Address: "hub:1"}
-				said := box.Say(to)
+				said := box.ReportFor(to)
 				is.Equal(said.WantsSpeeds, tt.box)
-				is.Equal(box.Say(to).WantsSpeeds, false) // told just now
+				is.Equal(box.ReportFor(to).WantsSpeeds, false) // told just now
 				time.Sleep(speedsEvery)
-				is.Equal(box.Say(to).WantsSpeeds, tt.box)
+				is.Equal(box.ReportFor(to).WantsSpeeds, tt.box)
 				hub.Heard(said)
-				asked := asker.Say(to)
+				asked := asker.ReportFor(to)
 				asked.Wants = wire.GossipScopeAll
-				asker.Hear(hub.Heard(asked), time.Now())
+				asker.HandleAnswer(hub.Heard(asked), time.Now())
 				known := asker.speeds.Of(time.Now(), engine).Alone() > 0
 				is.Equal(known, tt.hub && tt.box && tt.asker)
 			})
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -46,12 +46,12 @@
 	return "peer " + e.Address + ": " + e.Answered + " answers in place of " + e.Asked
 }
 
-// Box makes gossip and takes it.
-type Box interface {
-	// Say returns what to tell a hub.
-	Say(hub members.Box) wire.Gossip
-	// Hear takes a hub's answer to a call sent at a time.
-	Hear(a wire.GossipAnswer, sent time.Time)
+// Handler makes gossip and takes it.
+type Handler interface {
+	// ReportFor returns what to tell a hub.
+	ReportFor(hub members.Box) wire.Gossip
+	// HandleAnswer takes a hub's answer to a call sent at a time.
+	HandleAnswer(a wire.GossipAnswer, sent time.Time)
 }
 
 // Peers calls other boxes.
@@ -65,7 +65,7 @@
 type Gossip struct {
 	members *members.Members
 	peers   Peers
-	box     Box
+	box     Handler
 	timer   tasks.Timer
 	log     *logrus.Entry
 
@@ -75,7 +75,7 @@
 }
 
 // New returns gossip that Run passes on.
-func New(m *members.Members, p Peers, box Box, t tasks.Timer, log *logrus.Entry) *Gossip {
+func New(m *members.Members, p Peers, box Handler, t tasks.Timer, log *logrus.Entry) *Gossip {
 	return &Gossip{members: m, peers: p, box: box, timer: t, log: log, lost: map[string]bool{}, answers: map[string]bool{}}
 }
 
@@ -106,7 +106,7 @@
 		defer cancel()
 		var answer wire.GossipAnswer
 		sent := time.Now()
-		err := g.peers.Repeat(call, b.Address, peer.Gossip, g.box.Say(b), &answer)
+		err := g.peers.Repeat(call, b.Address, peer.Gossip, g.box.ReportFor(b), &answer)
 		if err == nil && answer.Sender.Box != b.Name {
 			err = &StrangerError{Address: b.Address, Asked: b.Name, Answered: answer.Sender.Box}
 		}
@@ -115,7 +115,7 @@
 			silent = 0
 			g.members.MarkAnswered(b.Name)
 			g.heard(b)
-			g.box.Hear(answer, sent)
+			g.box.HandleAnswer(answer, sent)
 			return
 		}
 		if ctx.Err() != nil {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -112,9 +112,9 @@
 	heard map[string]time.Time
 }
 
-func (*box) Say(members.Box) wire.Gossip { return wire.Gossip{} }
+func (*box) ReportFor(members.Box) wire.Gossip { return wire.Gossip{} }
 
-func (b *box) Hear(a wire.GossipAnswer, _ time.Time) {
+func (b *box) HandleAnswer(a wire.GossipAnswer, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.heard[a.Sender.Box] = time.Now()
