--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -35,15 +35,15 @@
 	failAfter = 2
 )
 
-// StrangerError says that another box answered at an address than was asked there. It
+// WrongBoxError says that another box answered at an address than was asked there. It
 // may be of another fleet, so that nothing that it knows holds here.
-type StrangerError struct {
-	Address, Asked, Answered string
+type WrongBoxError struct {
+	Address, Expected, Actual string
 }
 
 // Error implements error.
-func (e *StrangerError) Error() string {
-	return "peer " + e.Address + ": " + e.Answered + " answers in place of " + e.Asked
+func (e *WrongBoxError) Error() string {
+	return "peer " + e.Address + ": " + e.Actual + " answers in place of " + e.Expected
 }
 
 // Handler makes gossip and takes it.
@@ -108,7 +108,7 @@
 		sent := time.Now()
 		err := g.peers.Repeat(call, b.Address, peer.Gossip, g.box.ReportFor(b), &answer)
 		if err == nil && answer.Sender.Box != b.Name {
-			err = &StrangerError{Address: b.Address, Asked: b.Name, Answered: answer.Sender.Box}
+			err = &WrongBoxError{Address: b.Address, Expected: b.Name, Actual: answer.Sender.Box}
 		}
 		g.note(b.Name, err == nil)
 		if err == nil {
@@ -122,7 +122,7 @@
 			return
 		}
 		silent++
-		var stranger *StrangerError
+		var stranger *WrongBoxError
 		if peer.Refused(err) || errors.As(err, &stranger) || silent >= failAfter {
 			g.peers.Forget(b.Address)
 			g.members.MarkFailed(time.Now(), b.Name)
