--- a/edge/edge.go
+++ b/edge/edge.go
@@ -411,7 +411,7 @@
 }
 
 // hallChanged takes the news that a hall is evacuated, or that this is taken back.
-func (e *Edge) hallChanged(w halls.Word, source string) {
+func (e *Edge) hallChanged(w halls.Status, source string) {
 	if w.Evacuated {
 		e.fleet.CloseHall(w.Since, w.Hall)
 	} else {
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -164,7 +164,7 @@
 	}
 	e.hearCrowd(now, a, sent)
 	for _, w := range a.Halls { // before the configuration, with which they are known
-		e.halls.Take(now, halls.Word{Hall: w.Hall, Evacuated: w.Evacuated, Version: int64(w.Version)}, a.Sender.Box)
+		e.halls.Update(now, halls.Status{Hall: w.Hall, Evacuated: w.Evacuated, Version: int64(w.Version)}, a.Sender.Box)
 	}
 	e.catchUp(now, a, sent)
 	table, _, _ := e.belief.Now(now)
--- a/halls/halls.go
+++ b/halls/halls.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Word is the newest that is known of one hall. Values are immutable.
-type Word struct {
+// Status is the newest that is known of one hall. Values are immutable.
+type Status struct {
 	Hall      string
 	Evacuated bool
 	Version   int64     // of the store's change that said so
@@ -20,36 +20,36 @@
 
 // Listener is told of each change, in order, before it can be seen; it must not
 // call back. source is for the log.
-type Listener func(w Word, source string)
+type Listener func(w Status, source string)
 
 // Halls is safe for use by several goroutines.
 type Halls struct {
 	changed Listener
 
 	mu    sync.Mutex
-	words map[string]Word // by hall; also of those that were taken back
+	words map[string]Status // by hall; also of those that were taken back
 }
 
 // New returns halls of which none is evacuated.
-func New(changed Listener) *Halls { return &Halls{changed: changed, words: map[string]Word{}} }
+func New(changed Listener) *Halls { return &Halls{changed: changed, words: map[string]Status{}} }
 
 // Replace takes a whole listing of the evacuated halls as of a version: one that
 // is missing from it was taken back, unless what is known of it is newer.
-func (h *Halls) Replace(now time.Time, list []Word, version int64, source string) {
+func (h *Halls) Replace(now time.Time, list []Status, version int64, source string) {
 	listed := map[string]bool{}
 	for _, w := range list {
 		listed[w.Hall] = true
-		h.Take(now, w, source)
+		h.Update(now, w, source)
 	}
 	for _, w := range h.All() {
 		if !listed[w.Hall] && w.Evacuated {
-			h.Take(now, Word{Hall: w.Hall, Version: version}, source)
+			h.Update(now, Status{Hall: w.Hall, Version: version}, source)
 		}
 	}
 }
 
-// Take takes one word, unless what is known is as new.
-func (h *Halls) Take(now time.Time, w Word, source string) {
+// Update takes one word, unless what is known is as new.
+func (h *Halls) Update(now time.Time, w Status, source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	old, known := h.words[w.Hall]
@@ -67,10 +67,10 @@
 }
 
 // All returns what is known of each hall, by name.
-func (h *Halls) All() []Word {
+func (h *Halls) All() []Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := make([]Word, 0, len(h.words))
+	list := make([]Status, 0, len(h.words))
 	for _, w := range h.words {
 		list = append(list, w)
 	}
