--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -34,7 +34,7 @@
 		Box: self.Name, Hall: self.Hall, Address: self.Address, Incarnation: self.Incarnation,
 		Revision: d.resources.View().Revision, Leaving: d.draining.Load(),
 	}
-	for name, incarnation := range d.health.Gone() {
+	for name, incarnation := range d.health.LeavingIncarnations() {
 		beat.GoneUpstreams = append(beat.GoneUpstreams, name+"@"+strconv.Itoa(incarnation))
 	}
 	sort.Strings(beat.GoneUpstreams)
@@ -84,7 +84,7 @@
 	for _, gone := range from.GoneUpstreams {
 		name, incarnation, _ := strings.Cut(gone, "@")
 		if n, err := strconv.Atoi(incarnation); err == nil && n > 0 {
-			d.health.Leaving(name, n)
+			d.health.MarkLeaving(name, n)
 		}
 	}
 	d.newer(from.Revision, from.Address)
@@ -204,12 +204,12 @@
 	if !d.loads.Report(now, load) {
 		return
 	}
-	d.health.Heard(now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, silence)
+	d.health.MarkSeen(now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, silence)
 	switch {
 	case load.Leaving:
-		d.health.Leaving(load.Engine, load.Incarnation)
+		d.health.MarkLeaving(load.Engine, load.Incarnation)
 	case !d.resources.View().Upstreams[load.Engine].Leaving:
-		d.health.Stays(load.Engine)
+		d.health.ClearLeaving(load.Engine)
 	}
 	d.grants.Report(now, d.cellsNow().Of(load.Engine), load)
 }
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -243,7 +243,7 @@
 		d.grants.Configure(d.params())
 		for name, u := range view.Upstreams {
 			if u.Leaving {
-				d.health.Leaving(name, 0)
+				d.health.MarkLeaving(name, 0)
 			}
 		}
 		select {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -211,7 +211,7 @@
 	t.engine = views[i].Engine
 	t.address = view.Upstreams[t.engine].Address
 	t.cell = d.Cells().Of(t.engine)
-	d.Health.Chosen(now, t.engine)
+	d.Health.RecordDispatch(now, t.engine)
 	d.Loads.Dispatched(now, t.engine, prompt)
 	return t, nil
 }
@@ -219,10 +219,10 @@
 // views returns what is known of the engines that may serve a request; those
 // on probation only where there is no other.
 func (d *Dispatcher) views(now time.Time, view *resource.View, req Request, avoid []string) []placement.View {
-	if views := d.viewsOf(now, view, req, avoid, d.Health.May); len(views) > 0 {
+	if views := d.viewsOf(now, view, req, avoid, d.Health.Eligible); len(views) > 0 {
 		return views
 	}
-	return d.viewsOf(now, view, req, avoid, d.Health.MayAtNeed)
+	return d.viewsOf(now, view, req, avoid, d.Health.EligibleAsFallback)
 }
 
 func (d *Dispatcher) viewsOf(now time.Time, view *resource.View, req Request, avoid []string, may func(time.Time, string) bool) []placement.View {
@@ -269,7 +269,7 @@
 	running, err := d.open(first, req, t)
 	if late.Stop() && err == nil {
 		running.flight, running.flights = f, d.Flights
-		d.Health.Worked(time.Now(), t.engine)
+		d.Health.RecordSuccess(time.Now(), t.engine)
 		// The stream lives as long as the caller's own context.
 		context.AfterFunc(ctx, cancel)
 		return running, nil, ""
--- a/dispatch/failed.go
+++ b/dispatch/failed.go
@@ -16,15 +16,15 @@
 	var lost *generation.LostError
 	switch {
 	case engine.KindOf(err) == engine.NotSent, engine.KindOf(err) == engine.NotTaken:
-		d.Health.Failed(t.engine)
+		d.Health.RecordFailure(t.engine)
 		return refusal.New(refusal.NoUpstream, "engine took nothing").WithRetryAfter(comeAgain), metrics.RetryNeverStarted
 	case errors.As(err, &lost) && engine.KindOf(lost.Err) == engine.Gone:
-		d.Health.Failed(t.engine)
+		d.Health.RecordFailure(t.engine)
 		return refusal.New(refusal.UpstreamLost, "engine lost it before its first token").WithRetryAfter(comeAgain), metrics.RetryEngineLost
 	}
 	late := ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 	if !late {
-		d.Health.Failed(t.engine)
+		d.Health.RecordFailure(t.engine)
 	}
 	return d.settleOpen(t, late)
 }
--- a/experiment/box.go
+++ b/experiment/box.go
@@ -111,9 +111,9 @@
 		return
 	}
 	b.loads.Report(b.w.now, load)
-	b.health.Heard(b.w.now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, leastSilence)
+	b.health.MarkSeen(b.w.now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, leastSilence)
 	if load.Leaving {
-		b.health.Leaving(load.Engine, load.Incarnation)
+		b.health.MarkLeaving(load.Engine, load.Incarnation)
 	}
 	if b.isHome() {
 		b.home.Report(b.w.now, load)
@@ -147,7 +147,7 @@
 	var views []placement.View
 	for _, e := range b.w.engines {
 		v, ok := b.loads.View(b.w.now, e.name)
-		if !ok || b.avoid[q.id] == e.name || !b.health.May(b.w.now, e.name) {
+		if !ok || b.avoid[q.id] == e.name || !b.health.Eligible(b.w.now, e.name) {
 			continue
 		}
 		views = append(views, v)
@@ -157,7 +157,7 @@
 		b.w.after(time.Second, func() { b.retake(q) })
 		return
 	}
-	b.health.Chosen(b.w.now, views[i].Engine)
+	b.health.RecordDispatch(b.w.now, views[i].Engine)
 	b.loads.Dispatched(b.w.now, views[i].Engine, q.prompt)
 	b.w.dispatch(b, q, views[i].Engine, priority)
 }
--- a/health/health.go
+++ b/health/health.go
@@ -42,10 +42,10 @@
 // New returns a health that knows no upstream.
 func New() *Health { return &Health{records: map[string]*record{}} }
 
-// Heard takes a sign of life with the upstream's incarnation, the time of its
+// MarkSeen takes a sign of life with the upstream's incarnation, the time of its
 // steps, and the least silence that means anything, which depends on how often
 // it is heard. A newer incarnation clears leaving and suspicion.
-func (h *Health) Heard(now time.Time, upstream string, incarnation int, step, least time.Duration) {
+func (h *Health) MarkSeen(now time.Time, upstream string, incarnation int, step, least time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
@@ -65,9 +65,9 @@
 	r.silence = max(least, silentSteps*step)
 }
 
-// Leaving notes that an incarnation takes no new work. Zero means the one
+// MarkLeaving notes that an incarnation takes no new work. Zero means the one
 // last seen.
-func (h *Health) Leaving(upstream string, incarnation int) {
+func (h *Health) MarkLeaving(upstream string, incarnation int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
@@ -77,15 +77,15 @@
 	}
 }
 
-// Stays takes back what an operator's declaration said of leaving.
-func (h *Health) Stays(upstream string) {
+// ClearLeaving takes back what an operator's declaration said of leaving.
+func (h *Health) ClearLeaving(upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.record(upstream).leaving = false
 }
 
-// Failed notes that a dispatch failed without an answer.
-func (h *Health) Failed(upstream string) {
+// RecordFailure notes that a dispatch failed without an answer.
+func (h *Health) RecordFailure(upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
@@ -95,8 +95,8 @@
 	}
 }
 
-// Worked notes that a dispatch was answered.
-func (h *Health) Worked(now time.Time, upstream string) {
+// RecordSuccess notes that a dispatch was answered.
+func (h *Health) RecordSuccess(now time.Time, upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
@@ -107,9 +107,9 @@
 	r.heard = now
 }
 
-// May tells whether the upstream may get new work now, and notes that it
+// Eligible tells whether the upstream may get new work now, and notes that it
 // does. During probation only a trickle may.
-func (h *Health) May(now time.Time, upstream string) bool {
+func (h *Health) Eligible(now time.Time, upstream string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
@@ -122,24 +122,24 @@
 	return true
 }
 
-// MayAtNeed is May where there is nothing else: an upstream on probation is
+// EligibleAsFallback is May where there is nothing else: an upstream on probation is
 // better than a refusal.
-func (h *Health) MayAtNeed(now time.Time, upstream string) bool {
+func (h *Health) EligibleAsFallback(now time.Time, upstream string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
 	return !r.leaving && !r.suspect && !r.silent(now)
 }
 
-// Chosen notes that the upstream gets new work.
-func (h *Health) Chosen(now time.Time, upstream string) {
+// RecordDispatch notes that the upstream gets new work.
+func (h *Health) RecordDispatch(now time.Time, upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.record(upstream).last = now
 }
 
-// Gone lists the upstreams that leave, with the incarnation that does.
-func (h *Health) Gone() map[string]int {
+// LeavingIncarnations lists the upstreams that leave, with the incarnation that does.
+func (h *Health) LeavingIncarnations() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	gone := map[string]int{}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -26,34 +26,39 @@
 		may  bool
 	}{
 		"never heard of":         {func(*health.Health) {}, 0, true},
-		"heard":                  {func(h *health.Health) { h.Heard(at(0), "u", 1, step, least) }, 1, true},
-		"silent":                 {func(h *health.Health) { h.Heard(at(0), "u", 1, step, least) }, 4, false},
-		"silent, by a slow pace": {func(h *health.Health) { h.Heard(at(0), "u", 1, 200*time.Millisecond, least) }, 4, true},
+		"heard":                  {func(h *health.Health) { h.MarkSeen(at(0), "u", 1, step, least) }, 1, true},
+		"silent":                 {func(h *health.Health) { h.MarkSeen(at(0), "u", 1, step, least) }, 4, false},
+		"silent, by a slow pace": {func(h *health.Health) { h.MarkSeen(at(0), "u", 1, 200*time.Millisecond, least) }, 4, true},
 		"back, on probation": {func(h *health.Health) {
-			h.Heard(at(0), "u", 1, step, least)
-			h.Heard(at(9), "u", 1, step, least)
-			h.Chosen(at(9), "u")
+			h.MarkSeen(at(0), "u", 1, step, least)
+			h.MarkSeen(at(9), "u", 1, step, least)
+			h.RecordDispatch(at(9), "u")
 		}, 9.1, false},
 		"back, the next of a trickle": {func(h *health.Health) {
-			h.Heard(at(0), "u", 1, step, least)
-			h.Heard(at(9), "u", 1, step, least)
-			h.Chosen(at(9), "u")
+			h.MarkSeen(at(0), "u", 1, step, least)
+			h.MarkSeen(at(9), "u", 1, step, least)
+			h.RecordDispatch(at(9), "u")
 		}, 9.6, true},
-		"failed once":                 {func(h *health.Health) { h.Failed("u") }, 0, true},
-		"failed three times":          {func(h *health.Health) { h.Failed("u"); h.Failed("u"); h.Failed("u") }, 0, false},
-		"failed, then worked":         {func(h *health.Health) { h.Failed("u"); h.Failed("u"); h.Worked(at(0), "u"); h.Failed("u") }, 0, true},
-		"leaving":                     {func(h *health.Health) { h.Heard(at(0), "u", 1, step, least); h.Leaving("u", 1) }, 1, false},
-		"leaving, still heard":        {func(h *health.Health) { h.Leaving("u", 1); h.Heard(at(0), "u", 1, step, least) }, 1, false},
-		"leaving, old report":         {func(h *health.Health) { h.Leaving("u", 2); h.Heard(at(0), "u", 1, step, least) }, 1, false},
-		"leaving, started anew":       {func(h *health.Health) { h.Leaving("u", 1); h.Heard(at(0), "u", 2, step, least) }, 1, true},
-		"late word of an old leaving": {func(h *health.Health) { h.Heard(at(0), "u", 2, step, least); h.Leaving("u", 1) }, 1, true},
+		"failed once":        {func(h *health.Health) { h.RecordFailure("u") }, 0, true},
+		"failed three times": {func(h *health.Health) { h.RecordFailure("u"); h.RecordFailure("u"); h.RecordFailure("u") }, 0, false},
+		"failed, then worked": {func(h *health.Health) {
+			h.RecordFailure("u")
+			h.RecordFailure("u")
+			h.RecordSuccess(at(0), "u")
+			h.RecordFailure("u")
+		}, 0, true},
+		"leaving":                     {func(h *health.Health) { h.MarkSeen(at(0), "u", 1, step, least); h.MarkLeaving("u", 1) }, 1, false},
+		"leaving, still heard":        {func(h *health.Health) { h.MarkLeaving("u", 1); h.MarkSeen(at(0), "u", 1, step, least) }, 1, false},
+		"leaving, old report":         {func(h *health.Health) { h.MarkLeaving("u", 2); h.MarkSeen(at(0), "u", 1, step, least) }, 1, false},
+		"leaving, started anew":       {func(h *health.Health) { h.MarkLeaving("u", 1); h.MarkSeen(at(0), "u", 2, step, least) }, 1, true},
+		"late word of an old leaving": {func(h *health.Health) { h.MarkSeen(at(0), "u", 2, step, least); h.MarkLeaving("u", 1) }, 1, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			h := health.New()
 			tt.does(h)
-			is.Equal(h.May(at(tt.at), "u"), tt.may)
+			is.Equal(h.Eligible(at(tt.at), "u"), tt.may)
 		})
 	}
 }
@@ -63,21 +68,21 @@
 func TestMayAtNeed(t *testing.T) {
 	is := is.New(t)
 	h := health.New()
-	h.Heard(at(0), "u", 1, 0, least)
-	h.Heard(at(9), "u", 1, 0, least)
-	h.Chosen(at(9), "u")
-	is.True(!h.May(at(9.1), "u"))
-	is.True(h.MayAtNeed(at(9.1), "u"))
-	is.True(!h.MayAtNeed(at(20), "u"))
-	h.Leaving("u", 1)
-	is.True(!h.MayAtNeed(at(9.1), "u"))
+	h.MarkSeen(at(0), "u", 1, 0, least)
+	h.MarkSeen(at(9), "u", 1, 0, least)
+	h.RecordDispatch(at(9), "u")
+	is.True(!h.Eligible(at(9.1), "u"))
+	is.True(h.EligibleAsFallback(at(9.1), "u"))
+	is.True(!h.EligibleAsFallback(at(20), "u"))
+	h.MarkLeaving("u", 1)
+	is.True(!h.EligibleAsFallback(at(9.1), "u"))
 }
 
 func BenchmarkMay(b *testing.B) {
 	h := health.New()
-	h.Heard(start, "u", 1, time.Millisecond, least)
+	h.MarkSeen(start, "u", 1, time.Millisecond, least)
 	b.ReportAllocs()
 	for b.Loop() {
-		h.May(start, "u")
+		h.Eligible(start, "u")
 	}
 }
--- a/home/engine.go
+++ b/home/engine.go
@@ -234,7 +234,7 @@
 	if e.prefillUntil.Sub(now) > prefillAhead {
 		return false
 	}
-	return h.health.May(now, e.name)
+	return h.health.Eligible(now, e.name)
 }
 
 // paced tells whether the time between tokens stays within its bound with
--- a/home/home.go
+++ b/home/home.go
@@ -222,7 +222,7 @@
 	e.prefixes.Dispatched(chainOf(ask.Prefix))
 	h.queue.Granted(now, it)
 	h.drain.granted(now, it.Cost)
-	h.health.Chosen(now, e.name)
+	h.health.RecordDispatch(now, e.name)
 	return Granted{Ask: ask, Engine: e.name, Room: ask.Prompt + int(need.Curve.Mean())}
 }
 
