--- a/edge/answers.go
+++ b/edge/answers.go
@@ -39,7 +39,7 @@
 		e.registrar.asked(from.Sender)
 	}
 	e.hearDeparting(now, from.Departing)
-	e.quarantine.Told(now, from.Ends)
+	e.quarantine.Update(now, from.Ends)
 	e.limits.Told(now, from.Limits, e.members.IsHubBox(now, from.Sender.Box))
 	e.hearWords(now, from.Sender.Box, wordsOf(from), from.Counts, peerstate.Cover{Boxes: from.Covers, Near: from.CoversNear})
 	a := wire.GossipAnswer{Sender: e.record, Leaving: e.draining.Load(), Tells: e.tells(now, from.Wants), StoreSilentMs: e.storeAge(now)}
--- a/edge/ends.go
+++ b/edge/ends.go
@@ -55,7 +55,7 @@
 
 // hearEnds takes a hub's word.
 func (e *Edge) hearEnds(a wire.GossipAnswer, sent time.Time) {
-	e.quarantine.Told(sent, a.Ends)
+	e.quarantine.Update(sent, a.Ends)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	m := e.known[a.Sender.Box]
--- a/edge/quarantine_test.go
+++ b/edge/quarantine_test.go
@@ -32,7 +32,7 @@
 // endsAt lets three engines end under a request at a box, some time apart.
 func endsAt(e *Edge, name string) {
 	for i := range 3 {
-		e.quarantine.Ended(time.Now(), asked(name), fleet.Upstream{ID: fmt.Sprint("gone", i)})
+		e.quarantine.RecordEndDuring(time.Now(), asked(name), fleet.Upstream{ID: fmt.Sprint("gone", i)})
 		time.Sleep(100 * time.Millisecond)
 	}
 }
@@ -169,7 +169,7 @@
 	w.bad[content("bad")] = true
 	for i := range before {
 		time.Sleep(200 * time.Millisecond)
-		w.crowd.all[0].quarantine.Ended(time.Now(), asked("bad"), fleet.Upstream{ID: fmt.Sprint("gone", i)})
+		w.crowd.all[0].quarantine.RecordEndDuring(time.Now(), asked("bad"), fleet.Upstream{ID: fmt.Sprint("gone", i)})
 	}
 	time.Sleep(after)
 	for range 2 {
@@ -403,7 +403,7 @@
 		b.Run(fmt.Sprint(there, " requests"), func(b *testing.B) {
 			c := newCrowd(b, 1, 1, 0)
 			for i := range there {
-				c.all[0].quarantine.Ended(time.Now(), asked(fmt.Sprint(i)), fleet.Upstream{ID: "upstream-1234"})
+				c.all[0].quarantine.RecordEndDuring(time.Now(), asked(fmt.Sprint(i)), fleet.Upstream{ID: "upstream-1234"})
 			}
 			size := 0
 			for b.Loop() {
--- a/quarantine/peers.go
+++ b/quarantine/peers.go
@@ -72,8 +72,8 @@
 	return list
 }
 
-// Told takes another box's word, with ages as of a time.
-func (q *Quarantine) Told(now time.Time, list []wire.RequestEnd) {
+// Update takes another box's word, with ages as of a time.
+func (q *Quarantine) Update(now time.Time, list []wire.RequestEnd) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range list {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Gone notes that an upstream has ended unannounced, whoever was there.
-func (q *Quarantine) Gone(now time.Time, u fleet.Upstream) {
+// RecordEnd notes that an upstream has ended unannounced, whoever was there.
+func (q *Quarantine) RecordEnd(now time.Time, u fleet.Upstream) {
 	if q == nil {
 		return
 	}
@@ -165,8 +165,8 @@
 	return true
 }
 
-// Ended notes that an upstream has ended unannounced while a request was there.
-func (q *Quarantine) Ended(now time.Time, fp fingerprint.Fingerprint, u fleet.Upstream) {
+// RecordEndDuring notes that an upstream has ended unannounced while a request was there.
+func (q *Quarantine) RecordEndDuring(now time.Time, fp fingerprint.Fingerprint, u fleet.Upstream) {
 	if q == nil {
 		return
 	}
@@ -212,8 +212,8 @@
 	s.changed = q.changes
 }
 
-// Good notes that a request has run to a good end: it ends no upstream.
-func (q *Quarantine) Good(now time.Time, fp fingerprint.Fingerprint) {
+// RecordSuccess notes that a request has run to a good end: it ends no upstream.
+func (q *Quarantine) RecordSuccess(now time.Time, fp fingerprint.Fingerprint) {
 	if q == nil {
 		return
 	}
@@ -331,9 +331,9 @@
 	return s.newest
 }
 
-// Sent notes that a request is on its way or at an upstream, until left is called; cut
+// Track notes that a request is on its way or at an upstream, until left is called; cut
 // breaks it off if it is quarantined meanwhile.
-func (q *Quarantine) Sent(fp fingerprint.Fingerprint, cut func()) (left func()) {
+func (q *Quarantine) Track(fp fingerprint.Fingerprint, cut func()) (left func()) {
 	if q == nil {
 		return func() {}
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -155,13 +155,13 @@
 			time.Sleep(time.Second)
 		}
 		together = step.rack
-		q.Gone(time.Now(), fleet.Upstream{ID: step.engine, StartedAt: step.born})
+		q.RecordEnd(time.Now(), fleet.Upstream{ID: step.engine, StartedAt: step.born})
 		for _, r := range step.good {
-			q.Good(time.Now(), of(r))
+			q.RecordSuccess(time.Now(), of(r))
 		}
 		for _, r := range step.at {
 			there[r] = true
-			q.Ended(time.Now(), of(r), fleet.Upstream{ID: step.engine, StartedAt: step.born})
+			q.RecordEndDuring(time.Now(), of(r), fleet.Upstream{ID: step.engine, StartedAt: step.born})
 		}
 	}
 	time.Sleep(1100 * time.Millisecond)
@@ -178,7 +178,7 @@
 func bad(q *quarantine.Quarantine) {
 	for i := range 3 {
 		time.Sleep(100 * time.Millisecond)
-		q.Ended(time.Now(), of("bad"), fleet.Upstream{ID: fmt.Sprint("e", i)})
+		q.RecordEndDuring(time.Now(), of("bad"), fleet.Upstream{ID: fmt.Sprint("e", i)})
 	}
 }
 
@@ -192,12 +192,12 @@
 		bad(here)
 		is.Equal(here.Standing(time.Now(), of("bad")).Kind, quarantine.Open)
 		for i := range 3 {
-			there.Ended(time.Now(), of("other"), fleet.Upstream{ID: fmt.Sprint("e", i)})
+			there.RecordEndDuring(time.Now(), of("other"), fleet.Upstream{ID: fmt.Sprint("e", i)})
 		}
 		time.Sleep(1100 * time.Millisecond)
 		is.Equal(here.Standing(time.Now(), of("bad")).Kind, quarantine.Refused)
 		word, _ := there.Since(time.Now(), 0)
-		here.Told(time.Now(), word)
+		here.Update(time.Now(), word)
 		is.Equal(here.Standing(time.Now(), of("bad")).Kind, quarantine.Suspect)
 		is.Equal(here.Standing(time.Now(), of("other")).Kind, quarantine.Suspect)
 	})
@@ -221,7 +221,7 @@
 		q.Tick(time.Now())
 		is.Equal(kind(), quarantine.Suspect) // one at a time
 		is.Equal(len(c.kept), 0)
-		q.Ended(time.Now(), of("bad"), fleet.Upstream{ID: "e9"})
+		q.RecordEndDuring(time.Now(), of("bad"), fleet.Upstream{ID: "e9"})
 		is.Equal(kind(), quarantine.Refused) // at once
 		q.Tick(time.Now())
 		is.True(q.Release(time.Now(), of("bad")))
@@ -231,9 +231,9 @@
 		time.Sleep(10 * time.Second)
 		bad(q)
 		time.Sleep(2 * time.Hour)
-		q.Ended(time.Now(), of("bad"), fleet.Upstream{ID: "e10"})
+		q.RecordEndDuring(time.Now(), of("bad"), fleet.Upstream{ID: "e10"})
 		is.Equal(kind(), quarantine.Suspect) // ends of long ago do not count
-		q.Good(time.Now(), of("bad"))
+		q.RecordSuccess(time.Now(), of("bad"))
 		is.Equal(kind(), quarantine.Free)
 		is.Equal(c.changes, map[string]int{quarantine.Closed: 2, quarantine.LetIn: 1, quarantine.Released: 1, quarantine.Cleared: 1})
 	})
@@ -246,9 +246,9 @@
 		is := is.New(t)
 		q, _ := newOne()
 		cut := map[string]bool{}
-		q.Sent(of("bad"), func() { cut["bad"] = true })
-		q.Sent(of("other"), func() { cut["other"] = true })
-		q.Sent(of("bad"), func() { cut["left"] = true })()
+		q.Track(of("bad"), func() { cut["bad"] = true })
+		q.Track(of("other"), func() { cut["other"] = true })
+		q.Track(of("bad"), func() { cut["left"] = true })()
 		bad(q)
 		q.Tick(time.Now())
 		synctest.Wait()
@@ -274,28 +274,28 @@
 		again, still := a.Since(time.Now(), last)
 		is.Equal(len(again), 0)
 		is.Equal(still, last)
-		hub.Told(time.Now(), first)
+		hub.Update(time.Now(), first)
 		time.Sleep(1100 * time.Millisecond)
 		word, mark := hub.Since(time.Now(), 0)
-		b.Told(time.Now(), word)
+		b.Update(time.Now(), word)
 		is.Equal(b.Standing(time.Now(), of("bad")).Kind, quarantine.Refused)
 		back, _ := b.Since(time.Now(), 0)
-		hub.Told(time.Now(), back)
+		hub.Update(time.Now(), back)
 		_, same := hub.Since(time.Now(), mark)
 		is.Equal(same, mark) // nothing new comes back
 
-		b.Good(time.Now(), of("bad"))
+		b.RecordSuccess(time.Now(), of("bad"))
 		cleared, _ := b.Since(time.Now(), 0)
-		hub.Told(time.Now(), cleared)
+		hub.Update(time.Now(), cleared)
 		fresh, _ := hub.Since(time.Now(), mark)
 		late, _ := newOne()
-		late.Told(time.Now(), fresh)
-		late.Told(time.Now(), first) // by a way that took longer
-		a.Told(time.Now(), fresh)
+		late.Update(time.Now(), fresh)
+		late.Update(time.Now(), first) // by a way that took longer
+		a.Update(time.Now(), fresh)
 		for _, q := range []*quarantine.Quarantine{a, hub, late} {
 			is.Equal(q.Standing(time.Now(), of("bad")).Kind == quarantine.Refused, false)
 		}
-		a.Told(time.Now(), []wire.RequestEnd{{Fingerprint: "no fingerprint", Upstream: "e1"}})
+		a.Update(time.Now(), []wire.RequestEnd{{Fingerprint: "no fingerprint", Upstream: "e1"}})
 	})
 }
 
@@ -307,14 +307,14 @@
 		a, _ := newOne()
 		b, _ := newOne()
 		time.Sleep(time.Second)
-		b.Good(time.Now(), of("lookup"))
+		b.RecordSuccess(time.Now(), of("lookup"))
 		time.Sleep(2 * time.Second)
-		a.Ended(time.Now(), of("lookup"), fleet.Upstream{ID: "e1"})
+		a.RecordEndDuring(time.Now(), of("lookup"), fleet.Upstream{ID: "e1"})
 		word, _ := a.Since(time.Now(), 0)
-		b.Told(time.Now(), word)
+		b.Update(time.Now(), word)
 		is.Equal(b.Standing(time.Now(), of("lookup")).Kind, quarantine.Free)
 		word, _ = b.Since(time.Now(), 0)
-		a.Told(time.Now(), word)
+		a.Update(time.Now(), word)
 		is.Equal(a.Standing(time.Now(), of("lookup")).Kind, quarantine.Free)
 	})
 }
@@ -330,7 +330,7 @@
 		q.Tick(time.Now())
 		for i := range 10000 {
 			time.Sleep(time.Millisecond)
-			q.Ended(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i)})
+			q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i)})
 		}
 		is.Equal(q.Standing(time.Now(), of("bad")).Kind, quarantine.Refused)
 		told, after := 0, 0
@@ -352,13 +352,13 @@
 		b.Run(fmt.Sprint(suspects, " suspects"), func(b *testing.B) {
 			q, _ := newOne()
 			for i := range suspects {
-				q.Ended(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
+				q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
 			}
 			free := of("free")
 			b.ReportAllocs()
 			for b.Loop() {
 				q.Standing(time.Now(), free)
-				q.Good(time.Now(), free)
+				q.RecordSuccess(time.Now(), free)
 			}
 		})
 	}
@@ -368,7 +368,7 @@
 func BenchmarkTick(b *testing.B) {
 	q, _ := newOne()
 	for i := range 4000 {
-		q.Ended(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
+		q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
 	}
 	for b.Loop() {
 		q.Tick(time.Now())
@@ -385,7 +385,7 @@
 				q, _ = newOne()
 				for i := range suspects {
 					for end := range 3 {
-						q.Ended(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprintf("upstream-%d-%d", i/40, end)})
+						q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprintf("upstream-%d-%d", i/40, end)})
 					}
 				}
 				b.ReportMetric(float64(heapsize.Used()-before)/float64(suspects), "B/suspect")
--- a/relay/broke.go
+++ b/relay/broke.go
@@ -35,11 +35,11 @@
 	}).Info("answer_broke")
 	if found == liveness.Ended {
 		j.ended.Store(true)
-		r.Quarantine.Gone(now, s.upstream)
+		r.Quarantine.RecordEnd(now, s.upstream)
 		r.gone(s.upstream)
 	}
 	if held {
-		r.Quarantine.Ended(now, j.print, s.upstream)
+		r.Quarantine.RecordEndDuring(now, j.print, s.upstream)
 	}
 }
 
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -47,7 +47,7 @@
 		return
 	}
 	s.good = now
-	r.Quarantine.Good(now, f.job.print)
+	r.Quarantine.RecordSuccess(now, f.job.print)
 }
 
 // Trials gives the turns by which suspects are tried one after the other.
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -41,7 +41,7 @@
 // endUnder lets upstreams end under a request, one after the other.
 func endUnder(q *quarantine.Quarantine, fp fingerprint.Fingerprint, n int) {
 	for i := range n {
-		q.Ended(time.Now(), fp, fleet.Upstream{ID: fmt.Sprint("gone", i)})
+		q.RecordEndDuring(time.Now(), fp, fleet.Upstream{ID: fmt.Sprint("gone", i)})
 		time.Sleep(200 * time.Millisecond)
 	}
 	time.Sleep(time.Second)
@@ -138,7 +138,7 @@
 func hear(q *quarantine.Quarantine, fp fingerprint.Fingerprint, ends int) {
 	time.Sleep(10 * time.Millisecond)
 	for i := range ends {
-		q.Ended(time.Now().Add(time.Duration(i-20)*100*time.Millisecond), fp, fleet.Upstream{ID: fmt.Sprint("gone", i)})
+		q.RecordEndDuring(time.Now().Add(time.Duration(i-20)*100*time.Millisecond), fp, fleet.Upstream{ID: fmt.Sprint("gone", i)})
 	}
 	q.Tick(time.Now())
 }
@@ -228,7 +228,7 @@
 		second := first
 		second.ID, second.Address, second.Version = "plain1", "plain1:1", 3
 		w.fleet.Replace(time.Now(), []fleet.Upstream{first, second}, 3, false)
-		q.Good(time.Now(), fp)
+		q.RecordSuccess(time.Now(), fp)
 		at := map[string]int{}
 		for range 40 {
 			time.Sleep(200 * time.Millisecond)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -420,7 +420,7 @@
 	}
 	entry := r.Tally.Begin(u.ID, load)
 	sending, cancel := context.WithCancelCause(ctx)
-	forget := r.Quarantine.Sent(j.print, func() { cancel(&QuarantinedError{}) })
+	forget := r.Quarantine.Track(j.print, func() { cancel(&QuarantinedError{}) })
 	unsent := r.Runs.Sent(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
 	leave := func() {
 		forget()
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -133,7 +133,7 @@
 		return &exchange.FailedError{Err: err}
 	}
 	if !o.sent.answer.NotRun {
-		r.Quarantine.Good(time.Now(), f.job.print) // it ran, and its upstream lives to say how it failed
+		r.Quarantine.RecordSuccess(time.Now(), f.job.print) // it ran, and its upstream lives to say how it failed
 	}
 	o.body = body
 	r.deliver(ctx, f.job, f.caller, o)
@@ -345,7 +345,7 @@
 	switch {
 	case err == nil:
 		r.Metrics.Ended(refusal.Done)
-		r.Quarantine.Good(time.Now(), f.job.print)
+		r.Quarantine.RecordSuccess(time.Now(), f.job.print)
 		log.Info("streamed")
 	case r.Buffers != nil && slowReader(err) != "":
 		r.Metrics.SlowEnded(slowReader(err))
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -233,7 +233,7 @@
 		return outcome{upstream: u.ID, err: err}
 	}
 	if !s.answer.NotRun && !promisesNotRun(s.answer.Status) {
-		r.Quarantine.Good(time.Now(), j.print)
+		r.Quarantine.RecordSuccess(time.Now(), j.print)
 	}
 	return outcome{upstream: u.ID, sent: s, body: body, more: rest}
 }
