--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -18,7 +18,7 @@
 const (
 	Ended   Finding = "ended"   // nothing listens at its address, or another life does, and it had not said that it leaves
 	Leaving Finding = "leaving" // it was known to leave: its end is planned
-	Lives   Finding = "lives"
+	Alive   Finding = "lives"
 	Unknown Finding = "unknown" // it was not reached: a cut link, a machine without power
 )
 
@@ -32,7 +32,7 @@
 )
 
 // Findings lists every finding, for counters.
-func Findings() []Finding { return []Finding{Ended, Leaving, Lives, Unknown} }
+func Findings() []Finding { return []Finding{Ended, Leaving, Alive, Unknown} }
 
 // Prober asks an upstream's address. The error says that nothing was learned.
 type Prober interface {
@@ -69,10 +69,10 @@
 	return &Liveness{prober: p, fleet: f, looks: map[life]*look{}}
 }
 
-// Look returns what became of an upstream just after a connection to it broke. All
+// Check returns what became of an upstream just after a connection to it broke. All
 // streams of a box that break together share one look. The caller may be gone: what is
 // found is worth knowing to the next one.
-func (l *Liveness) Look(ctx context.Context, u fleet.Upstream, engine bool) Finding {
+func (l *Liveness) Check(ctx context.Context, u fleet.Upstream, engine bool) Finding {
 	known, _ := l.fleet.Get(u.ID)
 	switch {
 	case u.StartedAt > 0 && known.StartedAt > u.StartedAt: // it has started again, and lost what it had
@@ -118,7 +118,7 @@
 	case ended:
 		at.found, at.at = Ended, time.Now()
 	default:
-		at.found = Lives
+		at.found = Alive
 	}
 	if at.found != Ended {
 		delete(l.looks, life{u.ID, u.StartedAt}) // it may be otherwise at the next break
--- a/liveness/liveness_test.go
+++ b/liveness/liveness_test.go
@@ -41,7 +41,7 @@
 		calls  int64
 	}{
 		"nothing listens":              {prober: &prober{ended: true}, want: liveness.Ended, calls: 1},
-		"a connection was reset":       {prober: &prober{}, want: liveness.Lives, calls: 1},
+		"a connection was reset":       {prober: &prober{}, want: liveness.Alive, calls: 1},
 		"a link is cut":                {prober: &prober{err: errors.New("unreachable")}, want: liveness.Unknown, calls: 1},
 		"a machine has lost its power": {prober: &prober{takes: time.Hour}, want: liveness.Unknown, calls: 1},
 		"an end that was announced":    {prober: &prober{ended: true}, leaves: true, want: liveness.Leaving},
@@ -58,7 +58,7 @@
 				l := liveness.New(tt.prober, f)
 				gone, cancel := context.WithCancel(t.Context())
 				cancel() // its caller is
-				is.Equal(l.Look(gone, u, true), tt.want)
+				is.Equal(l.Check(gone, u, true), tt.want)
 				is.Equal(tt.prober.calls.Load(), tt.calls)
 			})
 		})
@@ -74,14 +74,14 @@
 		p := &prober{ended: true, takes: 3 * time.Millisecond}
 		l := liveness.New(p, fleet.New(time.Second))
 		for range 48 {
-			go l.Look(t.Context(), u, true)
+			go l.Check(t.Context(), u, true)
 		}
 		time.Sleep(time.Second)
-		is.Equal(l.Look(t.Context(), u, true), liveness.Ended)
+		is.Equal(l.Check(t.Context(), u, true), liveness.Ended)
 		is.Equal(p.calls.Load(), int64(1))
 		u.StartedAt = 5 // another life under the same id
 		p.ended = false
-		is.Equal(l.Look(t.Context(), u, true), liveness.Lives)
+		is.Equal(l.Check(t.Context(), u, true), liveness.Alive)
 		is.Equal(p.calls.Load(), int64(2))
 	})
 }
--- a/relay/broke.go
+++ b/relay/broke.go
@@ -14,7 +14,7 @@
 
 // Looker finds out what became of an upstream just after a connection to it broke.
 type Looker interface {
-	Look(ctx context.Context, u fleet.Upstream, engine bool) liveness.Finding
+	Check(ctx context.Context, u fleet.Upstream, engine bool) liveness.Finding
 }
 
 // broke takes the news that what was sent to an upstream has broken off, after so many
@@ -26,7 +26,7 @@
 	now := time.Now()
 	engine, found := j.service.Engine != nil, liveness.Unknown
 	if !engine || r.Rest.MayExcept(now, s.upstream.ID) { // a look at an engine is a request
-		found = r.Liveness.Look(ctx, s.upstream, engine)
+		found = r.Liveness.Check(ctx, s.upstream, engine)
 	}
 	r.Metrics.Broke(found)
 	held := found == liveness.Ended && !s.lived
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -21,7 +21,7 @@
 // found is what each look finds.
 type found liveness.Finding
 
-func (f found) Look(context.Context, fleet.Upstream, bool) liveness.Finding {
+func (f found) Check(context.Context, fleet.Upstream, bool) liveness.Finding {
 	return liveness.Finding(f)
 }
 
@@ -60,7 +60,7 @@
 		want  int // ends
 	}{
 		"a whole answer, the upstream has ended":       {"/once/", broken, liveness.Ended, 1},
-		"it was reset, and lives":                      {"/once/", broken, liveness.Lives, 0},
+		"it was reset, and lives":                      {"/once/", broken, liveness.Alive, 0},
 		"it is not reached":                            {"/once/", broken, liveness.Unknown, 0},
 		"its end was announced":                        {"/once/", broken, liveness.Leaving, 0},
 		"nothing reached it":                           {"/once/", reply{err: errReset, notSent: true}, liveness.Ended, 0},
