--- a/edge/quarantine_test.go
+++ b/edge/quarantine_test.go
@@ -39,7 +39,7 @@
 
 func refuses(name string) func(e *Edge) bool {
 	return func(e *Edge) bool {
-		return e.quarantine.Standing(time.Now(), asked(name)).Kind == quarantine.Refused
+		return e.quarantine.Status(time.Now(), asked(name)).Kind == quarantine.Refused
 	}
 }
 
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -10,8 +10,8 @@
 	"petrelstep/wire"
 )
 
-// Standing says what may be done with a request. Values are immutable.
-type Standing struct {
+// Status says what may be done with a request. Values are immutable.
+type Status struct {
 	Kind  Kind
 	Ends  int           // lives of upstreams that ended under it
 	Age   time.Duration // of the last
@@ -25,29 +25,29 @@
 const (
 	Free    Kind = "free"
 	Suspect Kind = "suspect" // it is tried once at a time, over all boxes
-	Open    Kind = "open"    // it may be refused once the other boxes' word is in: it waits
+	Pending Kind = "open"    // it may be refused once the other boxes' word is in: it waits
 	Refused Kind = "refused"
 )
 
-// Standing returns how a request stands.
-func (q *Quarantine) Standing(now time.Time, fp fingerprint.Fingerprint) Standing {
+// Status returns how a request stands.
+func (q *Quarantine) Status(now time.Time, fp fingerprint.Fingerprint) Status {
 	if q == nil {
-		return Standing{Kind: Free}
+		return Status{Kind: Free}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	s, ok := q.suspects[fp]
 	if !ok || len(s.ends) == 0 {
-		return Standing{Kind: Free}
+		return Status{Kind: Free}
 	}
-	st := Standing{Kind: Suspect, Ends: s.count(now), Age: now.Sub(s.newest)}
+	st := Status{Kind: Suspect, Ends: s.count(now), Age: now.Sub(s.newest)}
 	switch {
 	case q.blamed(fp, s, now.Add(-settle)):
 		if st.Until = s.newest.Add(closedFor); now.Before(st.Until) {
 			st.Kind = Refused
 		}
 	case st.Age < settle && q.blamed(fp, s, now):
-		st.Kind, st.Until = Open, s.newest.Add(settle)
+		st.Kind, st.Until = Pending, s.newest.Add(settle)
 	}
 	return st
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -166,11 +166,11 @@
 	}
 	time.Sleep(1100 * time.Millisecond)
 	for _, r := range s.refused {
-		is.Equal(q.Standing(time.Now(), of(r)).Kind, quarantine.Refused)
+		is.Equal(q.Status(time.Now(), of(r)).Kind, quarantine.Refused)
 		delete(there, r)
 	}
 	for r := range there {
-		is.True(q.Standing(time.Now(), of(r)).Kind != quarantine.Refused)
+		is.True(q.Status(time.Now(), of(r)).Kind != quarantine.Refused)
 	}
 }
 
@@ -190,16 +190,16 @@
 		here, _ := newOne()
 		there, _ := newOne()
 		bad(here)
-		is.Equal(here.Standing(time.Now(), of("bad")).Kind, quarantine.Open)
+		is.Equal(here.Status(time.Now(), of("bad")).Kind, quarantine.Pending)
 		for i := range 3 {
 			there.RecordEndDuring(time.Now(), of("other"), fleet.Upstream{ID: fmt.Sprint("e", i)})
 		}
 		time.Sleep(1100 * time.Millisecond)
-		is.Equal(here.Standing(time.Now(), of("bad")).Kind, quarantine.Refused)
+		is.Equal(here.Status(time.Now(), of("bad")).Kind, quarantine.Refused)
 		word, _ := there.Since(time.Now(), 0)
 		here.Update(time.Now(), word)
-		is.Equal(here.Standing(time.Now(), of("bad")).Kind, quarantine.Suspect)
-		is.Equal(here.Standing(time.Now(), of("other")).Kind, quarantine.Suspect)
+		is.Equal(here.Status(time.Now(), of("bad")).Kind, quarantine.Suspect)
+		is.Equal(here.Status(time.Now(), of("other")).Kind, quarantine.Suspect)
 	})
 }
 
@@ -209,7 +209,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q, c := newOne()
-		kind := func() quarantine.Kind { return q.Standing(time.Now(), of("bad")).Kind }
+		kind := func() quarantine.Kind { return q.Status(time.Now(), of("bad")).Kind }
 		bad(q)
 		time.Sleep(1100 * time.Millisecond)
 		q.Tick(time.Now())
@@ -278,7 +278,7 @@
 		time.Sleep(1100 * time.Millisecond)
 		word, mark := hub.Since(time.Now(), 0)
 		b.Update(time.Now(), word)
-		is.Equal(b.Standing(time.Now(), of("bad")).Kind, quarantine.Refused)
+		is.Equal(b.Status(time.Now(), of("bad")).Kind, quarantine.Refused)
 		back, _ := b.Since(time.Now(), 0)
 		hub.Update(time.Now(), back)
 		_, same := hub.Since(time.Now(), mark)
@@ -293,7 +293,7 @@
 		late.Update(time.Now(), first) // by a way that took longer
 		a.Update(time.Now(), fresh)
 		for _, q := range []*quarantine.Quarantine{a, hub, late} {
-			is.Equal(q.Standing(time.Now(), of("bad")).Kind == quarantine.Refused, false)
+			is.Equal(q.Status(time.Now(), of("bad")).Kind == quarantine.Refused, false)
 		}
 		a.Update(time.Now(), []wire.RequestEnd{{Fingerprint: "no fingerprint", Upstream: "e1"}})
 	})
@@ -312,10 +312,10 @@
 		a.RecordEndDuring(time.Now(), of("lookup"), fleet.Upstream{ID: "e1"})
 		word, _ := a.Since(time.Now(), 0)
 		b.Update(time.Now(), word)
-		is.Equal(b.Standing(time.Now(), of("lookup")).Kind, quarantine.Free)
+		is.Equal(b.Status(time.Now(), of("lookup")).Kind, quarantine.Free)
 		word, _ = b.Since(time.Now(), 0)
 		a.Update(time.Now(), word)
-		is.Equal(a.Standing(time.Now(), of("lookup")).Kind, quarantine.Free)
+		is.Equal(a.Status(time.Now(), of("lookup")).Kind, quarantine.Free)
 	})
 }
 
@@ -332,7 +332,7 @@
 			time.Sleep(time.Millisecond)
 			q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i)})
 		}
-		is.Equal(q.Standing(time.Now(), of("bad")).Kind, quarantine.Refused)
+		is.Equal(q.Status(time.Now(), of("bad")).Kind, quarantine.Refused)
 		told, after := 0, 0
 		for {
 			list, last := q.Since(time.Now(), after)
@@ -357,7 +357,7 @@
 			free := of("free")
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Standing(time.Now(), free)
+				q.Status(time.Now(), free)
 				q.RecordSuccess(time.Now(), free)
 			}
 		})
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -95,11 +95,11 @@
 // judged waits for the other boxes' word where a request may be refused in a moment.
 func (r *Relay) judged(ctx context.Context, j *job) error {
 	for {
-		st := r.Quarantine.Standing(time.Now(), j.print)
+		st := r.Quarantine.Status(time.Now(), j.print)
 		switch {
 		case st.Kind == quarantine.Refused:
 			return r.refuseSuspect(j, st)
-		case st.Kind != quarantine.Open:
+		case st.Kind != quarantine.Pending:
 			return nil
 		case !st.Until.Before(j.deadline): // it would wait in vain
 			return r.refuseSuspect(j, st)
@@ -116,7 +116,7 @@
 		if err := r.judged(ctx, j); err != nil {
 			return err
 		}
-		st := r.Quarantine.Standing(time.Now(), j.print)
+		st := r.Quarantine.Status(time.Now(), j.print)
 		switch {
 		case st.Kind == quarantine.Free || j.trial != nil || r.Trials == nil:
 			return nil
@@ -129,21 +129,21 @@
 
 // quarantined returns the refusal of a request that is refused.
 func (r *Relay) quarantined(j *job) (refusal.Refusal, bool) {
-	st := r.Quarantine.Standing(time.Now(), j.print)
+	st := r.Quarantine.Status(time.Now(), j.print)
 	if st.Kind != quarantine.Refused {
 		return refusal.Refusal{}, false
 	}
 	return r.refuseSuspect(j, st), true
 }
 
-func (r *Relay) refuseSuspect(j *job, st quarantine.Standing) refusal.Refusal {
+func (r *Relay) refuseSuspect(j *job, st quarantine.Status) refusal.Refusal {
 	back := time.Until(st.Until)
 	j.log.WithFields(logrus.Fields{"ends": st.Ends, "last_ms": st.Age.Milliseconds(), "back_ms": back.Milliseconds()}).Info("quarantine_refused")
 	return refusal.New(refusal.Quarantined, "upstreams ended under it").WithRetryAfter(back)
 }
 
 // otherTry refuses a request while another try of it goes on.
-func (r *Relay) otherTry(j *job, st quarantine.Standing) refusal.Refusal {
+func (r *Relay) otherTry(j *job, st quarantine.Status) refusal.Refusal {
 	j.log.WithFields(logrus.Fields{"ends": st.Ends, "last_ms": st.Age.Milliseconds(), "back_ms": trialBack.Milliseconds()}).Info("other_try_goes_on")
 	return refusal.New(refusal.Quarantined, "an upstream ended under it, and another try goes on").WithRetryAfter(trialBack)
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -82,7 +82,7 @@
 				ctx, leave := context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer leave()
 				w.serve(ctx, tt.path)
-				is.New(t).Equal(q.Standing(time.Now(), fp).Ends, tt.want)
+				is.New(t).Equal(q.Status(time.Now(), fp).Ends, tt.want)
 			})
 		})
 	}
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -146,7 +146,7 @@
 	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Crowded(time.Now(), j.service) {
 		why = metrics.NotBesideNoRoom
 	}
-	if r.Quarantine.Standing(time.Now(), j.print).Kind != quarantine.Free {
+	if r.Quarantine.Status(time.Now(), j.print).Kind != quarantine.Free {
 		why = metrics.NotBesideSuspect
 	}
 	if why != metrics.NotBesideBudget || !r.Budget.Spend() {
