--- a/edge/ends.go
+++ b/edge/ends.go
@@ -107,13 +107,13 @@
 	log  *logrus.Entry
 }
 
-// Keep implements quarantine.Keeper.
-func (k *kept) Keep(fp fingerprint.Fingerprint, upstreams []string) {
+// Save implements quarantine.Keeper.
+func (k *kept) Save(fp fingerprint.Fingerprint, upstreams []string) {
 	go k.insist(fp, "keep", func(ctx context.Context) error { return k.list.Put(ctx, fp, upstreams) })
 }
 
-// Drop implements quarantine.Keeper.
-func (k *kept) Drop(fp fingerprint.Fingerprint) {
+// Delete implements quarantine.Keeper.
+func (k *kept) Delete(fp fingerprint.Fingerprint) {
 	go k.insist(fp, "drop", func(ctx context.Context) error { return k.list.Remove(ctx, fp) })
 }
 
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -148,14 +148,14 @@
 		q.counter.Quarantined(LetIn)
 		log.Info("quarantine_over")
 		if s.own {
-			q.keeper.Drop(fp)
+			q.keeper.Delete(fp)
 		}
 		return
 	}
 	q.counter.Quarantined(Closed)
 	log.Warn("quarantined")
 	if s.own {
-		q.keeper.Keep(fp, upstreams)
+		q.keeper.Save(fp, upstreams)
 	}
 }
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -110,19 +110,19 @@
 // Changes lists every change, for counters.
 func Changes() []string { return []string{Closed, LetIn, Cleared, Released, Excused} }
 
-// Keeper keeps quarantines beyond the lives of all boxes.
-type Keeper interface {
-	// Keep is told of a request and the ids of the upstreams that ended under it.
-	Keep(fp fingerprint.Fingerprint, upstreams []string)
-	// Drop is told that one is quarantined no longer.
-	Drop(fp fingerprint.Fingerprint)
+// Store keeps quarantines beyond the lives of all boxes.
+type Store interface {
+	// Save is told of a request and the ids of the upstreams that ended under it.
+	Save(fp fingerprint.Fingerprint, upstreams []string)
+	// Delete is told that one is quarantined no longer.
+	Delete(fp fingerprint.Fingerprint)
 }
 
 // Quarantine is one box's. It is safe for use by several goroutines; a nil one knows
 // of nothing.
 type Quarantine struct {
 	counter Counter
-	keeper  Keeper
+	keeper  Store
 	log     *logrus.Entry
 
 	mu       sync.Mutex
@@ -138,7 +138,7 @@
 type send struct{ cut func() }
 
 // New returns a quarantine that knows of nothing.
-func New(c Counter, k Keeper, log *logrus.Entry) *Quarantine {
+func New(c Counter, k Store, log *logrus.Entry) *Quarantine {
 	return &Quarantine{
 		counter: c, keeper: k, log: log, suspects: map[fingerprint.Fingerprint]*suspect{}, lives: map[life]*ended{},
 		sent: map[fingerprint.Fingerprint]map[*send]struct{}{},
@@ -266,7 +266,7 @@
 	q.counter.Quarantined(change)
 	q.log.WithFields(logrus.Fields{"fingerprint": fp, "change": change, "was_closed": closed}).Info("request_cleared")
 	if closed {
-		q.keeper.Drop(fp)
+		q.keeper.Delete(fp)
 	}
 	return true
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -26,9 +26,9 @@
 
 func (c *counts) Quarantined(change string) { c.changes[change]++ }
 
-func (c *counts) Keep(fp fingerprint.Fingerprint, upstreams []string) { c.kept[fp] = upstreams }
+func (c *counts) Save(fp fingerprint.Fingerprint, upstreams []string) { c.kept[fp] = upstreams }
 
-func (c *counts) Drop(fp fingerprint.Fingerprint) { delete(c.kept, fp) }
+func (c *counts) Delete(fp fingerprint.Fingerprint) { delete(c.kept, fp) }
 
 func newOne() (*quarantine.Quarantine, *counts) {
 	c := &counts{map[string]int{}, map[fingerprint.Fingerprint][]string{}}
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -29,8 +29,8 @@
 type ignored struct{}
 
 func (ignored) Quarantined(string)                     {}
-func (ignored) Keep(fingerprint.Fingerprint, []string) {}
-func (ignored) Drop(fingerprint.Fingerprint)           {}
+func (ignored) Save(fingerprint.Fingerprint, []string) {}
+func (ignored) Delete(fingerprint.Fingerprint)         {}
 
 // held returns a quarantine, and the fingerprint of the requests of this test.
 func held() (*quarantine.Quarantine, fingerprint.Fingerprint) {
