--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -142,7 +142,7 @@
 		Fleet: b.fleet, Tally: b.tally, Reliability: b.reliability, Reading: prefill.New(), Hall: hall, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
 	b.places = places.New(places.Parts{
-		Ranker: b.chooser, Failing: b.reliability.Failing, Counter: uncounted{}, Hall: hall, Random: rand.New(rand.NewPCG(seed, 2)),
+		Ranker: b.chooser, Failing: b.reliability.FailureRate, Counter: uncounted{}, Hall: hall, Random: rand.New(rand.NewPCG(seed, 2)),
 		Log: logs.New(io.Discard, "info", "b"),
 	})
 	return b
@@ -158,7 +158,7 @@
 				name := fmt.Sprint(j)
 				b.tally.Told(now, name, other.tally.Own())
 				b.places.Told(now, name, other.places.Own(now))
-				b.reliability.Told(now, name, other.reliability.Own(now))
+				b.reliability.Update(now, name, other.reliability.Own(now))
 			}
 		}
 	}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -240,7 +240,7 @@
 	})
 	if e.config.Balances(wire.EdgeBalanceElemPlaces) {
 		e.places = places.New(places.Parts{
-			Ranker: chooser, Failing: e.reliability.Failing, Limits: e.limiter, Counter: e.metrics, Hall: e.config.Hall, Log: e.log,
+			Ranker: chooser, Failing: e.reliability.FailureRate, Limits: e.limiter, Counter: e.metrics, Hall: e.config.Hall, Log: e.log,
 			Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 4)),
 		})
 	}
--- a/edge/words.go
+++ b/edge/words.go
@@ -38,7 +38,7 @@
 	tallies, boxes := e.tally.Part(now)
 	w = words{
 		tallies:  e.bornLoads(tallies),
-		failures: e.bornFailures(e.reliability.Part(now)),
+		failures: e.bornFailures(e.reliability.PartialSum(now)),
 		uses:     e.sharing.part(now),
 		places:   e.partPlaces(now),
 		paced:    paced,
@@ -68,11 +68,11 @@
 // covers whom besides it the words are of.
 func (e *Edge) hearWords(now time.Time, box string, w words, only bool, covers peerstate.Cover) {
 	e.tally.Covers(box, only, covers)
-	e.reliability.Covers(box, only)
+	e.reliability.SetCoverage(box, only)
 	e.sharing.covers(box, only)
 	e.coversPlaces(box, only)
 	e.tally.Told(now, box, e.currentLoads(w.tallies))
-	e.reliability.Told(now, box, e.currentFailures(w.failures))
+	e.reliability.Update(now, box, e.currentFailures(w.failures))
 	e.sharing.told(now, box, w.uses)
 	e.toldPlaces(now, box, w.places)
 	if w.paced {
@@ -84,7 +84,7 @@
 // hearSums takes a hub's words of what all other boxes told.
 func (e *Edge) hearSums(now time.Time, w words) {
 	e.tally.ToldSum(now, e.currentLoads(w.tallies))
-	e.reliability.ToldSum(now, e.currentFailures(w.failures))
+	e.reliability.UpdateSum(now, e.currentFailures(w.failures))
 	e.sharing.toldSum(now, w.uses)
 	e.toldPlacesSum(now, w.places)
 	if w.paced {
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -323,7 +323,7 @@
 }
 
 func (c *Picker) penalty(now time.Time, w Want, u fleet.Upstream) float64 {
-	p := failing*c.Reliability.Failing(now, u.ID) + noise*c.draw()
+	p := failing*c.Reliability.FailureRate(now, u.ID) + noise*c.draw()
 	if u.Hall != w.Hall {
 		p += far
 		if w.Moves {
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -58,7 +58,7 @@
 				resting := len(rests.Names(time.Now(), "plain")) + len(rests.Names(time.Now(), "llm"))
 				is.Equal(resting, tt.resting)
 				if tt.resting > 0 {
-					is.Equal(w.failed.Failing(time.Now(), w.sender.first()), 0.0)
+					is.Equal(w.failed.FailureRate(time.Now(), w.sender.first()), 0.0)
 				}
 			})
 		})
--- a/relay/broke.go
+++ b/relay/broke.go
@@ -54,7 +54,7 @@
 // gone notes that an upstream has ended, unless it has started again since.
 func (r *Relay) gone(u fleet.Upstream) {
 	if r.Fleet.IsCurrent(u) {
-		r.Reliability.Gone(time.Now(), u.ID)
+		r.Reliability.RecordEnd(time.Now(), u.ID)
 	}
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -427,7 +427,7 @@
 // share lets the boxes share the places of plain upstreams out.
 func (w *world) share() {
 	w.relay.Places = places.New(places.Parts{
-		Ranker: w.relay.Chooser, Failing: w.failed.Failing, Counter: w.relay.Metrics, Hall: "leith", Random: rand.New(rand.NewPCG(1, 2)), Log: w.relay.Log,
+		Ranker: w.relay.Chooser, Failing: w.failed.FailureRate, Counter: w.relay.Metrics, Hall: "leith", Random: rand.New(rand.NewPCG(1, 2)), Log: w.relay.Log,
 	})
 }
 
@@ -933,7 +933,7 @@
 	}
 	is.Equal(len(w.tally.Own()), 0)
 	if r.born > 100 { // what failed at the old one does not count for the new
-		is.Equal(w.failed.Failing(time.Now(), w.sender.sends[0].Upstream), 0.0)
+		is.Equal(w.failed.FailureRate(time.Now(), w.sender.sends[0].Upstream), 0.0)
 	}
 }
 
--- a/reliability/reliability.go
+++ b/reliability/reliability.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// Gone notes that an upstream was found to have ended. The others are told as of any
+// RecordEnd notes that an upstream was found to have ended. The others are told as of any
 // failure, and pass it by until its entry goes.
-func (r *Reliability) Gone(now time.Time, upstream string) {
+func (r *Reliability) RecordEnd(now time.Time, upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e, ok := r.records[upstream]
@@ -97,8 +97,8 @@
 	delete(r.records, upstream)
 }
 
-// Failing returns the share of all boxes' sends that failed of late, from 0 to 1.
-func (r *Reliability) Failing(now time.Time, upstream string) float64 {
+// FailureRate returns the share of all boxes' sends that failed of late, from 0 to 1.
+func (r *Reliability) FailureRate(now time.Time, upstream string) float64 {
 	r.mu.Lock()
 	var own Count
 	if e, ok := r.records[upstream]; ok {
@@ -136,24 +136,26 @@
 	return listOf(sum)
 }
 
-// Part returns what this box met and those that tell it alone, for the boxes that do
+// PartialSum returns what this box met and those that tell it alone, for the boxes that do
 // not hear them.
-func (r *Reliability) Part(now time.Time) []wire.UpstreamFailures {
+func (r *Reliability) PartialSum(now time.Time) []wire.UpstreamFailures {
 	sum := r.own(now)
 	r.others.Part(now, sum)
 	return listOf(sum)
 }
 
-// Covers notes, before a box's word is taken, whether it tells this box alone.
-func (r *Reliability) Covers(box string, only bool) { r.others.Covers(box, only, peerstate.Cover{}) }
+// SetCoverage notes, before a box's word is taken, whether it tells this box alone.
+func (r *Reliability) SetCoverage(box string, only bool) {
+	r.others.Covers(box, only, peerstate.Cover{})
+}
 
-// Told takes another box's word of what it met.
-func (r *Reliability) Told(now time.Time, box string, list []wire.UpstreamFailures) {
+// Update takes another box's word of what it met.
+func (r *Reliability) Update(now time.Time, box string, list []wire.UpstreamFailures) {
 	r.others.Told(now, box, countsOf(list))
 }
 
-// ToldSum takes a hub's word of what all other boxes met.
-func (r *Reliability) ToldSum(now time.Time, list []wire.UpstreamFailures) {
+// UpdateSum takes a hub's word of what all other boxes met.
+func (r *Reliability) UpdateSum(now time.Time, list []wire.UpstreamFailures) {
 	r.others.ToldSum(now, countsOf(list))
 }
 
--- a/reliability/reliability_test.go
+++ b/reliability/reliability_test.go
@@ -40,14 +40,14 @@
 				r.Record(now, "u", failed)
 			}
 			for box, list := range tt.told {
-				r.Told(now, box, list)
+				r.Update(now, box, list)
 			}
 			if tt.sum != nil {
-				r.ToldSum(now, tt.sum)
+				r.UpdateSum(now, tt.sum)
 			}
-			got := r.Failing(now.Add(tt.after), "u")
+			got := r.FailureRate(now.Add(tt.after), "u")
 			is.True(got > tt.want-0.001 && got < tt.want+0.001)
-			is.Equal(r.Failing(now, "v"), 0.0)
+			is.Equal(r.FailureRate(now, "v"), 0.0)
 		})
 	}
 }
@@ -64,8 +64,8 @@
 		return []wire.UpstreamFailures{{Upstream: "bad", Failed: 100 * n, All: 100 * n}}
 	}
 	is.Equal(r.Own(now), bad(1))
-	r.Told(now, "b1", bad(2))
-	r.Told(now, "b2", bad(4))
+	r.Update(now, "b1", bad(2))
+	r.Update(now, "b2", bad(4))
 	is.Equal(r.Without(now, "b2"), bad(3))
 	is.Equal(r.Without(now, "b3"), bad(7))
 	is.Equal(len(r.Own(now.Add(10*time.Second))), 0)
