--- a/edge/answers.go
+++ b/edge/answers.go
@@ -111,7 +111,7 @@
 }
 
 func (e *Edge) answerConfiguration(now time.Time, a *wire.GossipAnswer) {
-	table, age, _ := e.belief.Now(now)
+	table, age, _ := e.belief.Current(now)
 	if table == nil {
 		return
 	}
@@ -133,7 +133,7 @@
 // Configuration implements edgerpc.Box.
 func (e *Edge) Configuration() wire.Configuration {
 	e.timer.Check()
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return wire.Configuration{}
 	}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -273,7 +273,7 @@
 
 // coldFor is the longest that an upstream of any service is cold after its start.
 func (e *Edge) coldFor() time.Duration {
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return 0
 	}
@@ -317,7 +317,7 @@
 
 // bodyMost bounds a request's body by the configuration in force.
 func (e *Edge) bodyMost() int {
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil || table.Limits().BodyBytes == 0 {
 		return e.config.Limits.BodyBytes
 	}
@@ -325,7 +325,7 @@
 }
 
 func (e *Edge) service(name string) (route.Service, bool) {
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return route.Service{}, false
 	}
@@ -362,7 +362,7 @@
 
 // ready tells whether callers are to be sent here.
 func (e *Edge) ready() bool {
-	table, _, stale := e.belief.Now(time.Now())
+	table, _, stale := e.belief.Current(time.Now())
 	_, known := e.fleet.Age(time.Now())
 	serves := table != nil && (!stale || e.config.Edge.ServeStale)
 	return serves && known && !e.draining.Load()
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -50,7 +50,7 @@
 func (e *Edge) ReportFor(hub members.Box) wire.Gossip {
 	now := time.Now()
 	version := 0
-	if table, _, _ := e.belief.Now(now); table != nil {
+	if table, _, _ := e.belief.Current(now); table != nil {
 		version = table.Version()
 	}
 	whole := e.wantsFleet(now, hub)
@@ -167,7 +167,7 @@
 		e.halls.Update(now, halls.Status{Hall: w.Hall, Evacuated: w.Evacuated, Version: int64(w.Version)}, a.Sender.Box)
 	}
 	e.catchUp(now, a, sent)
-	table, _, _ := e.belief.Now(now)
+	table, _, _ := e.belief.Current(now)
 	if table != nil && table.Version() == a.Version {
 		e.belief.Confirm(sent.Add(-config.Millis(a.VersionAgeMs)))
 	}
@@ -311,7 +311,7 @@
 // stale until the next answer, and read the store.
 func (e *Edge) catchUp(now time.Time, a wire.GossipAnswer, sent time.Time) {
 	hub, version := a.Sender, a.Version
-	table, _, _ := e.belief.Now(now)
+	table, _, _ := e.belief.Current(now)
 	if table != nil && table.Version() >= version || version == 0 || !e.catching.CompareAndSwap(false, true) {
 		return
 	}
--- a/edge/run.go
+++ b/edge/run.go
@@ -217,7 +217,7 @@
 		e.budget.Resize(e.slack(e.Count()))
 		e.noteRole()
 	}
-	table, age, stale := e.belief.Now(now)
+	table, age, stale := e.belief.Current(now)
 	if table == nil || stale == e.wasStale {
 		return
 	}
--- a/edge/speeds.go
+++ b/edge/speeds.go
@@ -9,7 +9,7 @@
 // renewSpeeds keeps what is believed of all engines, as this box may be the next to
 // decide for all.
 func (e *Edge) renewSpeeds(now time.Time) {
-	table, _, _ := e.belief.Now(now)
+	table, _, _ := e.belief.Current(now)
 	if table == nil {
 		return
 	}
--- a/edge/view.go
+++ b/edge/view.go
@@ -35,7 +35,7 @@
 	for _, b := range e.members.Hubs(now) {
 		v.Hubs = append(v.Hubs, b.Name)
 	}
-	if table, age, _ := e.belief.Now(now); table != nil {
+	if table, age, _ := e.belief.Current(now); table != nil {
 		for _, service := range table.Engines() {
 			v.Speeds = append(v.Speeds, e.speeds.Beliefs(now, service)...)
 		}
@@ -66,7 +66,7 @@
 // keeps returns the services whose queue this box keeps, as it sees it.
 func (e *Edge) keeps() []string {
 	keeps := []string{}
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return keeps
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -154,7 +154,7 @@
 	if r.Full() {
 		return nil, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(comeAgain)
 	}
-	table, age, stale := r.Belief.Now(req.Arrived)
+	table, age, stale := r.Belief.Current(req.Arrived)
 	if table == nil {
 		return nil, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(comeAgain)
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -230,7 +230,7 @@
 		belief: routecache.New(4600 * time.Millisecond), fleet: fleet.New(time.Second), runs: runs.New(), tally: upstreamload.New(),
 		sender: &sender{script: script},
 	}
-	w.belief.Take(table)
+	w.belief.Update(table)
 	w.belief.Confirm(time.Now())
 	var list []fleet.Upstream
 	for _, service := range []string{"plain", "llm"} {
@@ -540,7 +540,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, first, reply{body: "ok"})
-				w.belief.Take(route.New(8, []route.Route{
+				w.belief.Update(route.New(8, []route.Route{
 					{Name: "whole", Host: "h", Prefix: "/whole/", Repeatable: true, Attempts: 2, Timeout: time.Second, Aim: 100 * time.Millisecond, Split: split("llm")},
 				}, []route.Service{{Name: "llm", Engine: &route.Engine{Slots: 8, Memory: 30000, EventTokens: 4}}}, []route.Organisation{{Name: "council", Keys: []string{"key"}}}, route.Limits{}))
 				r := &room{w: w}
@@ -865,7 +865,7 @@
 				is := is.New(t)
 				w := newWorld(t, reply{body: "b"})
 				w.relay.Chooser.Regions = map[string]string{"": "edinburgh"}
-				w.belief.Take(route.New(8, []route.Route{
+				w.belief.Update(route.New(8, []route.Route{
 					{Name: "safe", Host: "h", Prefix: "/safe/", Repeatable: true, Attempts: 2, Timeout: time.Second, Aim: time.Second, Split: split("plain"), Regions: tt.route},
 				}, []route.Service{{Name: "plain"}}, []route.Organisation{{Name: "council", Keys: []string{"key"}, Regions: tt.organisation}}, route.Limits{}))
 				w.belief.Confirm(time.Now())
--- a/routecache/routecache.go
+++ b/routecache/routecache.go
@@ -34,9 +34,9 @@
 	b.slept = slept
 }
 
-// Take takes a version; it reports false, and keeps what it has, if that is as
+// Update takes a version; it reports false, and keeps what it has, if that is as
 // new or newer.
-func (b *Cache) Take(t *route.Table) bool {
+func (b *Cache) Update(t *route.Table) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.table != nil && t.Version() <= b.table.Version() {
@@ -56,9 +56,9 @@
 	}
 }
 
-// Now returns the configuration, nil if there is none yet, how old the belief
+// Current returns the configuration, nil if there is none yet, how old the belief
 // in it is, and whether that is too old to serve by.
-func (b *Cache) Now(now time.Time) (t *route.Table, age time.Duration, stale bool) {
+func (b *Cache) Current(now time.Time) (t *route.Table, age time.Duration, stale bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	age = now.Sub(b.confirmed)
@@ -71,6 +71,6 @@
 
 // Age returns how old the belief is; false if there is none.
 func (b *Cache) Age(now time.Time) (time.Duration, bool) {
-	t, age, _ := b.Now(now)
+	t, age, _ := b.Current(now)
 	return age, t != nil
 }
