--- a/readpolicy/readpolicy.go
+++ b/readpolicy/readpolicy.go
@@ -231,8 +231,8 @@
 // Pace implements tablesync.Need.
 func (r *Policy) Pace() tablesync.Pace {
 	if r.boxes.Reads() {
-		return tablesync.Pace{First: hubFirst, Most: hubMost}
+		return tablesync.Pace{Initial: hubFirst, Max: hubMost}
 	}
 	wait := min(max(time.Duration(r.boxes.Count())*shared, hubMost), sharedMost)
-	return tablesync.Pace{First: wait, Most: wait}
+	return tablesync.Pace{Initial: wait, Max: wait}
 }
--- a/readpolicy/readpolicy_test.go
+++ b/readpolicy/readpolicy_test.go
@@ -183,10 +183,10 @@
 		boxes boxes
 		want  tablesync.Pace
 	}{
-		"a hub":      {boxes{reads: true, count: 350}, tablesync.Pace{First: 100 * time.Millisecond, Most: 1200 * time.Millisecond}},
-		"few boxes":  {boxes{count: 10}, tablesync.Pace{First: 1200 * time.Millisecond, Most: 1200 * time.Millisecond}},
-		"many boxes": {boxes{count: 58}, tablesync.Pace{First: 2900 * time.Millisecond, Most: 2900 * time.Millisecond}},
-		"350 boxes":  {boxes{count: 350}, tablesync.Pace{First: 5 * time.Second, Most: 5 * time.Second}},
+		"a hub":      {boxes{reads: true, count: 350}, tablesync.Pace{Initial: 100 * time.Millisecond, Max: 1200 * time.Millisecond}},
+		"few boxes":  {boxes{count: 10}, tablesync.Pace{Initial: 1200 * time.Millisecond, Max: 1200 * time.Millisecond}},
+		"many boxes": {boxes{count: 58}, tablesync.Pace{Initial: 2900 * time.Millisecond, Max: 2900 * time.Millisecond}},
+		"350 boxes":  {boxes{count: 350}, tablesync.Pace{Initial: 5 * time.Second, Max: 5 * time.Second}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/tablesync/tablesync.go
+++ b/tablesync/tablesync.go
@@ -44,8 +44,8 @@
 // Pace bounds the waits between failed calls, which are paid for also when the
 // store is down.
 type Pace struct {
-	First time.Duration
-	Most  time.Duration
+	Initial time.Duration
+	Max     time.Duration
 }
 
 // Need decides whether calls are made at all.
@@ -59,8 +59,8 @@
 	Pace() Pace
 }
 
-// Heard takes the store's answers.
-type Heard interface {
+// Observer takes the store's answers.
+type Observer interface {
 	// Confirm takes that a call sent at a time has brought all changes until then.
 	Confirm(sent time.Time)
 	// Answered takes that the store answered at a time.
@@ -70,7 +70,7 @@
 // Follower runs on one goroutine.
 type Follower struct {
 	source Source
-	heard  Heard
+	heard  Observer
 	need   Need
 	log    *logrus.Entry
 	now    func() time.Time
@@ -83,7 +83,7 @@
 // New returns a follower, which tells heard of each answer. While it is not
 // needed, because others tell, no calls are made; when it is needed again, it
 // lists.
-func New(name string, source Source, heard Heard, need Need, log *logrus.Entry) *Follower {
+func New(name string, source Source, heard Observer, need Need, log *logrus.Entry) *Follower {
 	return &Follower{source: source, heard: heard, need: need, log: log.WithField("table", name), now: time.Now}
 }
 
@@ -108,7 +108,7 @@
 			continue
 		}
 		pace := f.need.Pace()
-		pause = min(max(2*pause, pace.First), pace.Most)
+		pause = min(max(2*pause, pace.Initial), pace.Max)
 		if !sleep(ctx, pause/2+rand.N(pause)) {
 			return
 		}
--- a/tablesync/tablesync_test.go
+++ b/tablesync/tablesync_test.go
@@ -73,7 +73,7 @@
 func (need) Wait() time.Duration { return wait }
 
 func (need) Pace() tablesync.Pace {
-	return tablesync.Pace{First: 100 * time.Millisecond, Most: 1200 * time.Millisecond}
+	return tablesync.Pace{Initial: 100 * time.Millisecond, Max: 1200 * time.Millisecond}
 }
 
 func gives(mark int64, err error) func(context.Context) (int64, error) {
