--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -720,7 +720,7 @@
 		})
 		time.Sleep(upTo(random, 100*time.Millisecond))
 	}
-	c.until(t, "knows many, and two are hubs", time.Minute, func(e *Edge) bool { return e.Known() && !e.AllRead() && len(c.hubs()) == 2 })
+	c.until(t, "knows many, and two are hubs", time.Minute, func(e *Edge) bool { return e.Joined() && !e.AllReaders() && len(c.hubs()) == 2 })
 	for _, e := range c.hubs() {
 		c.kill(e)
 	}
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -377,7 +377,7 @@
 	until(t, "all know of many, and two read", func() bool {
 		lost = nil
 		for _, b := range s.boxes {
-			if !b.Known() || b.AllRead() {
+			if !b.Joined() || b.AllReaders() {
 				return false
 			}
 			if b.IsHub() {
--- a/edge/fleet_test.go
+++ b/edge/fleet_test.go
@@ -79,7 +79,7 @@
 	is.True(!known()) // one upstream of those that there are
 	e.HandleAnswer(wire.GossipAnswer{Sender: near, FleetLater: true}, time.Now())
 	is.True(!known())
-	is.True(time.Since(e.Promised()) < waitMost)
+	is.True(time.Since(e.LastPromised()) < waitMost)
 	e.HandleAnswer(wire.GossipAnswer{Sender: near, FleetAt: 9, Upstreams: rows("open", 1)}, time.Now())
 	is.True(known())
 	is.Equal(e.View().Upstreams, 2)
--- a/edge/join.go
+++ b/edge/join.go
@@ -236,14 +236,14 @@
 	e.log.WithField("boxes", len(known)).Info("boxes_listed")
 }
 
-// Known implements readpolicy.Boxes.
-func (e *Edge) Known() bool { return e.joined.Load() }
+// Joined implements readpolicy.Boxes.
+func (e *Edge) Joined() bool { return e.joined.Load() }
 
 // Listed implements readpolicy.Boxes.
 func (e *Edge) Listed() bool { return e.others.Load() }
 
-// TurnedAway implements readpolicy.Boxes.
-func (e *Edge) TurnedAway() bool { return e.turnedAway.Load() }
+// Rejected implements readpolicy.Boxes.
+func (e *Edge) Rejected() bool { return e.turnedAway.Load() }
 
 // IsHub tells whether this box knows for others.
 func (e *Edge) IsHub() bool {
@@ -251,30 +251,30 @@
 	return is
 }
 
-// Reads implements readpolicy.Boxes.
-func (e *Edge) Reads() bool { return e.members.IsReader(time.Now()) }
+// IsReader implements readpolicy.Boxes.
+func (e *Edge) IsReader() bool { return e.members.IsReader(time.Now()) }
 
 // Count implements readpolicy.Boxes.
 func (e *Edge) Count() int { return e.members.Count(time.Now()) }
 
-// Crowded implements readpolicy.Boxes.
-func (e *Edge) Crowded() bool { return e.members.LargeFleetCounts(time.Now()) != nil }
+// IsLargeFleet implements readpolicy.Boxes.
+func (e *Edge) IsLargeFleet() bool { return e.members.LargeFleetCounts(time.Now()) != nil }
 
-// AllRead implements readpolicy.Boxes.
-func (e *Edge) AllRead() bool {
+// AllReaders implements readpolicy.Boxes.
+func (e *Edge) AllReaders() bool {
 	count := e.Count()
 	return count <= members.MaxReaders && len(e.members.Hubs(time.Now())) == count
 }
 
-// HubHeard implements readpolicy.Boxes.
-func (e *Edge) HubHeard() time.Time {
+// LastHubAnswer implements readpolicy.Boxes.
+func (e *Edge) LastHubAnswer() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.hubHeard
 }
 
-// Promised implements readpolicy.Boxes.
-func (e *Edge) Promised() time.Time {
+// LastPromised implements readpolicy.Boxes.
+func (e *Edge) LastPromised() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.promised
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -97,11 +97,11 @@
 	nearest := e.members.PrimaryHub(now).Name
 	switch {
 	case e.IsHub() && e.members.LargeFleetCounts(now) != nil:
-		return !e.Reads() && e.members.IsReaderBox(now, hub.Name)
+		return !e.IsReader() && e.members.IsReaderBox(now, hub.Name)
 	case e.IsHub(), nearest == hub.Name:
 		return true
 	}
-	return !e.HubHeard().IsZero() && !e.hears(nearest)
+	return !e.LastHubAnswer().IsZero() && !e.hears(nearest)
 }
 
 // mark returns how far a hub's fleet is known here, and this box's there. A hub
--- a/edge/view.go
+++ b/edge/view.go
@@ -21,7 +21,7 @@
 func (e *Edge) View() wire.BoxView {
 	now := time.Now()
 	v := wire.BoxView{
-		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.Reads(), Keeps: e.keeps(), Hubs: []string{}, Asks: []string{},
+		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.IsReader(), Keeps: e.keeps(), Hubs: []string{}, Asks: []string{},
 		Nearest: e.members.PrimaryHub(now).Name, Boxes: e.members.Count(now), Leaving: e.members.CountLeaving(), Told: e.tally.Boxes(now),
 		ConfigurationAgeMs: unknownAge, UpstreamsAgeMs: unknownAge, StoreSilentMs: unknownAge, LoadsAgeMs: unknownAge,
 		Upstreams: e.fleet.CountOpen(), Waiting: e.admission.Waiting(), Serving: int(e.serving.Load()), Stopping: e.draining.Load(),
@@ -90,7 +90,7 @@
 func (e *Edge) noteRole() {
 	now := time.Now()
 	role := logrus.Fields{
-		"hub": e.IsHub(), "reads": e.Reads(), "keeps": strings.Join(e.keeps(), ","), "nearest": e.members.PrimaryHub(now).Name, "crowd": e.Crowded(),
+		"hub": e.IsHub(), "reads": e.IsReader(), "keeps": strings.Join(e.keeps(), ","), "nearest": e.members.PrimaryHub(now).Name, "crowd": e.IsLargeFleet(),
 	}
 	if maps.Equal(e.role, role) {
 		return
--- a/readpolicy/readpolicy.go
+++ b/readpolicy/readpolicy.go
@@ -72,24 +72,24 @@
 
 // Boxes is what is known of the boxes.
 type Boxes interface {
-	// Known tells whether this box has joined the others, and read who they are.
-	Known() bool
+	// Joined tells whether this box has joined the others, and read who they are.
+	Joined() bool
 	// Listed tells whether it has read who the others were, joined or not.
 	Listed() bool
-	// TurnedAway tells whether the store has turned its last call for them away.
-	TurnedAway() bool
-	// Reads tells whether this box reads for others.
-	Reads() bool
+	// Rejected tells whether the store has turned its last call for them away.
+	Rejected() bool
+	// IsReader tells whether this box reads for others.
+	IsReader() bool
 	// Count returns how many boxes there are.
 	Count() int
-	// AllRead tells whether every box reads for itself.
-	AllRead() bool
-	// HubHeard returns when a hub last answered.
-	HubHeard() time.Time
-	// Crowded tells whether boxes are too many for each to call all hubs.
-	Crowded() bool
-	// Promised returns when a hub last said that it tells all later.
-	Promised() time.Time
+	// AllReaders tells whether every box reads for itself.
+	AllReaders() bool
+	// LastHubAnswer returns when a hub last answered.
+	LastHubAnswer() time.Time
+	// IsLargeFleet tells whether boxes are too many for each to call all hubs.
+	IsLargeFleet() bool
+	// LastPromised returns when a hub last said that it tells all later.
+	LastPromised() time.Time
 }
 
 // Policy is that of one table. It is safe for use by several goroutines.
@@ -136,9 +136,9 @@
 // Reason returns why this box is to read now.
 func (r *Policy) Reason(now time.Time) Reason {
 	age, known := r.age(now)
-	reads := r.boxes.Reads()
-	silent := now.Sub(r.boxes.HubHeard()) > r.unheard()
-	joined := r.boxes.Known() || r.boxes.Crowded() && (reads && r.until.IsZero() || !silent) // joining takes many a second
+	reads := r.boxes.IsReader()
+	silent := now.Sub(r.boxes.LastHubAnswer()) > r.unheard()
+	joined := r.boxes.Joined() || r.boxes.IsLargeFleet() && (reads && r.until.IsZero() || !silent) // joining takes many a second
 	switch {
 	case !joined && known:
 		return Unjoined.when(age > unheard)
@@ -159,7 +159,7 @@
 // unheard is for how long no hub may have answered: of a crowd one may be left that is
 // called each second.
 func (r *Policy) unheard() time.Duration {
-	if r.boxes.Crowded() {
+	if r.boxes.IsLargeFleet() {
 		return unheard + spareCalled
 	}
 	return unheard
@@ -177,15 +177,15 @@
 func (r *Policy) unjoined(now time.Time) Reason {
 	waited := now.Sub(r.start)
 	switch {
-	case r.boxes.Crowded() && !r.until.IsZero():
+	case r.boxes.IsLargeFleet() && !r.until.IsZero():
 		return Unjoined.when(waited >= coldMost+crowdTold+r.crowds(crowdSpread))
 	case !r.until.IsZero():
 		return Unjoined.when(now.After(r.until))
-	case !r.boxes.Listed() && r.boxes.TurnedAway(): // as any other call would be; it may be of a crowd
+	case !r.boxes.Listed() && r.boxes.Rejected(): // as any other call would be; it may be of a crowd
 		return Unjoined.when(waited >= crowdTold+crowdSpread*r.spread)
 	case !r.boxes.Listed():
 		return Unjoined.when(waited >= listedIn+r.spread)
-	case !r.boxes.Crowded():
+	case !r.boxes.IsLargeFleet():
 		return Unjoined
 	}
 	return Unjoined.when(waited >= crowdTold+r.crowds(crowdSpread))
@@ -195,16 +195,16 @@
 func (r *Policy) first(now time.Time) bool {
 	waited := now.Sub(r.since(now))
 	told, most := r.told, promisedMost+r.crowds(crowdSpread)
-	if r.boxes.Crowded() {
+	if r.boxes.IsLargeFleet() {
 		told = max(told, crowdTold) + r.crowds(crowdSpread)
 	}
-	promised := now.Sub(r.boxes.Promised()) <= unheard && waited < most
+	promised := now.Sub(r.boxes.LastPromised()) <= unheard && waited < most
 	return waited >= told && !promised
 }
 
 // crowds returns some times this box's spread in a crowd, and none otherwise.
 func (r *Policy) crowds(times int) time.Duration {
-	if !r.boxes.Crowded() {
+	if !r.boxes.IsLargeFleet() {
 		return 0
 	}
 	return time.Duration(times) * r.spread
@@ -222,7 +222,7 @@
 
 // Wait implements tablesync.Need.
 func (r *Policy) Wait() time.Duration {
-	if r.boxes.AllRead() {
+	if r.boxes.AllReaders() {
 		return feedWait
 	}
 	return feedLeast + rand.N(feedWait-feedLeast)
@@ -230,7 +230,7 @@
 
 // Pace implements tablesync.Need.
 func (r *Policy) Pace() tablesync.Pace {
-	if r.boxes.Reads() {
+	if r.boxes.IsReader() {
 		return tablesync.Pace{Initial: hubFirst, Max: hubMost}
 	}
 	wait := min(max(time.Duration(r.boxes.Count())*shared, hubMost), sharedMost)
--- a/readpolicy/readpolicy_test.go
+++ b/readpolicy/readpolicy_test.go
@@ -22,15 +22,15 @@
 	heard, promised time.Time
 }
 
-func (b boxes) Known() bool         { return b.known }
-func (b boxes) Reads() bool         { return b.reads }
-func (b boxes) Count() int          { return b.count }
-func (b boxes) Listed() bool        { return !b.unlisted }
-func (b boxes) TurnedAway() bool    { return b.away }
-func (b boxes) Crowded() bool       { return b.crowded }
-func (b boxes) AllRead() bool       { return b.count <= 8 }
-func (b boxes) HubHeard() time.Time { return b.heard }
-func (b boxes) Promised() time.Time { return b.promised }
+func (b boxes) Joined() bool             { return b.known }
+func (b boxes) IsReader() bool           { return b.reads }
+func (b boxes) Count() int               { return b.count }
+func (b boxes) Listed() bool             { return !b.unlisted }
+func (b boxes) Rejected() bool           { return b.away }
+func (b boxes) IsLargeFleet() bool       { return b.crowded }
+func (b boxes) AllReaders() bool         { return b.count <= 8 }
+func (b boxes) LastHubAnswer() time.Time { return b.heard }
+func (b boxes) LastPromised() time.Time  { return b.promised }
 
 const never = -1
 
