--- a/readpolicy/readpolicy.go
+++ b/readpolicy/readpolicy.go
@@ -124,10 +124,10 @@
 const (
 	None     Reason = ""
 	Reader   Reason = "reader"   // it reads for others
-	Untold   Reason = "untold"   // it knows nothing, and was not told in time
+	NoReport Reason = "untold"   // it knows nothing, and was not told in time
 	Unjoined Reason = "unjoined" // it does not know the other boxes
-	Unheard  Reason = "unheard"  // no hub answers
-	Old      Reason = "old"      // the hubs tell what is old
+	NoHub    Reason = "unheard"  // no hub answers
+	Outdated Reason = "old"      // the hubs tell what is old
 )
 
 // Needed implements tablesync.Need: it tells whether this box is to read now.
@@ -147,13 +147,13 @@
 	case !known && reads:
 		return Reader
 	case !known:
-		return Untold.when(r.first(now))
+		return NoReport.when(r.first(now))
 	case silent && !reads:
-		return Unheard.when(age > unheard+r.crowds(crowdUnheard))
+		return NoHub.when(age > unheard+r.crowds(crowdUnheard))
 	case reads:
 		return Reader
 	}
-	return Old.when(age > told+r.spread)
+	return Outdated.when(age > told+r.spread)
 }
 
 // unheard is for how long no hub may have answered: of a crowd one may be left that is
