--- a/edge/edge.go
+++ b/edge/edge.go
@@ -254,7 +254,7 @@
 	e.callers = callers.New(e.relay, e.bodyMost, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Parts{
 		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.tally,
-		Moved: e.metrics.Moved, Log: e.log, Leaving: e.fleet.IsLeaving, Takes: e.fleet.Takes,
+		RecordMove: e.metrics.Moved, Log: e.log, IsLeaving: e.fleet.IsLeaving, AcceptsWork: e.fleet.Takes,
 	})
 }
 
@@ -387,7 +387,7 @@
 		at := len(e.runs.At(u.ID))
 		e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.StartedAt, "source": source, "runs": at}).Info("upstream_leaves")
 		if e.config.Edge.Moves != wire.EdgeMovesNone {
-			e.evacuator.Leaves(ctx, u)
+			e.evacuator.Evacuate(ctx, u)
 		}
 	}
 }
--- a/edge/turns.go
+++ b/edge/turns.go
@@ -27,7 +27,7 @@
 // Take implements evacuate.Turns: one box keeps the turns of all upstreams of a
 // service, the first in the service's rendezvous order, so that it knows all
 // links that are in use. One that is not heard is done without.
-func (e *Edge) Take(ctx context.Context, ask evacuate.Ask) (target string, giveBack func()) {
+func (e *Edge) Take(ctx context.Context, ask evacuate.TurnRequest) (target string, giveBack func()) {
 	alone := func() {}
 	if e.config.Edge.Moves != wire.EdgeMovesTurns {
 		return ask.Targets[0], alone
@@ -50,7 +50,7 @@
 
 // askTurn asks another box for a turn, again and again while it answers that
 // there is none yet: one that does not answer is done without.
-func (e *Edge) askTurn(ctx context.Context, keeper members.Box, ask evacuate.Ask) (target string, giveBack func()) {
+func (e *Edge) askTurn(ctx context.Context, keeper members.Box, ask evacuate.TurnRequest) (target string, giveBack func()) {
 	call := wire.TurnAsk{
 		Upstream: ask.Source.ID, Box: e.config.Box, Targets: ask.Targets, Tokens: ask.Tokens, WaitMs: int(turnWait.Milliseconds()),
 	}
--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -52,21 +52,21 @@
 	ErrBusy   = errors.New("a move of the run is under way")
 )
 
-// Copied is what came of a copy.
-type Copied struct {
+// CopyResult is what came of a copy.
+type CopyResult struct {
 	Copy   exchange.Copy
 	Events int // made when it was complete
 }
 
 // Mover moves the memory of runs.
 type Mover interface {
-	Move(ctx context.Context, source, run, target string, last bool) (Copied, error)
+	Move(ctx context.Context, source, run, target string, last bool) (CopyResult, error)
 	// Release frees a copy that nobody goes on from.
 	Release(ctx context.Context, c exchange.Copy) error
 }
 
-// Ask is what a turn is asked for.
-type Ask struct {
+// TurnRequest is what a turn is asked for.
+type TurnRequest struct {
 	Source  fleet.Upstream
 	Targets []string // ids, the best first
 	Tokens  int      // of memory that moves
@@ -77,7 +77,7 @@
 	// Take waits for a turn, and returns which of the targets it is for; it is
 	// given back by the returned function. A box that cannot reach the keeper of
 	// the turns, or waits in vain until ctx ends, goes alone, to the first target.
-	Take(ctx context.Context, ask Ask) (target string, giveBack func())
+	Take(ctx context.Context, ask TurnRequest) (target string, giveBack func())
 }
 
 // Services returns a service of the configuration in force.
@@ -85,16 +85,16 @@
 
 // Parts are what an evacuator works with.
 type Parts struct {
-	Runs     *runs.Runs
-	Chooser  *picker.Picker
-	Mover    Mover
-	Turns    Turns
-	Services Services
-	Tally    *upstreamload.Tracker                    // counts copies at their targets
-	Moved    func(outcome string, took time.Duration) // counts moves
-	Leaving  func(upstream string) bool               // false once it is back
-	Takes    func(upstream string) bool               // it takes new work
-	Log      *logrus.Entry
+	Runs        *runs.Runs
+	Chooser     *picker.Picker
+	Mover       Mover
+	Turns       Turns
+	Services    Services
+	Tally       *upstreamload.Tracker                    // counts copies at their targets
+	RecordMove  func(outcome string, took time.Duration) // counts moves
+	IsLeaving   func(upstream string) bool               // false once it is back
+	AcceptsWork func(upstream string) bool               // it takes new work
+	Log         *logrus.Entry
 }
 
 // Evacuator is safe for use by several goroutines.
@@ -103,10 +103,10 @@
 // New returns an evacuator.
 func New(parts Parts) *Evacuator { return &Evacuator{parts} }
 
-// Leaves moves what this box has at an upstream that leaves, until nothing is
+// Evacuate moves what this box has at an upstream that leaves, until nothing is
 // left there, the upstream is gone, or it turns out to stay. Requests that are
 // not answered yet are waited for: they can be moved once they run.
-func (e *Evacuator) Leaves(ctx context.Context, u fleet.Upstream) {
+func (e *Evacuator) Evacuate(ctx context.Context, u fleet.Upstream) {
 	service, ok := e.Services(u.Service)
 	if !ok || service.Engine == nil || !service.Engine.Moves {
 		return
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithTimeout(ctx, evacuateFor)
 	defer cancel()
 	gaveUp := map[*runs.Run]bool{}
-	for ctx.Err() == nil && e.Tally.Busy(u.ID) && e.Leaving(u.ID) {
+	for ctx.Err() == nil && e.Tally.Busy(u.ID) && e.IsLeaving(u.ID) {
 		run := e.next(u, gaveUp)
 		if run == nil {
 			sleep(ctx, again)
@@ -169,26 +169,26 @@
 	log = log.WithField("took_ms", took.Milliseconds())
 	switch {
 	case err == nil:
-		e.Moved("moved", took)
+		e.RecordMove("moved", took)
 		log.Info("moved")
 		return true
 	case errors.Is(err, ErrNoRun):
-		e.Moved("no_run", took)
+		e.RecordMove("no_run", took)
 		log.Info("not_moved_ended")
 		return run.Events() > 0
 	case errors.Is(err, ErrNoRoom), errors.Is(err, ErrBusy):
-		e.Moved("no_room", took)
+		e.RecordMove("no_room", took)
 		log.WithError(err).Warn("not_moved")
 		return false
 	}
-	e.Moved("failed", took)
+	e.RecordMove("failed", took)
 	log.WithError(err).Warn("not_moved")
 	return true
 }
 
 // take waits for the turn to move a run to one of some targets.
 func (e *Evacuator) take(ctx context.Context, run *runs.Run, u fleet.Upstream, ranked []picker.Choice) (target picker.Choice, giveBack func()) {
-	ask := Ask{Source: u, Tokens: run.Tokens()}
+	ask := TurnRequest{Source: u, Tokens: run.Tokens()}
 	for _, c := range ranked {
 		ask.Targets = append(ask.Targets, c.Upstream.ID)
 	}
@@ -206,7 +206,7 @@
 	if err != nil {
 		return err
 	}
-	if !e.Takes(target.ID) { // its hall was evacuated meanwhile, or it leaves too
+	if !e.AcceptsWork(target.ID) { // its hall was evacuated meanwhile, or it leaves too
 		e.release(first.Copy)
 		return ErrNoRoom
 	}
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -65,14 +65,14 @@
 	return func() { <-busy }
 }
 
-func (l *links) Move(_ context.Context, source, run, target string, last bool) (evacuate.Copied, error) {
+func (l *links) Move(_ context.Context, source, run, target string, last bool) (evacuate.CopyResult, error) {
 	stopped := time.Now()
 	defer l.use(source)()
 	defer l.use(target)()
 	if l.fail != nil {
 		if err := l.fail(run, target, last); err != nil {
 			l.close(run, last && (err == errGone || l.ends[run]))
-			return evacuate.Copied{}, err
+			return evacuate.CopyResult{}, err
 		}
 	}
 	took := setup
@@ -85,7 +85,7 @@
 	time.Sleep(took)
 	if time.Now().After(l.dies) {
 		l.close(run, true)
-		return evacuate.Copied{}, errGone
+		return evacuate.CopyResult{}, errGone
 	}
 	l.close(run, last)
 	l.mu.Lock()
@@ -95,7 +95,7 @@
 		l.pauses[run] = time.Since(stopped)
 		l.moved[run] = target
 	}
-	return evacuate.Copied{Copy: exchange.Copy{Holder: source, ID: "copy-" + run}}, nil
+	return evacuate.CopyResult{Copy: exchange.Copy{Holder: source, ID: "copy-" + run}}, nil
 }
 
 func (l *links) close(run string, closes bool) {
@@ -125,7 +125,7 @@
 // alone is the baseline: no box waits for any other.
 type alone struct{}
 
-func (alone) Take(_ context.Context, ask evacuate.Ask) (string, func()) {
+func (alone) Take(_ context.Context, ask evacuate.TurnRequest) (string, func()) {
 	return ask.Targets[0], func() {}
 }
 
@@ -135,7 +135,7 @@
 	box   string
 }
 
-func (b byTurns) Take(ctx context.Context, ask evacuate.Ask) (string, func()) {
+func (b byTurns) Take(ctx context.Context, ask evacuate.TurnRequest) (string, func()) {
 	target, ok := b.turns.Take(ctx, moveturns.Ask{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
 	if !ok {
 		return ask.Targets[0], func() {}
@@ -171,10 +171,10 @@
 	service := route.Service{Name: "llm", Engine: &route.Engine{Slots: 48, Memory: 34000, Moves: true, EventTokens: 4}}
 	b.Evacuator = evacuate.New(evacuate.Parts{
 		Runs: b.runs, Chooser: chooser, Mover: mover, Turns: t, Tally: b.tally,
-		Services: func(string) (route.Service, bool) { return service, true },
-		Moved:    func(string, time.Duration) {}, Log: logs.New(io.Discard, "info", "b"),
-		Leaving: func(string) bool { return !b.stays },
-		Takes:   func(id string) bool { return !b.full[id] },
+		Services:   func(string) (route.Service, bool) { return service, true },
+		RecordMove: func(string, time.Duration) {}, Log: logs.New(io.Discard, "info", "b"),
+		IsLeaving:   func(string) bool { return !b.stays },
+		AcceptsWork: func(id string) bool { return !b.full[id] },
 	})
 	return b
 }
@@ -233,7 +233,7 @@
 			id, at := fmt.Sprint("r", i), from[i%len(from)]
 			r, end := b.run(at, id, l.tokens[id], 900, 10)
 			all.Go(func() { relay(ctx, l, r, end, &result) })
-			all.Go(func() { b.Leaves(ctx, at) })
+			all.Go(func() { b.Evacuate(ctx, at) })
 		}
 		all.Wait()
 		moved = len(l.moved)
@@ -284,7 +284,7 @@
 		b.stays = true
 		_, end := b.run(leaving, "r", 3000, 900, 10)
 		defer end()
-		b.Leaves(t.Context(), leaving)
+		b.Evacuate(t.Context(), leaving)
 		is.New(t).Equal(len(l.moved), 0)
 	})
 }
@@ -309,7 +309,7 @@
 		r, end := b.run(leaving, "r", 3000, 900, 10)
 		var all sync.WaitGroup
 		var result sync.Map
-		all.Go(func() { b.Leaves(ctx, leaving) })
+		all.Go(func() { b.Evacuate(ctx, leaving) })
 		all.Go(func() { relay(ctx, l, r, end, &result) })
 		all.Wait()
 		is.Equal(len(b.full), 1)
@@ -368,7 +368,7 @@
 				var all sync.WaitGroup
 				var result sync.Map
 				entry := b.tally.Begin(leaving.ID, upstreamload.Load{Requests: 1}) // sent, not yet answered
-				all.Go(func() { b.Leaves(ctx, leaving) })
+				all.Go(func() { b.Evacuate(ctx, leaving) })
 				time.Sleep(tt.later)
 				r, end := b.run(leaving, "r", 3000, tt.left, tt.events)
 				entry.End()
