--- a/edge/run.go
+++ b/edge/run.go
@@ -153,7 +153,7 @@
 	all.Go(func() { e.timer.Every(ctx, "tick", tickEvery, e.tick) })
 	look := probe.New(e.fleet, e.storeSilent, e.runs, e.upstreams, e.limits, e.rest, e.log)
 	all.Go(func() {
-		e.timer.Every(ctx, "watch", probe.Period, func(now time.Time) { look.Look(ctx, now) })
+		e.timer.Every(ctx, "watch", probe.Period, func(now time.Time) { look.Poll(ctx, now) })
 	})
 	all.Go(func() { e.join(ctx) })
 	all.Go(func() {
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -41,16 +41,16 @@
 // sourceReport names a report in the log as where news came from.
 const sourceReport = "report"
 
-// Word is what an upstream says of itself. Values are immutable.
-type Word struct {
-	Leaves bool
-	Born   int64 // when it started; 0 where it does not say so
-	Limit  exchange.Limit
-	Rest   time.Duration // for so long it wants nothing from this box; 0 if it does not say so
+// Report is what an upstream says of itself. Values are immutable.
+type Report struct {
+	Leaving   bool
+	StartedAt int64 // when it started; 0 where it does not say so
+	Limit     exchange.Limit
+	Backoff   time.Duration // for so long it wants nothing from this box; 0 if it does not say so
 }
 
-// Rests knows who has asked this box for rest.
-type Rests interface {
+// Backoffs knows who has asked this box for rest.
+type Backoffs interface {
 	Asked(now time.Time, u fleet.Upstream, d time.Duration)
 	Wait(now time.Time, upstream string) time.Duration
 }
@@ -62,7 +62,7 @@
 
 // Reports reads an upstream's own word.
 type Reports interface {
-	Word(ctx context.Context, address string) (Word, error)
+	ReadReport(ctx context.Context, address string) (Report, error)
 }
 
 // Runs names the upstreams at which this box has generations.
@@ -77,20 +77,20 @@
 	runs    Runs
 	reports Reports
 	limits  Limits
-	rests   Rests
+	rests   Backoffs
 	log     *logrus.Entry
 	until   time.Time // upstreams may not have reached the store again
 }
 
 // New returns a watch; Look is to be called each Period. silent tells for how
 // long the store has answered nobody that this box hears of.
-func New(f *fleet.Fleet, silent func(now time.Time) time.Duration, runs Runs, reports Reports, limits Limits, rests Rests, log *logrus.Entry) *Prober {
+func New(f *fleet.Fleet, silent func(now time.Time) time.Duration, runs Runs, reports Reports, limits Limits, rests Backoffs, log *logrus.Entry) *Prober {
 	return &Prober{fleet: f, silent: silent, runs: runs, reports: reports, limits: limits, rests: rests, log: log}
 }
 
-// Look reads the reports of the upstreams that matter, if the store is silent or
+// Poll reads the reports of the upstreams that matter, if the store is silent or
 // was so until just now.
-func (w *Prober) Look(ctx context.Context, now time.Time) {
+func (w *Prober) Poll(ctx context.Context, now time.Time) {
 	silent := w.silent(now)
 	if silent >= outage {
 		w.until = now.Add(afterwards)
@@ -115,15 +115,15 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTime)
 	defer cancel()
 	sent := time.Now()
-	word, err := w.reports.Word(ctx, u.Address)
+	word, err := w.reports.ReadReport(ctx, u.Address)
 	if err != nil {
 		w.log.WithError(err).WithField("upstream", u.ID).Debug("report_not_read")
-		word.Born = 0 // only the answer's head holds
+		word.StartedAt = 0 // only the answer's head holds
 	}
-	w.rests.Asked(time.Now(), u, word.Rest)
+	w.rests.Asked(time.Now(), u, word.Backoff)
 	w.limits.Heard(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
-	w.fleet.MarkStarted(time.Now(), u.ID, word.Born, sourceReport)
-	if word.Leaves {
-		w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: u.ID, Announced: true, StartedAt: cmp.Or(word.Born, u.StartedAt)}, sourceReport)
+	w.fleet.MarkStarted(time.Now(), u.ID, word.StartedAt, sourceReport)
+	if word.Leaving {
+		w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: u.ID, Announced: true, StartedAt: cmp.Or(word.StartedAt, u.StartedAt)}, sourceReport)
 	}
 }
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -26,13 +26,13 @@
 	calls  int
 }
 
-func (r *reports) Word(ctx context.Context, _ string) (probe.Word, error) {
+func (r *reports) ReadReport(ctx context.Context, _ string) (probe.Report, error) {
 	r.calls++
 	if r.hang {
 		<-ctx.Done()
-		return probe.Word{}, ctx.Err()
+		return probe.Report{}, ctx.Err()
 	}
-	return probe.Word{Leaves: r.leaves, Born: r.born, Limit: r.limit}, r.err
+	return probe.Report{Leaving: r.leaves, StartedAt: r.born, Limit: r.limit}, r.err
 }
 
 // heard keeps what upstreams say that they take.
@@ -55,7 +55,7 @@
 		f.Replace(time.Now(), []fleet.Upstream{u}, 1, false)
 		says, h := exchange.Limit{Said: exchange.LimitNamed, PerSecond: 2}, &heard{}
 		w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &reports{limit: says}, h, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
-		w.Look(t.Context(), time.Now())
+		w.Poll(t.Context(), time.Now())
 		is.Equal(h.said, says)
 		is.True(!h.whole)
 	})
@@ -99,7 +99,7 @@
 					runs = running{}
 				}
 				w := probe.New(f, func(time.Time) time.Duration { return tt.silent }, runs, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
-				w.Look(t.Context(), time.Now())
+				w.Poll(t.Context(), time.Now())
 				got, _ := f.Get("u")
 				is.Equal(got.State, tt.want)
 				is.Equal(tt.reports.calls, tt.calls)
@@ -131,10 +131,10 @@
 				silent := tt.silent
 				r := &reports{}
 				w := probe.New(f, func(time.Time) time.Duration { return silent }, running{"u": u}, r, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
-				w.Look(t.Context(), time.Now())
+				w.Poll(t.Context(), time.Now())
 				silent, r.leaves = 0, true
 				time.Sleep(tt.after)
-				w.Look(t.Context(), time.Now())
+				w.Poll(t.Context(), time.Now())
 				got, _ := f.Get("u")
 				is.New(t).Equal(got.State, tt.want)
 			})
@@ -165,7 +165,7 @@
 				u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, StartedAt: 100}
 				f.Put(time.Now(), u)
 				w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, &tt.reports, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
-				w.Look(t.Context(), time.Now())
+				w.Poll(t.Context(), time.Now())
 				got, _ := f.Get("u")
 				is.Equal(got.StartedAt, tt.born)
 				is.Equal(got.State, tt.want)
@@ -177,9 +177,9 @@
 // late answers for an incarnation that ends before its word arrives.
 type late struct{ fleet *fleet.Fleet }
 
-func (l late) Word(context.Context, string) (probe.Word, error) {
+func (l late) ReadReport(context.Context, string) (probe.Report, error) {
 	l.fleet.Put(time.Now(), fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:81", State: fleet.Open, Version: 1, StartedAt: 200})
-	return probe.Word{Leaves: true}, nil
+	return probe.Report{Leaving: true}, nil
 }
 
 // TestLateReport holds that a report which names no incarnation is of the one that was
@@ -190,7 +190,7 @@
 	u := fleet.Upstream{ID: "u", Service: "s", Address: "10.0.0.1:80", State: fleet.Open, StartedAt: 100}
 	f.Put(time.Now(), u)
 	w := probe.New(f, func(time.Time) time.Duration { return time.Minute }, running{"u": u}, late{f}, &heard{}, &backoff.Tracker{}, logs.New(io.Discard, "info", "b"))
-	w.Look(t.Context(), time.Now())
+	w.Poll(t.Context(), time.Now())
 	got, _ := f.Get("u")
 	is.Equal(got.StartedAt, int64(200))
 	is.Equal(got.State, fleet.Open)
