--- a/members/hubs.go
+++ b/members/hubs.go
@@ -7,54 +7,48 @@
 	"time"
 )
 
-// hubsLeast is how many hubs there are where halls are fewer: when one dies, the
-// others are told on without a pause.
-const hubsLeast = 2
+// minHubs is the minimum number of hubs, also where there are fewer halls, so that the
+// loss of one hub does not interrupt the reports.
+const minHubs = 2
 
 // hubsKey is the key of the rendezvous order of hubs.
 const hubsKey = "hubs"
 
 const (
-	// MaxSmallFleet is up to how many boxes each of them calls every hub: four calls a
-	// second of each are a thousand at a hub, of 40 us of processor each and some 0.3
-	// ms with what the system does for them. Beyond, a box calls two hubs, and hubs
-	// tell each other of their boxes.
+	// MaxSmallFleet is the largest number of boxes where each box calls every hub. In a
+	// larger fleet a box calls two hubs, and the hubs exchange their boxes' reports.
 	MaxSmallFleet = 240
-	// hubBoxes is how many boxes of a hall a hub of such a crowd tells: with the loads
-	// of 3,000 upstreams an answer has some 25 KB, four times a second for each.
-	hubBoxes = 40
-	// crowdFor is how long another box's count of a hall's boxes holds that is higher
-	// than what is known here: a box that started among many read half of them, and is
-	// told four times a second.
-	crowdFor = 5 * time.Second
+	// boxesPerHub is how many boxes of a hall one hub of a large fleet reports to.
+	boxesPerHub = 40
+	// countMaxAge is how long a higher count of a hall's boxes, as reported by another
+	// box, replaces this box's own. A box that starts together with many others has
+	// read only some of them.
+	countMaxAge = 5 * time.Second
 )
 
-// count is how many boxes a hall was told to have.
-type count struct {
+// hallCount is the number of boxes of a hall, as reported by another box.
+type hallCount struct {
 	boxes int
 	at    time.Time
 }
 
-// Hubs returns the boxes that know for all others: of each hall the first fit
-// one in rendezvous order that has not failed of late, the next ones where
-// halls are fewer than hubs have to be, and in a crowd one for each hubBoxes of a
-// hall. Each call to the store is paid for, so
-// that no more boxes read than can stand in for each other. A box that was never
-// heard may be one: it is asked, and fails if it is not there. The value is
-// shared and not to be changed.
+// Hubs returns the boxes that follow the store for all others: of each hall the first
+// hub-eligible box in rendezvous order that has not failed recently, further ones up to
+// minHubs, and in a large fleet one for each boxesPerHub boxes of a hall. A box that
+// was never heard from may be a hub; calls to it fail if it is not there. The returned
+// slice is shared and must not be modified.
 //
-// It is worked out anew when a box changes or a failure lapses, and costs the same however
-// many boxes there are in between: it is asked for some hundred times a second.
+// The result is cached until a box changes or a failure expires.
 func (m *Members) Hubs(now time.Time) []Box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.hubs == nil || !m.hubsUntil.IsZero() && !now.Before(m.hubsUntil) {
+	if m.hubs == nil || !m.hubsValidUntil.IsZero() && !now.Before(m.hubsValidUntil) {
 		m.hubs = m.chooseHubs(now)
 	}
 	return m.hubs
 }
 
-// IsHub tells whether this box is a hub, and for how long.
+// IsHub reports whether this box is a hub, and for how long it has been one.
 func (m *Members) IsHub(now time.Time) (since time.Duration, is bool) {
 	m.Hubs(now)
 	m.mu.Lock()
@@ -65,21 +59,21 @@
 	return now.Sub(m.hubSince), true
 }
 
-// candidate is a box that may be a hub.
+// candidate is a box that may become a hub.
 type candidate struct {
 	box    Box
 	weight uint64
 }
 
 func (m *Members) chooseHubs(now time.Time) []Box {
-	m.hubsUntil = time.Time{}
-	m.known = m.byHall()
-	m.crowd = m.crowded(now)
-	sound, lapsed := m.candidates(now)
-	hubs := m.choose(sound)
+	m.hubsValidUntil = time.Time{}
+	m.ownCounts = m.countByHall()
+	m.largeFleetCounts = m.largeFleet(now)
+	healthy, retryable := m.candidates(now)
+	hubs := m.choose(healthy)
 	m.probes = nil
-	if len(lapsed) > 0 {
-		m.probes = without(m.choose(sorted(append(slices.Clone(sound), lapsed...))), hubs)
+	if len(retryable) > 0 {
+		m.probes = without(m.choose(sorted(append(slices.Clone(healthy), retryable...))), hubs)
 	}
 	switch {
 	case !slices.ContainsFunc(hubs, func(b Box) bool { return b.Name == m.self.Name }):
@@ -90,17 +84,17 @@
 	return hubs
 }
 
-// without returns the boxes that are none of the others.
+// without returns the boxes that are not among others.
 func without(boxes, others []Box) []Box {
 	return slices.DeleteFunc(boxes, func(b Box) bool {
 		return slices.ContainsFunc(others, func(o Box) bool { return o.Name == b.Name })
 	})
 }
 
-// choose returns the hubs among candidates, of which the fittest come first.
+// choose selects the hubs from candidates, which are sorted by preference.
 func (m *Members) choose(list []candidate) []Box {
 	hubs, others := []Box{}, []Box{}
-	halls := map[string]int{} // hubs named
+	halls := map[string]int{} // hubs chosen so far
 	for _, c := range list {
 		if halls[c.box.Hall] > 0 {
 			others = append(others, c.box)
@@ -109,22 +103,22 @@
 		halls[c.box.Hall]++
 		hubs = append(hubs, c.box)
 	}
-	missing := min(max(hubsLeast-len(hubs), 0), len(others))
+	missing := min(max(minHubs-len(hubs), 0), len(others))
 	for _, b := range others[:missing] {
 		halls[b.Hall]++
 	}
 	hubs = append(hubs, others[:missing]...)
-	if m.crowd != nil {
-		hubs = m.more(hubs, others[missing:], halls)
+	if m.largeFleetCounts != nil {
+		hubs = m.addLargeFleetHubs(hubs, others[missing:], halls)
 	}
 	return slices.Clip(hubs)
 }
 
-// more adds the hubs that a crowd needs. Only fit boxes help: a weak one that tells
-// 40 others serves nobody else.
-func (m *Members) more(hubs, others []Box, halls map[string]int) []Box {
+// addLargeFleetHubs adds the hubs that a large fleet needs. Only hub-eligible boxes are
+// added: another box could not serve boxesPerHub others.
+func (m *Members) addLargeFleetHubs(hubs, others []Box, halls map[string]int) []Box {
 	for _, b := range others {
-		if b.HubEligible && halls[b.Hall]*hubBoxes < m.crowd[b.Hall] {
+		if b.HubEligible && halls[b.Hall]*boxesPerHub < m.largeFleetCounts[b.Hall] {
 			halls[b.Hall]++
 			hubs = append(hubs, b)
 		}
@@ -132,29 +126,30 @@
 	return hubs
 }
 
-// crowded returns how many boxes each hall has by all that is known; nil unless they
-// are too many for each to call all hubs. It notes until when that holds.
-func (m *Members) crowded(now time.Time) map[string]int {
-	halls, all := maps.Clone(m.known), 0
-	for hall, c := range m.told {
-		if lapses := c.at.Add(crowdFor); now.Before(lapses) && c.boxes > halls[hall] {
+// largeFleet returns the number of boxes of each hall, as known here or reported by
+// others; nil unless there are more than MaxSmallFleet in all. It schedules a
+// recomputation for when a reported count expires.
+func (m *Members) largeFleet(now time.Time) map[string]int {
+	halls, total := maps.Clone(m.ownCounts), 0
+	for hall, c := range m.reportedCounts {
+		if expires := c.at.Add(countMaxAge); now.Before(expires) && c.boxes > halls[hall] {
 			halls[hall] = c.boxes
-			m.hold(lapses)
+			m.recomputeBy(expires)
 		}
 	}
 	for _, boxes := range halls {
-		all += boxes
+		total += boxes
 	}
-	if all <= MaxSmallFleet {
+	if total <= MaxSmallFleet {
 		return nil
 	}
 	return halls
 }
 
-// byHall counts the boxes that this one knows. Those that leave count too: only hubs
-// that they called hear of it, which would else take a crowd for none while its boxes
-// name more hubs, and most come back under their names.
-func (m *Members) byHall() map[string]int {
+// countByHall counts the known boxes of each hall. Leaving boxes count too: only the
+// hubs that they called know that they leave, and the other boxes would otherwise
+// choose fewer hubs or take the fleet for a small one.
+func (m *Members) countByHall() map[string]int {
 	halls := map[string]int{m.self.Hall: 1}
 	for _, r := range m.boxes {
 		if r.box.Address != "" {
@@ -164,112 +159,111 @@
 	return halls
 }
 
-// LargeFleetCounts returns how many boxes of each hall this one knows for itself; nil unless
-// they are too many for each to call all hubs. It is shared and not to be changed.
+// LargeFleetCounts returns the number of boxes of each hall that this box knows itself;
+// nil unless the fleet is large. The map is shared and must not be modified.
 func (m *Members) LargeFleetCounts(now time.Time) map[string]int {
 	m.Hubs(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.crowd == nil {
+	if m.largeFleetCounts == nil {
 		return nil
 	}
-	return m.known
+	return m.ownCounts
 }
 
-// MergedLargeFleetCounts returns what Crowd does, by all that others told of late too.
+// MergedLargeFleetCounts returns the same as LargeFleetCounts, with higher counts that
+// other boxes reported recently.
 func (m *Members) MergedLargeFleetCounts(now time.Time) map[string]int {
 	m.Hubs(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.crowd
+	return m.largeFleetCounts
 }
 
-// UpdateHallCount takes a hub's count of the boxes of a hall: a box that started among many
-// has read only those that had joined before it.
+// UpdateHallCount handles a hub's count of the boxes of a hall. A box that starts
+// together with many others has read only those that had joined before it.
 func (m *Members) UpdateHallCount(now time.Time, hall string, boxes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	old := m.told[hall]
-	lapsed := !now.Before(old.at.Add(crowdFor))
-	if boxes < old.boxes && !lapsed {
+	old := m.reportedCounts[hall]
+	expired := !now.Before(old.at.Add(countMaxAge))
+	if boxes < old.boxes && !expired {
 		return
 	}
-	m.told[hall] = count{boxes, now}
-	if boxes != old.boxes || lapsed {
+	m.reportedCounts[hall] = hallCount{boxes, now}
+	if boxes != old.boxes || expired {
 		m.changed()
 	}
 }
 
-// HubsToCall returns the hubs that this box calls: all others, or in a crowd, unless it is
-// one of them, the one that tells it of all boxes and one that tells it the news if that
-// fails. A hub is called by hubBoxes boxes so, and by as many that do not need it
-// yet, however many there are. Boxes that would be hubs had they not failed some time ago
-// are called beside them, and are hubs again once they answer: while a hall is cut off for
-// long, its boxes would else turn back to it every few seconds, each time for two calls
-// that are not answered.
+// HubsToCall returns the hubs that this box calls: all others, or, if the fleet is
+// large and this box is not a hub, its primary hub and a backup. Boxes that would be
+// hubs but for an earlier failure are called too, and become hubs again when they
+// answer; while a hall is cut off, its boxes are thus not chosen as hubs again every
+// few seconds.
 func (m *Members) HubsToCall(now time.Time) []Box {
 	hubs := m.Hubs(now)
 	m.mu.Lock()
 	self, probes := m.self.Name, m.probes
 	m.mu.Unlock()
 	if _, hub := m.IsHub(now); !hub && m.LargeFleetCounts(now) != nil {
-		probes = m.nearest(probes)
-		return append(m.nearestAndSpare(hubs), probes[:min(len(probes), 1)]...)
+		probes = m.byProximity(probes)
+		return append(m.primaryAndBackup(hubs), probes[:min(len(probes), 1)]...)
 	}
 	return slices.DeleteFunc(append(slices.Clone(hubs), probes...), func(b Box) bool { return b.Name == self })
 }
 
-// nearestAndSpare returns the hub that tells this box, and one of another hall: the links of
-// a hall, or all its boxes that are fit to be hubs, may be gone at once.
-func (m *Members) nearestAndSpare(hubs []Box) []Box {
-	near := m.nearest(hubs)
+// primaryAndBackup returns the primary hub and a backup, if possible in another hall,
+// as all hubs of one hall may become unreachable at once.
+func (m *Members) primaryAndBackup(hubs []Box) []Box {
+	near := m.byProximity(hubs)
 	if len(near) < 2 {
 		return near
 	}
-	spare := slices.IndexFunc(near, func(b Box) bool { return b.Hall != near[0].Hall })
-	if spare < 0 {
-		spare = 1
+	backup := slices.IndexFunc(near, func(b Box) bool { return b.Hall != near[0].Hall })
+	if backup < 0 {
+		backup = 1
 	}
-	return []Box{near[0], near[spare]}
+	return []Box{near[0], near[backup]}
 }
 
-// IsBackupHub tells whether a hub tells this box nothing, as another does and boxes are too
-// many for each to call all hubs.
+// IsBackupHub reports whether this box uses a hub only as a backup, as in a large fleet
+// its primary hub sends it all reports.
 func (m *Members) IsBackupHub(now time.Time, hub Box) bool {
 	_, is := m.IsHub(now)
 	return !is && m.LargeFleetCounts(now) != nil && m.PrimaryHub(now).Name != hub.Name
 }
 
-// hold notes that the hubs are to be worked out anew at a time, if not before.
-func (m *Members) hold(until time.Time) {
-	if m.hubsUntil.IsZero() || until.Before(m.hubsUntil) {
-		m.hubsUntil = until
+// recomputeBy schedules the next computation of the hubs for a time at the latest.
+func (m *Members) recomputeBy(until time.Time) {
+	if m.hubsValidUntil.IsZero() || until.Before(m.hubsValidUntil) {
+		m.hubsValidUntil = until
 	}
 }
 
-// candidates returns the boxes that may be hubs, the fittest first, and those that may be
-// once they answer, as they failed some time ago; it notes until when that holds.
-func (m *Members) candidates(now time.Time) (sound, lapsed []candidate) {
-	sound = make([]candidate, 0, len(m.boxes)+1)
+// candidates returns the healthy boxes that may be hubs, sorted by preference, and
+// those whose failure has expired, which may be hubs once they answer.
+func (m *Members) candidates(now time.Time) (healthy, retryable []candidate) {
+	healthy = make([]candidate, 0, len(m.boxes)+1)
 	for _, r := range m.boxes {
-		lapses := r.failed.Add(failedFor)
+		expires := r.failedAt.Add(failureTimeout)
 		switch {
 		case r.box.Address == "" || r.box.State == Leaving:
-		case r.failed.IsZero(), m.starting(now, r):
-			sound = append(sound, candidate{r.box, r.weight})
-		case !now.Before(lapses):
-			lapsed = append(lapsed, candidate{r.box, r.weight})
+		case r.failedAt.IsZero(), m.starting(now, r):
+			healthy = append(healthy, candidate{r.box, r.weight})
+		case !now.Before(expires):
+			retryable = append(retryable, candidate{r.box, r.weight})
 		default:
-			m.hold(lapses)
+			m.recomputeBy(expires)
 		}
 	}
-	if m.mayBeHub(now, len(sound)) {
-		sound = append(sound, candidate{m.self, weight(hubsKey, m.self.Name)})
+	if m.mayBeHub(now, len(healthy)) {
+		healthy = append(healthy, candidate{m.self, weight(hubsKey, m.self.Name)})
 	}
-	return sorted(sound), lapsed
+	return sorted(healthy), retryable
 }
 
-// sorted sorts candidates, the fittest first.
+// sorted sorts candidates by preference: hub-eligible boxes first, then by weight.
 func sorted(list []candidate) []candidate {
 	slices.SortFunc(list, func(a, b candidate) int { return cmp.Compare(b.weight, a.weight) })
 	strong := func(c candidate) bool { return c.box.HubEligible }
@@ -277,37 +271,35 @@
 	return append(slices.DeleteFunc(list, func(c candidate) bool { return !strong(c) }), weak...)
 }
 
-// mayBeHub tells whether this box may be a hub beside so many others, and notes until when
-// that holds.
+// mayBeHub reports whether this box may be a hub, given the number of other candidates.
 func (m *Members) mayBeHub(now time.Time, others int) bool {
-	lapses := m.named.Add(namedFor)
+	expires := m.namedAt.Add(namedTimeout)
 	switch {
 	case m.self.State == Leaving:
 		return false
 	case !m.hubsOnly || others == 0:
 		return true
-	case !now.Before(lapses):
+	case !now.Before(expires):
 		return false
 	}
-	m.hold(lapses)
+	m.recomputeBy(expires)
 	return true
 }
 
-// MaxReaders bounds how many of the hubs follow the store for all others. Two
-// may be lost at once, and news goes by way of every hub, so that each hears of
-// it within a quarter of a second; three that read in place of six halve the
-// calls to the store of a fleet of six halls.
+// MaxReaders is the maximum number of hubs that follow the store for all others. Two of
+// them may fail at once; each further reader adds to the calls to the store, which are
+// paid for.
 const MaxReaders = 3
 
-// IsReader tells whether this box is one of the hubs that follow the store.
+// IsReader reports whether this box is one of the hubs that follow the store.
 func (m *Members) IsReader(now time.Time) bool { return m.IsReaderBox(now, m.Self().Name) }
 
-// IsHubBox tells whether a box is a hub.
+// IsHubBox reports whether the named box is a hub.
 func (m *Members) IsHubBox(now time.Time, name string) bool {
 	return slices.ContainsFunc(m.Hubs(now), func(b Box) bool { return b.Name == name })
 }
 
-// IsReaderBox tells whether a box is one of the hubs that follow the store.
+// IsReaderBox reports whether the named box is one of the hubs that follow the store.
 func (m *Members) IsReaderBox(now time.Time, name string) bool {
 	hubs := m.Hubs(now)
 	return slices.ContainsFunc(hubs[:min(len(hubs), MaxReaders)], func(b Box) bool { return b.Name == name })
@@ -322,33 +314,35 @@
 	return slices.MaxFunc(hubs, func(a, b Box) int { return cmp.Compare(weight(key, a.Name), weight(key, b.Name)) }), true
 }
 
-// ReachableOwner returns the hub that is first in the rendezvous order of a key among this
-// box and those that it hears; false if there is none. Boxes that have parted agree on
-// one each side as soon as they no longer hear the other.
-func (m *Members) ReachableOwner(now time.Time, key string, hears func(name string) bool) (Box, bool) {
+// ReachableOwner returns the hub that is first in the rendezvous order of a key among
+// this box and those that it can reach, and false if there is none. Each side of a
+// partitioned network agrees on one owner once it no longer receives the other side's
+// reports.
+func (m *Members) ReachableOwner(now time.Time, key string, reachable func(name string) bool) (Box, bool) {
 	self := m.Self().Name
-	first, found, most := Box{}, false, uint64(0)
+	first, found, maxWeight := Box{}, false, uint64(0)
 	for _, b := range m.Hubs(now) {
 		w := weight(key, b.Name)
-		if (!found || w > most) && (b.Name == self || hears(b.Name)) {
-			first, found, most = b, true, w
+		if (!found || w > maxWeight) && (b.Name == self || reachable(b.Name)) {
+			first, found, maxWeight = b, true, w
 		}
 	}
 	return first, found
 }
 
-// PrimaryHub returns the hub that tells this box of all others: one of its own hall
-// where there is one. Where several are alike, boxes are shared out among them.
+// PrimaryHub returns the hub that reports all other boxes to this one, preferably one
+// of its own hall. The boxes of a hall are distributed over its hubs.
 func (m *Members) PrimaryHub(now time.Time) Box {
-	hubs := m.nearest(m.Hubs(now))
+	hubs := m.byProximity(m.Hubs(now))
 	if len(hubs) == 0 {
 		return Box{}
 	}
 	return hubs[0]
 }
 
-// nearest sorts hubs, those of this box's hall first, by this box's own order.
-func (m *Members) nearest(hubs []Box) []Box {
+// byProximity sorts hubs: those of this box's hall first, then by the rendezvous order
+// of this box's name.
+func (m *Members) byProximity(hubs []Box) []Box {
 	self := m.Self()
 	far := func(b Box) int {
 		if b.Hall != self.Hall {
--- a/members/members.go
+++ b/members/members.go
@@ -1,5 +1,5 @@
-// Package members knows which boxes there are and which are alive. The
-// platform's list is a hint that lags; heartbeats decide.
+// Package members tracks the boxes of the fleet and which of them are alive. The
+// platform's list of boxes may lag, so that heartbeats take precedence.
 package members
 
 import (
@@ -12,7 +12,7 @@
 	"petrelstep/wire"
 )
 
-// State is how a box is seen.
+// State is the state of a box as seen from here.
 type State string
 
 // The states of a box.
@@ -24,24 +24,24 @@
 )
 
 const (
-	// suspectAfter is the silence that makes a box suspect.
+	// suspectAfter is the time without a report after which a box is suspect.
 	suspectAfter = 3500 * time.Millisecond
-	// goneAfter is the silence after which a box that is off the list is dropped.
-	goneAfter = 30 * time.Second
-	// failedFor is how long a box that refused a connection is passed by, before it is asked
-	// whether it is back.
-	failedFor = 3 * time.Second
-	// startsFor is how long a box of a crowd that was listed and never heard here may
-	// still be starting: all may have been started at once, and are up within some 2 s.
-	// It stays a hub meanwhile though it refuses: passed by, the first of 300 boxes to
-	// be up took themselves for hubs, and 137 of them read the whole store.
-	startsFor = 5 * time.Second
-	// namedFor is how long a box is a hub after others took it for one: they tell each other
-	// four times a second.
-	namedFor = 3 * time.Second
+	// removeAfter is the time without a report after which a box that is not in the
+	// platform's list is removed.
+	removeAfter = 30 * time.Second
+	// failureTimeout is how long a box that refused a connection is not used, before it
+	// is called again.
+	failureTimeout = 3 * time.Second
+	// startupGrace is how long a listed box of a large fleet that was never heard from
+	// may still be starting. It stays a hub meanwhile, although it refuses connections:
+	// if all boxes start together, the first ones would otherwise take themselves for
+	// hubs and each read the whole store.
+	startupGrace = 5 * time.Second
+	// namedTimeout is how long this box stays a hub after another box named it as one.
+	namedTimeout = 3 * time.Second
 )
 
-// Box is what is known of one box. Values are immutable.
+// Box is what is known about one box. Values are immutable.
 type Box struct {
 	Name        string
 	Hall        string
@@ -49,44 +49,43 @@
 	Incarnation int
 	Revision    int
 	State       State
-	HubEligible bool // fit to be a hub
+	HubEligible bool // may be a hub; others are used only where there is none
 }
 
 type record struct {
-	box    Box
-	weight uint64 // as a hub
-	listed bool
-	heard  time.Time
-	failed time.Time
-	first  time.Time
+	box       Box
+	weight    uint64 // in the rendezvous order of hubs
+	listed    bool
+	lastSeen  time.Time
+	failedAt  time.Time
+	firstSeen time.Time
 }
 
-// Members is safe for use by several goroutines.
+// Members is safe for concurrent use.
 type Members struct {
 	mu    sync.Mutex
 	self  Box
 	boxes map[string]*record
 
-	// hubs are those of today's boxes; nil until they are asked for. A box asks
-	// some hundred times a second, while boxes change a few times a minute.
-	hubs      []Box
-	probes    []Box            // would be hubs had they not failed some time ago
-	hubsUntil time.Time        // a failure or a told count lapses then; zero if there is none
-	hubSince  time.Time        // this box is one of them; zero if it is not
-	known     map[string]int   // boxes by hall as of then, as far as this one knows
-	crowd     map[string]int   // and as others know too; nil unless they are a crowd
-	told      map[string]count // boxes by hall that others know
-
-	hubsOnly bool      // of the others this one has read those alone that are fit to be hubs
-	named    time.Time // others last took this box for a hub
+	// hubs caches the current hubs; nil until they are computed.
+	hubs             []Box
+	probes           []Box                // would be hubs but for a failure that has expired
+	hubsValidUntil   time.Time            // next expiry of a failure or of a reported count; zero if there is none
+	hubSince         time.Time            // since when this box is a hub; zero if it is not
+	ownCounts        map[string]int       // boxes by hall that this box knows itself
+	largeFleetCounts map[string]int       // the same, with reportedCounts; nil unless the fleet is large
+	reportedCounts   map[string]hallCount // boxes by hall, as reported by others
+
+	hubsOnly bool      // only the hub-eligible boxes were read from the store
+	namedAt  time.Time // when another box last named this one as a hub
 }
 
-// New returns a membership that knows only this box.
+// New returns a membership that contains only this box.
 func New(self Box) *Members {
-	return &Members{self: self, boxes: map[string]*record{}, told: map[string]count{}}
+	return &Members{self: self, boxes: map[string]*record{}, reportedCounts: map[string]hallCount{}}
 }
 
-// changed notes that other boxes may be hubs now.
+// changed invalidates the cached hubs.
 func (m *Members) changed() { m.hubs = nil }
 
 // Self returns this box.
@@ -96,14 +95,14 @@
 	return m.self
 }
 
-// SetRevision notes the configuration in force here.
+// SetRevision sets the revision of the configuration in force on this box.
 func (m *Members) SetRevision(revision int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Revision = revision
 }
 
-// Leave notes that this box leaves.
+// Leave marks this box as leaving.
 func (m *Members) Leave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,8 +110,8 @@
 	m.changed()
 }
 
-// ApplyList takes the platform's list. A box missing from it is dropped only
-// when it is silent too.
+// ApplyList applies the platform's list of boxes. A box that is missing from it is
+// removed only if no report was received from it recently either.
 func (m *Members) ApplyList(now time.Time, list []wire.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,21 +128,21 @@
 		r.box.HubEligible = l.Strong
 		r.box.Hall = l.Hall
 		if r.box.Address != l.Address {
-			r.box.Address, r.failed = l.Address, time.Time{}
+			r.box.Address, r.failedAt = l.Address, time.Time{}
 		}
 		if l.State == wire.MemberStateLeaving {
 			r.box.State = Leaving
 		}
 	}
 	for name, r := range m.boxes {
-		if !r.listed && now.Sub(r.heard) > goneAfter && now.Sub(r.first) > goneAfter {
+		if !r.listed && now.Sub(r.lastSeen) > removeAfter && now.Sub(r.firstSeen) > removeAfter {
 			delete(m.boxes, name)
 		}
 	}
 }
 
-// MarkSeen takes a sign of life. An older incarnation's is dropped, and so is
-// what it says of not leaving.
+// MarkSeen handles a report received from a box. A report of an older incarnation is
+// ignored, and a leaving incarnation stays leaving.
 func (m *Members) MarkSeen(now time.Time, b Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -160,48 +159,49 @@
 	if b.Hall == "" {
 		b.Hall, b.Address = r.box.Hall, r.box.Address
 	}
-	if r.box.alike(b) && r.failed.IsZero() {
-		r.box, r.heard = b, now
+	if r.box.sameCandidate(b) && r.failedAt.IsZero() {
+		r.box, r.lastSeen = b, now
 		return
 	}
 	r.box = b
-	r.heard, r.failed = now, time.Time{}
+	r.lastSeen, r.failedAt = now, time.Time{}
 	m.changed()
 }
 
-// alike tells whether a box is as fit to be a hub as it was.
-func (b Box) alike(o Box) bool {
+// sameCandidate reports whether two boxes are the same but for their revision, so that
+// the choice of hubs does not change.
+func (b Box) sameCandidate(o Box) bool {
 	b.Revision = o.Revision
 	return b == o
 }
 
-// MarkFailed notes that a box refused a connection, so that it is passed by at once.
+// MarkFailed records that a box refused a connection; it is suspect for failureTimeout.
 func (m *Members) MarkFailed(now time.Time, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, ok := m.boxes[name]; ok {
-		r.failed = now
+		r.failedAt = now
 		m.changed()
 	}
 }
 
-// MarkAnswered notes that a box answered that had refused a connection.
+// MarkAnswered clears a failure after a box answered.
 func (m *Members) MarkAnswered(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if r, ok := m.boxes[name]; ok && !r.failed.IsZero() {
-		r.failed = time.Time{}
+	if r, ok := m.boxes[name]; ok && !r.failedAt.IsZero() {
+		r.failedAt = time.Time{}
 		m.changed()
 	}
 }
 
-// Older makes all signs of life older: this box's machine was suspended, which the
-// steady clock leaves out.
+// Older adds the time for which this box's machine was suspended to all ages, as the
+// monotonic clock does not count it.
 func (m *Members) Older(by time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.boxes {
-		for _, at := range []*time.Time{&r.heard, &r.failed, &r.first} {
+		for _, at := range []*time.Time{&r.lastSeen, &r.failedAt, &r.firstSeen} {
 			if !at.IsZero() {
 				*at = at.Add(-by)
 			}
@@ -210,34 +210,34 @@
 	m.changed()
 }
 
-// All returns this box and all others, by name, each with its state.
+// All returns this box and all others with their states, sorted by name.
 func (m *Members) All(now time.Time) []Box {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := []Box{m.self}
 	for _, r := range m.boxes {
-		all = append(all, r.seen(now))
+		all = append(all, r.withState(now))
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
 	return all
 }
 
-// Count returns how many boxes there are, this one included: those that it knows, or, in
-// a crowd, as many as hubs told of, which hear of more than one box does.
+// Count returns the number of boxes, this one included: those known here, or in a large
+// fleet the sum of the halls' counts if that is higher.
 func (m *Members) Count(now time.Time) int {
 	m.Hubs(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	all := 0
-	for _, boxes := range m.crowd {
-		all += boxes
+	total := 0
+	for _, boxes := range m.largeFleetCounts {
+		total += boxes
 	}
-	return max(all, len(m.boxes)+1)
+	return max(total, len(m.boxes)+1)
 }
 
-// SetHubsOnly notes that this box has read none of the others but those that are fit to be
-// hubs: it does not know who else of its hall might be one, and is none unless others name
-// it, or it knows of nobody else.
+// SetHubsOnly records that this box has read only the hub-eligible boxes. As it does
+// not know the others of its hall, it is a hub only if another box names it as one or
+// no other box is known.
 func (m *Members) SetHubsOnly() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,17 +245,17 @@
 	m.changed()
 }
 
-// MarkNamedAsHub notes that another box takes this one for a hub.
+// MarkNamedAsHub records that another box takes this one for a hub.
 func (m *Members) MarkNamedAsHub(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.hubsOnly && now.Sub(m.named) >= namedFor {
+	if m.hubsOnly && now.Sub(m.namedAt) >= namedTimeout {
 		m.changed()
 	}
-	m.named = now
+	m.namedAt = now
 }
 
-// AnyHubEligible tells whether another box is known that is fit to be a hub.
+// AnyHubEligible reports whether another hub-eligible box is known that is not leaving.
 func (m *Members) AnyHubEligible() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -267,7 +267,7 @@
 	return false
 }
 
-// IsListed tells whether the table of boxes was read with a box in it.
+// IsListed reports whether a box is in the platform's list as last read.
 func (m *Members) IsListed(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -275,7 +275,7 @@
 	return ok && r.listed
 }
 
-// MarkRegistered notes that a box was put into the table.
+// MarkRegistered records that a box was added to the platform's list.
 func (m *Members) MarkRegistered(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -284,7 +284,7 @@
 	}
 }
 
-// CountLeaving returns how many of the boxes leave.
+// CountLeaving returns the number of leaving boxes, this one included.
 func (m *Members) CountLeaving() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -312,16 +312,17 @@
 	return peers
 }
 
-// CountReachable returns how many boxes this one hears, itself included, and how many
-// it has heard that the platform still lists. The rest are lost or cut off.
+// CountReachable returns the number of boxes from which reports are received, this one
+// included, and that number plus the listed boxes from which reports are no longer
+// received.
 func (m *Members) CountReachable(now time.Time) (reached, all int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	reached, all = 1, 1
 	for _, r := range m.boxes {
 		switch {
-		case r.heard.IsZero() || r.box.State == Leaving:
-		case r.seen(now).State == Live:
+		case r.lastSeen.IsZero() || r.box.State == Leaving:
+		case r.withState(now).State == Live:
 			reached, all = reached+1, all+1
 		case r.listed:
 			all++
@@ -330,9 +331,8 @@
 	return reached, all
 }
 
-// Order returns the boxes in the rendezvous order of a key, those that are
-// live; this box stands in it too unless it leaves. Boxes of the key's hall
-// come first.
+// Order returns the live boxes, this one included, in the rendezvous order of a key.
+// Boxes of the key's hall come first.
 func (m *Members) Order(now time.Time, key, hall string) []Box {
 	var order []Box
 	for _, b := range m.All(now) {
@@ -350,15 +350,14 @@
 	return order
 }
 
-// First returns the first live box in a key's order, and false if there is
-// none. It looks at each box once: Order, which sorts them all, took 0.7 ms
-// at 350 boxes.
+// First returns the first box of Order, and false if no box is live. It visits each box
+// once and does not sort.
 func (m *Members) First(now time.Time, key, hall string) (Box, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	first, found := Box{}, false
 	var heaviest uint64
-	look := func(b Box) {
+	consider := func(b Box) {
 		if b.State != Live {
 			return
 		}
@@ -368,17 +367,17 @@
 			first, heaviest, found = b, w, true
 		}
 	}
-	look(m.self)
+	consider(m.self)
 	for _, r := range m.boxes {
 		if !found || first.Hall != hall || r.box.Hall == hall {
-			look(r.seen(now))
+			consider(r.withState(now))
 		}
 	}
 	return first, found
 }
 
-// Introduce takes another box's word that there is a box, which may be older
-// than what is known here.
+// Introduce adds a box that another box reported, unless a newer incarnation of it is
+// known.
 func (m *Members) Introduce(now time.Time, b Box) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -394,25 +393,26 @@
 func (m *Members) record(now time.Time, name string) *record {
 	r, ok := m.boxes[name]
 	if !ok {
-		r = &record{box: Box{Name: name, State: Live}, weight: weight(hubsKey, name), first: now}
+		r = &record{box: Box{Name: name, State: Live}, weight: weight(hubsKey, name), firstSeen: now}
 		m.boxes[name] = r
 		m.changed()
 	}
 	return r
 }
 
-// starting tells whether a box of a crowd may not be up yet, with all others.
+// starting reports whether a box of a large fleet may not have finished starting.
 func (m *Members) starting(now time.Time, r *record) bool {
-	return m.crowd != nil && r.heard.IsZero() && now.Sub(r.first) < startsFor
+	return m.largeFleetCounts != nil && r.lastSeen.IsZero() && now.Sub(r.firstSeen) < startupGrace
 }
 
-func (r *record) seen(now time.Time) Box {
+// withState returns the box with its state as of now.
+func (r *record) withState(now time.Time) Box {
 	b := r.box
-	since := r.heard
+	since := r.lastSeen
 	if since.IsZero() {
-		since = r.first
+		since = r.firstSeen
 	}
-	silent := now.Sub(since) > suspectAfter || !r.failed.IsZero() && now.Sub(r.failed) < failedFor
+	silent := now.Sub(since) > suspectAfter || !r.failedAt.IsZero() && now.Sub(r.failedAt) < failureTimeout
 	switch {
 	case b.State == Leaving:
 	case silent:
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -24,41 +24,41 @@
 	return members.Box{Name: box, Hall: "leith", Address: box + ":1", Incarnation: incarnation, State: state}
 }
 
-// TestState tells how a box is seen after what was heard of it, at a time.
+// TestState checks the state of a box after reports, lists and failures.
 func TestState(t *testing.T) {
 	live, leaving := wire.MemberStateLive, wire.MemberStateLeaving
 	tests := map[string]struct {
-		does func(m *members.Members)
-		at   time.Duration
-		want members.State
+		setup func(m *members.Members)
+		at    time.Duration
+		want  members.State
 	}{
-		"listed":              {does: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", live)}) }, at: time.Second, want: members.Live},
-		"listed and silent":   {does: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", live)}) }, at: 4 * time.Second, want: members.Suspect},
-		"heard":               {does: func(m *members.Members) { m.MarkSeen(start.Add(2*time.Second), alive("b", 1, members.Live)) }, at: 4 * time.Second, want: members.Live},
-		"heard, off the list": {does: func(m *members.Members) { m.MarkSeen(start, alive("b", 1, members.Live)); m.ApplyList(start, nil) }, at: time.Second, want: members.Live},
-		"long silent, off the list": {does: func(m *members.Members) {
+		"listed":                      {setup: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", live)}) }, at: time.Second, want: members.Live},
+		"listed, no report":           {setup: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", live)}) }, at: 4 * time.Second, want: members.Suspect},
+		"report received":             {setup: func(m *members.Members) { m.MarkSeen(start.Add(2*time.Second), alive("b", 1, members.Live)) }, at: 4 * time.Second, want: members.Live},
+		"report received, not listed": {setup: func(m *members.Members) { m.MarkSeen(start, alive("b", 1, members.Live)); m.ApplyList(start, nil) }, at: time.Second, want: members.Live},
+		"no report for long, not listed": {setup: func(m *members.Members) {
 			m.MarkSeen(start, alive("b", 1, members.Live))
 			m.ApplyList(start.Add(time.Minute), nil)
 		}, at: time.Minute, want: ""},
-		"list says leaving": {does: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", leaving)}) }, at: time.Second, want: members.Leaving},
-		"leaving, then an old live": {does: func(m *members.Members) {
+		"listed as leaving": {setup: func(m *members.Members) { m.ApplyList(start, []wire.Member{member("b", leaving)}) }, at: time.Second, want: members.Leaving},
+		"leaving, then an older incarnation is live": {setup: func(m *members.Members) {
 			m.MarkSeen(start, alive("b", 2, members.Leaving))
 			m.MarkSeen(start, alive("b", 1, members.Live))
 		}, at: time.Second, want: members.Leaving},
-		"leaving, then the list lags": {does: func(m *members.Members) {
+		"leaving, then an outdated list": {setup: func(m *members.Members) {
 			m.MarkSeen(start, alive("b", 2, members.Leaving))
 			m.ApplyList(start, []wire.Member{member("b", live)})
 		}, at: time.Second, want: members.Leaving},
-		"leaving, then a late live": {does: func(m *members.Members) {
+		"leaving, then a delayed report": {setup: func(m *members.Members) {
 			m.MarkSeen(start, alive("b", 2, members.Leaving))
 			m.MarkSeen(start, alive("b", 2, members.Live))
 		}, at: time.Second, want: members.Leaving},
-		"leaving, then started anew": {does: func(m *members.Members) {
+		"leaving, then restarted": {setup: func(m *members.Members) {
 			m.MarkSeen(start, alive("b", 2, members.Leaving))
 			m.MarkSeen(start, alive("b", 3, members.Live))
 		}, at: time.Second, want: members.Live},
-		"refused a connection": {does: func(m *members.Members) { m.MarkSeen(start, alive("b", 1, members.Live)); m.MarkFailed(start, "b") }, at: time.Second, want: members.Suspect},
-		"refused, then heard": {does: func(m *members.Members) {
+		"refused a connection": {setup: func(m *members.Members) { m.MarkSeen(start, alive("b", 1, members.Live)); m.MarkFailed(start, "b") }, at: time.Second, want: members.Suspect},
+		"refused, then report received": {setup: func(m *members.Members) {
 			m.MarkSeen(start, alive("b", 1, members.Live))
 			m.MarkFailed(start, "b")
 			m.MarkSeen(start, alive("b", 1, members.Live))
@@ -68,7 +68,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			m := members.New(alive("a", 1, members.Live))
-			tt.does(m)
+			tt.setup(m)
 			got := members.State("")
 			for _, b := range m.All(start.Add(tt.at)) {
 				if b.Name == "b" {
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestReached counts a box that is cut off for as long as the list names it.
-func TestReached(t *testing.T) {
+// TestCountReachable checks that a box that is cut off counts as long as it is listed.
+func TestCountReachable(t *testing.T) {
 	is := is.New(t)
 	m := members.New(alive("a", 1, members.Live))
 	both := []wire.Member{member("b", wire.MemberStateLive), member("c", wire.MemberStateLive)}
@@ -90,25 +90,25 @@
 		return [2]int{reached, all}
 	}
 	m.ApplyList(start, both)
-	is.Equal(count(0), [2]int{1, 1}) // never heard
+	is.Equal(count(0), [2]int{1, 1}) // no report received
 	m.MarkSeen(start, alive("b", 1, members.Live))
 	m.MarkSeen(start, alive("c", 1, members.Live))
 	is.Equal(count(time.Second), [2]int{3, 3})
 	m.MarkSeen(start.Add(9*time.Second), alive("b", 1, members.Live))
-	is.Equal(count(10*time.Second), [2]int{2, 3}) // c is silent
+	is.Equal(count(10*time.Second), [2]int{2, 3}) // no recent report from c
 	m.ApplyList(start.Add(10*time.Second), both[:1])
-	is.Equal(count(10*time.Second), [2]int{2, 2}) // and off the list
+	is.Equal(count(10*time.Second), [2]int{2, 2}) // c is no longer listed
 }
 
-// TestOrder holds that boxes agree on the order, that a box that is gone moves
-// only its own keys, and that the hall's boxes come first.
+// TestOrder checks that boxes agree on the order, that the removal of a box moves only
+// its own keys, and that the boxes of the key's hall come first.
 func TestOrder(t *testing.T) {
 	is := is.New(t)
 	names := []string{"a", "b", "c", "d", "e"}
-	view := func(self string, gone string) *members.Members {
+	view := func(self string, removed string) *members.Members {
 		m := members.New(alive(self, 1, members.Live))
 		for _, n := range names {
-			if n != gone {
+			if n != removed {
 				m.MarkSeen(start, alive(n, 1, members.Live))
 			}
 		}
@@ -123,7 +123,7 @@
 		first, _ := view("d", "").First(start, key, "leith")
 		is.Equal(first.Name, one)
 		if after := view("a", "e").Order(start, key, "leith")[0].Name; after != one {
-			is.Equal(one, "e") // only what the lost box had moves
+			is.Equal(one, "e") // only keys of the removed box move
 			moved++
 		}
 	}
@@ -168,7 +168,7 @@
 	}
 }
 
-// BenchmarkMemory is the memory of the state, by boxes.
+// BenchmarkMemory measures the memory of the state, by the number of boxes.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{50, 350, 1000} {
 		b.Run(fmt.Sprint(n, " boxes"), func(b *testing.B) {
@@ -186,25 +186,25 @@
 	}
 }
 
-// crowd returns the membership of a box among n in six halls, all heard.
-func crowd(n int) *members.Members {
+// newMembers returns the membership of a box with n-1 others in six halls, all seen.
+func newMembers(n int) *members.Members {
 	m := members.New(members.Box{Name: "self", Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
 	for i := range n - 1 {
-		m.MarkSeen(start, inHall(i, members.Live))
+		m.MarkSeen(start, boxInHall(i, members.Live))
 	}
 	return m
 }
 
-func inHall(i int, state members.State) members.Box {
+func boxInHall(i int, state members.State) members.Box {
 	return members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%6), Address: fmt.Sprint(i), Incarnation: 1, State: state, HubEligible: i%10 == 0}
 }
 
-// BenchmarkHubs is who is a hub, asked while boxes are heard that do not change.
+// BenchmarkHubs measures Hubs between reports that change nothing.
 func BenchmarkHubs(b *testing.B) {
 	for _, n := range []int{7, 66, 195, 350} {
 		b.Run(fmt.Sprint(n, " boxes"), func(b *testing.B) {
-			m := crowd(n)
-			same := inHall(1, members.Live)
+			m := newMembers(n)
+			same := boxInHall(1, members.Live)
 			b.ReportAllocs()
 			for b.Loop() {
 				m.MarkSeen(start, same)
@@ -214,105 +214,104 @@
 	}
 }
 
-// TestHubsKept holds that naming the hubs takes no memory while boxes are only
-// heard again, however many there are.
+// TestHubsKept guards against a recomputation of the hubs with each report.
 func TestHubsKept(t *testing.T) {
 	is := is.New(t)
-	m := crowd(350)
+	m := newMembers(350)
 	m.Hubs(start)
-	same := inHall(1, members.Live)
+	same := boxInHall(1, members.Live)
 	is.Equal(testing.AllocsPerRun(100, func() {
 		m.MarkSeen(start, same)
 		m.Hubs(start)
 	}), 0.0)
 }
 
-// TestHubsFollow holds that hubs are named anew at once when what they are
-// chosen by changes.
+// TestHubsFollow checks that the hubs change at once when their candidates do.
 func TestHubsFollow(t *testing.T) {
 	tests := map[string]struct {
-		strike func(m *members.Members, first members.Box)
+		event  func(m *members.Members, first members.Box)
 		after  time.Duration
-		stays  bool // the hub does
-		asked  bool // whether it is back
+		stays  bool // it is still a hub
+		called bool // although it is no hub
 	}{
-		"nothing":        {strike: func(*members.Members, members.Box) {}, stays: true},
-		"it fails":       {strike: func(m *members.Members, b members.Box) { m.MarkFailed(start, b.Name) }},
-		"it just failed": {strike: func(m *members.Members, b members.Box) { m.MarkFailed(start, b.Name) }, after: 2999 * time.Millisecond},
-		"its failure has lapsed": {strike: func(m *members.Members, b members.Box) {
+		"nothing":        {event: func(*members.Members, members.Box) {}, stays: true},
+		"it fails":       {event: func(m *members.Members, b members.Box) { m.MarkFailed(start, b.Name) }},
+		"it just failed": {event: func(m *members.Members, b members.Box) { m.MarkFailed(start, b.Name) }, after: 2999 * time.Millisecond},
+		"its failure has expired": {event: func(m *members.Members, b members.Box) {
 			m.MarkFailed(start, b.Name)
 			m.Hubs(start)
-		}, after: 3 * time.Second, asked: true},
-		"its failure has lapsed, and it is heard": {strike: func(m *members.Members, b members.Box) {
+		}, after: 3 * time.Second, called: true},
+		"its failure has expired, then a report": {event: func(m *members.Members, b members.Box) {
 			m.MarkFailed(start, b.Name)
 			m.Hubs(start.Add(3 * time.Second))
 			m.MarkSeen(start.Add(3*time.Second), b)
 		}, after: 3 * time.Second, stays: true},
-		"it fails and is heard": {strike: func(m *members.Members, b members.Box) {
+		"it fails, then a report": {event: func(m *members.Members, b members.Box) {
 			m.MarkFailed(start, b.Name)
 			m.Hubs(start)
 			m.MarkSeen(start, b)
 		}, stays: true},
-		"it leaves": {strike: func(m *members.Members, b members.Box) { b.State = members.Leaving; m.MarkSeen(start, b) }},
-		"it turns weak": {strike: func(m *members.Members, b members.Box) {
+		"it leaves": {event: func(m *members.Members, b members.Box) { b.State = members.Leaving; m.MarkSeen(start, b) }},
+		"it is no longer hub-eligible": {event: func(m *members.Members, b members.Box) {
 			b.Incarnation, b.HubEligible = 2, false
 			m.MarkSeen(start, b)
 		}},
-		"its hall was taken for another": {strike: func(m *members.Members, b members.Box) {
+		"it moves to another hall": {event: func(m *members.Members, b members.Box) {
 			b.Incarnation, b.Hall = 2, "elsewhere"
 			m.Introduce(start, b)
-		}, asked: true}, // as that hall's
+		}, called: true}, // as a hub of that hall
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m := crowd(195)
+			m := newMembers(195)
 			before := m.Hubs(start)
 			first := before[slices.IndexFunc(before, func(b members.Box) bool { return b.Hall == "hall2" })]
-			tt.strike(m, first)
+			tt.event(m, first)
 			stays := slices.ContainsFunc(m.Hubs(start.Add(tt.after)), func(b members.Box) bool { return b.Name == first.Name && b.Hall == first.Hall })
 			is.Equal(stays, tt.stays)
-			asked := slices.ContainsFunc(m.HubsToCall(start.Add(tt.after)), func(b members.Box) bool { return b.Name == first.Name })
-			is.Equal(asked, tt.asked || tt.stays)
+			called := slices.ContainsFunc(m.HubsToCall(start.Add(tt.after)), func(b members.Box) bool { return b.Name == first.Name })
+			is.Equal(called, tt.called || tt.stays)
 		})
 	}
 }
 
-// TestReads shows how many of the hubs follow the store, and that the next one
-// does once a reader has failed.
-func TestReads(t *testing.T) {
+// TestIsReader checks how many hubs follow the store, and that another one takes over
+// when a reader fails.
+func TestIsReader(t *testing.T) {
 	tests := map[string]struct {
 		halls, fail, want int
 	}{
-		"one hall":       {1, 0, 2},
-		"three halls":    {3, 0, 3},
-		"six halls":      {6, 0, 3},
-		"one has failed": {6, 1, 3},
-		"two have":       {6, 2, 3},
+		"one hall":        {1, 0, 2},
+		"three halls":     {3, 0, 3},
+		"six halls":       {6, 0, 3},
+		"one has failed":  {6, 1, 3},
+		"two have failed": {6, 2, 3},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			views := spreadOver(24, tt.halls)
+			views := newFleet(24, tt.halls)
 			failed := views["box0"].Hubs(start)[:tt.fail]
 			for _, b := range failed {
 				delete(views, b.Name)
 			}
-			reads := 0
+			readers := 0
 			for _, m := range views {
 				for _, b := range failed {
 					m.MarkFailed(start, b.Name)
 				}
 				if m.IsReader(start) {
-					reads++
+					readers++
 				}
 			}
-			is.New(t).Equal(reads, tt.want)
+			is.New(t).Equal(readers, tt.want)
 		})
 	}
 }
 
-// spreadOver returns what each of some boxes in some halls knows, all heard.
-func spreadOver(boxes, halls int) map[string]*members.Members {
+// newFleet returns the membership of each box of a fleet whose boxes have all seen each
+// other.
+func newFleet(boxes, halls int) map[string]*members.Members {
 	box := func(i int) members.Box {
 		return members.Box{Name: fmt.Sprint("box", i), Hall: fmt.Sprint("hall", i%halls), Address: fmt.Sprint(i), Incarnation: 1, State: members.Live, HubEligible: true}
 	}
@@ -327,10 +326,11 @@
 	return views
 }
 
-// TestNearest shows which hub tells a box of all others.
-func TestNearest(t *testing.T) {
+// TestPrimaryHub checks that the primary hub is of the box's own hall, and that the
+// hubs of a hall share its boxes.
+func TestPrimaryHub(t *testing.T) {
 	is := is.New(t)
-	named := map[string]int{}
+	boxes := map[string]int{} // by primary hub
 	for i := range 60 {
 		m := members.New(members.Box{Name: fmt.Sprint("box", i), Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
 		for _, hall := range []string{"hall0", "hall1"} {
@@ -338,19 +338,19 @@
 		}
 		is.Equal(m.PrimaryHub(start).Name, "hub hall0")
 		m = members.New(members.Box{Name: fmt.Sprint("box", i), Hall: "hall0", Address: "self:1", Incarnation: 1, State: members.Live})
-		for _, hub := range []string{"one", "two"} { // one hall has two
+		for _, hub := range []string{"one", "two"} { // two hubs in one hall
 			m.MarkSeen(start, members.Box{Name: hub, Hall: "hall0", Address: hub, Incarnation: 1, State: members.Live, HubEligible: true})
 		}
-		named[m.PrimaryHub(start).Name]++
+		boxes[m.PrimaryHub(start).Name]++
 	}
-	is.True(named["one"] > 15 && named["two"] > 15)
+	is.True(boxes["one"] > 15 && boxes["two"] > 15)
 }
 
-// TestLeavingCount counts boxes that leave among all.
-func TestLeavingCount(t *testing.T) {
+// TestCountLeaving checks that leaving boxes are counted, and remain in Count.
+func TestCountLeaving(t *testing.T) {
 	is := is.New(t)
-	m := crowd(10)
-	m.MarkSeen(start, inHall(3, members.Leaving))
+	m := newMembers(10)
+	m.MarkSeen(start, boxInHall(3, members.Leaving))
 	is.Equal([2]int{m.CountLeaving(), m.Count(start)}, [2]int{1, 10})
 	m.Leave()
 	is.Equal([2]int{m.CountLeaving(), m.Count(start)}, [2]int{2, 10})
@@ -358,35 +358,35 @@
 
 func TestHubs(t *testing.T) {
 	now := time.Now()
-	spread := func(boxes, halls int, strong func(i int) bool) *members.Members {
-		m := members.New(members.Box{Name: "b000", Hall: "h0", Address: "a000", State: members.Live, HubEligible: strong(0)})
+	spread := func(boxes, halls int, eligible func(i int) bool) *members.Members {
+		m := members.New(members.Box{Name: "b000", Hall: "h0", Address: "a000", State: members.Live, HubEligible: eligible(0)})
 		var list []wire.Member
 		for i := 1; i < boxes; i++ {
 			list = append(list, wire.Member{
-				Box: fmt.Sprintf("b%03d", i), Hall: fmt.Sprint("h", i%halls), Address: fmt.Sprintf("a%03d", i), State: wire.MemberStateLive, Strong: strong(i),
+				Box: fmt.Sprintf("b%03d", i), Hall: fmt.Sprint("h", i%halls), Address: fmt.Sprintf("a%03d", i), State: wire.MemberStateLive, Strong: eligible(i),
 			})
 		}
 		m.ApplyList(now, list)
 		return m
 	}
-	listed := func(boxes int, strong func(i int) bool) *members.Members { return spread(boxes, 5, strong) }
-	all := func(i int) bool { return i > 0 } // this box itself is weak
+	listed := func(boxes int, eligible func(i int) bool) *members.Members { return spread(boxes, 5, eligible) }
+	all := func(i int) bool { return i > 0 } // this box itself is not hub-eligible
 	tests := map[string]struct {
 		members *members.Members
-		strike  func(m *members.Members, first members.Box)
+		event   func(m *members.Members, first members.Box)
 		hubs    int
-		halls   int  // of the hubs, where they are fewer
-		moved   bool // another is the first then
+		halls   int  // of the hubs; the same as hubs if zero
+		moved   bool // the first hub changes
 	}{
-		"alone":            {members: listed(1, all), hubs: 1},
-		"one a hall":       {members: listed(8, all), hubs: 5},
-		"three halls":      {members: spread(6, 3, all), hubs: 3},
-		"one hall: two":    {members: spread(10, 1, all), hubs: 2, halls: 1},
-		"many: one a hall": {members: listed(58, all), hubs: 5},
-		"hundreds: two":    {members: listed(350, all), hubs: 10, halls: 5},
-		"only weak ones":   {members: listed(58, func(int) bool { return false }), hubs: 5},
-		"the first fails":  {members: listed(58, all), hubs: 5, moved: true, strike: func(m *members.Members, first members.Box) { m.MarkFailed(now, first.Name) }},
-		"the first leaves": {members: listed(58, all), hubs: 5, moved: true, strike: func(m *members.Members, first members.Box) {
+		"alone":                       {members: listed(1, all), hubs: 1},
+		"one per hall":                {members: listed(8, all), hubs: 5},
+		"three halls":                 {members: spread(6, 3, all), hubs: 3},
+		"one hall: two":               {members: spread(10, 1, all), hubs: 2, halls: 1},
+		"many boxes: one per hall":    {members: listed(58, all), hubs: 5},
+		"a large fleet: two per hall": {members: listed(350, all), hubs: 10, halls: 5},
+		"none is hub-eligible":        {members: listed(58, func(int) bool { return false }), hubs: 5},
+		"the first fails":             {members: listed(58, all), hubs: 5, moved: true, event: func(m *members.Members, first members.Box) { m.MarkFailed(now, first.Name) }},
+		"the first leaves": {members: listed(58, all), hubs: 5, moved: true, event: func(m *members.Members, first members.Box) {
 			first.State = members.Leaving
 			m.MarkSeen(now, first)
 		}},
@@ -395,8 +395,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			first := tt.members.Hubs(now)[0]
-			if tt.strike != nil {
-				tt.strike(tt.members, first)
+			if tt.event != nil {
+				tt.event(tt.members, first)
 			}
 			hubs := tt.members.Hubs(now)
 			is.Equal(len(hubs), tt.hubs)
@@ -411,7 +411,7 @@
 			is.Equal(len(halls), tt.halls)
 		})
 	}
-	// All boxes that know the same name the same hubs, strong ones first.
+	// Hub-eligible boxes are preferred.
 	is := is.New(t)
 	m := listed(58, func(i int) bool { return i%7 == 3 })
 	for _, h := range m.Hubs(now) {
@@ -419,59 +419,59 @@
 	}
 }
 
-// TestCrowd shows how many hubs a crowd has, that each box of it calls two of them,
-// and that no hub tells many more than it can, however many boxes there are.
-func TestCrowd(t *testing.T) {
+// TestLargeFleet checks how many hubs a large fleet has, that each other box calls two
+// of them, and that the load of a hub is bounded.
+func TestLargeFleet(t *testing.T) {
 	tests := map[string]struct {
 		boxes, halls int
-		hubs, asks   int
-		most         int // boxes that one hub tells
+		hubs, calls  int
+		maxBoxes     int // that one hub reports to
 	}{
-		"a small fleet":  {boxes: 61, halls: 3, hubs: 3, asks: 3, most: 20},
-		"six halls":      {boxes: 195, halls: 6, hubs: 6, asks: 6, most: 33},
-		"a crowd":        {boxes: 300, halls: 1, hubs: 8, asks: 2, most: 55},
-		"in three halls": {boxes: 300, halls: 3, hubs: 9, asks: 2, most: 55},
-		"600 boxes":      {boxes: 600, halls: 1, hubs: 15, asks: 2, most: 60},
+		"a small fleet":  {boxes: 61, halls: 3, hubs: 3, calls: 3, maxBoxes: 20},
+		"six halls":      {boxes: 195, halls: 6, hubs: 6, calls: 6, maxBoxes: 33},
+		"a large fleet":  {boxes: 300, halls: 1, hubs: 8, calls: 2, maxBoxes: 55},
+		"in three halls": {boxes: 300, halls: 3, hubs: 9, calls: 2, maxBoxes: 55},
+		"600 boxes":      {boxes: 600, halls: 1, hubs: 15, calls: 2, maxBoxes: 60},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			tells, calls := map[string]int{}, map[string]int{}
-			for _, m := range spreadOver(tt.boxes, tt.halls) {
+			reports, calls := map[string]int{}, map[string]int{}
+			for _, m := range newFleet(tt.boxes, tt.halls) {
 				is.Equal(len(m.Hubs(start)), tt.hubs)
 				_, hub := m.IsHub(start)
-				asks := m.HubsToCall(start)
+				called := m.HubsToCall(start)
 				if hub {
-					is.Equal(len(asks), tt.hubs-1)
+					is.Equal(len(called), tt.hubs-1)
 					continue
 				}
-				is.Equal(len(asks), tt.asks)
-				is.True(tt.asks > 2 || asks[0].Name == m.PrimaryHub(start).Name)
-				tells[m.PrimaryHub(start).Name]++
-				for _, b := range asks {
+				is.Equal(len(called), tt.calls)
+				is.True(tt.calls > 2 || called[0].Name == m.PrimaryHub(start).Name)
+				reports[m.PrimaryHub(start).Name]++
+				for _, b := range called {
 					calls[b.Name]++
 				}
 			}
-			for hub, boxes := range tells {
-				is.True(boxes <= tt.most)
+			for hub, boxes := range reports {
+				is.True(boxes <= tt.maxBoxes)
 				is.True(calls[hub] <= 240)
 			}
 		})
 	}
 }
 
-// TestToldCrowd shows that a box that has read few of the others takes a hub's count,
-// the highest of those told of late, so that it calls the right hubs.
-func TestToldCrowd(t *testing.T) {
+// TestUpdateHallCount checks that a box that has read few of the others applies the
+// highest recent count of a hub, so that it calls the right hubs.
+func TestUpdateHallCount(t *testing.T) {
 	is := is.New(t)
-	m := crowd(100)
+	m := newMembers(100)
 	hubs := len(m.Hubs(start))
 	is.Equal(m.LargeFleetCounts(start), nil)
 	m.UpdateHallCount(start, "hall0", 250)
-	m.UpdateHallCount(start, "hall0", 90) // by one that has read few itself
-	is.Equal(len(m.Hubs(start)), hubs+3)  // seven would share 250 boxes; four of the hall are fit
+	m.UpdateHallCount(start, "hall0", 90) // from a hub that has read few itself
+	is.Equal(len(m.Hubs(start)), hubs+3)  // 250 boxes need seven hubs, but only four are eligible
 	own := 0
-	for _, boxes := range m.LargeFleetCounts(start) { // which it does not pass on
+	for _, boxes := range m.LargeFleetCounts(start) { // reported counts are not passed on
 		own += boxes
 	}
 	is.Equal(own, 100)
@@ -480,11 +480,11 @@
 	is.Equal(len(m.Hubs(later)), hubs)
 }
 
-// TestToldCrowdLapses shows that a told count is forgotten though no box changes, and
-// taken again when it is told after that.
-func TestToldCrowdLapses(t *testing.T) {
+// TestHallCountExpires checks that a reported count expires though no box changes, and
+// that it can be reported again.
+func TestHallCountExpires(t *testing.T) {
 	is := is.New(t)
-	m := crowd(100)
+	m := newMembers(100)
 	m.UpdateHallCount(start, "hall0", 250)
 	is.True(m.LargeFleetCounts(start.Add(4*time.Second)) != nil)
 	m.UpdateHallCount(start.Add(4*time.Second), "hall0", 250)
@@ -495,23 +495,22 @@
 	is.True(m.LargeFleetCounts(later) != nil)
 }
 
-// TestCrowdLeft lets boxes of a small crowd leave, as in a planned stop of some of them,
-// of which only the hubs hear that they called: the others' hubs stay hubs in their own
-// eyes, as who is none passes on nothing of what it is told.
-func TestCrowdLeft(t *testing.T) {
-	for _, gone := range []int{6, 20, 40} {
-		t.Run(fmt.Sprint(gone, " of 245"), func(t *testing.T) {
+// TestLargeFleetLeaves guards against boxes calling a hub that is none in its own eyes:
+// some boxes of a large fleet leave, and only the hubs that they called know.
+func TestLargeFleetLeaves(t *testing.T) {
+	for _, leaving := range []int{6, 20, 40} {
+		t.Run(fmt.Sprint(leaving, " of 245"), func(t *testing.T) {
 			is := is.New(t)
-			all, boxes := alike(245)
+			all, boxes := newHall(245)
 			is.Equal(len(all["box0"].Hubs(start)), 7)
 			others := slices.DeleteFunc(boxes, func(b members.Box) bool { return all["box0"].IsHubBox(start, b.Name) })
-			for _, b := range others[:gone] {
+			for _, b := range others[:leaving] {
 				b.State = members.Leaving
 				for _, hub := range all[b.Name].HubsToCall(start) {
 					all[hub.Name].MarkSeen(start, b)
 				}
 			}
-			for _, b := range others[gone:] {
+			for _, b := range others[leaving:] {
 				_, hub := all[all[b.Name].PrimaryHub(start).Name].IsHub(start)
 				is.True(hub)
 			}
@@ -519,8 +518,8 @@
 	}
 }
 
-// alike returns the memberships of boxes of one hall that have all listed all.
-func alike(n int) (all map[string]*members.Members, boxes []members.Box) {
+// newHall returns the memberships of the boxes of one hall, which are all listed.
+func newHall(n int) (all map[string]*members.Members, boxes []members.Box) {
 	var list []wire.Member
 	for i := range n {
 		name := fmt.Sprint("box", i)
@@ -535,33 +534,33 @@
 	return all, boxes
 }
 
-// TestCrowdOfWeak shows that boxes that are not fit are hubs only where a hall has no
-// other.
-func TestCrowdOfWeak(t *testing.T) {
+// TestNoneEligible checks that boxes that are not hub-eligible become hubs only where a
+// hall has no other.
+func TestNoneEligible(t *testing.T) {
 	m := members.New(members.Box{Name: "self", Hall: "hall0", Address: "self:1", State: members.Live})
 	for i := range 300 {
-		b := inHall(i, members.Live)
+		b := boxInHall(i, members.Live)
 		b.HubEligible = false
 		m.MarkSeen(start, b)
 	}
 	is.New(t).Equal(len(m.Hubs(start)), 6)
 }
 
-// TestStarting shows how a box that refuses is taken that was listed and never heard:
-// in a crowd, where all may have been started at once, for a hub that is not up yet.
+// TestStarting checks that a listed box that refuses connections and was never heard
+// from stays a hub for a while in a large fleet, as it may still be starting.
 func TestStarting(t *testing.T) {
 	tests := map[string]struct {
 		boxes int
-		heard bool
-		after time.Duration // it was listed
+		seen  bool
+		after time.Duration // since it was listed
 		stays bool          // a hub
 	}{
-		"a small fleet":          {boxes: 61},
-		"a crowd":                {boxes: 300, stays: true},
-		"a crowd, some time":     {boxes: 300, after: 4 * time.Second, stays: true},
-		"a crowd, for long":      {boxes: 300, after: 6 * time.Second},
-		"a crowd, it was up":     {boxes: 300, heard: true},
-		"a small one, some time": {boxes: 61, after: 4 * time.Second},
+		"a small fleet":            {boxes: 61},
+		"a large fleet":            {boxes: 300, stays: true},
+		"a large fleet, after 4 s": {boxes: 300, after: 4 * time.Second, stays: true},
+		"a large fleet, after 6 s": {boxes: 300, after: 6 * time.Second},
+		"a large fleet, it was up": {boxes: 300, seen: true},
+		"a small fleet, after 4 s": {boxes: 61, after: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -572,7 +571,7 @@
 			}
 			m.ApplyList(start, list)
 			first := m.Hubs(start)[0]
-			if tt.heard {
+			if tt.seen {
 				m.MarkSeen(start, first)
 			}
 			at := start.Add(tt.after)
@@ -582,29 +581,29 @@
 	}
 }
 
-// TestHubsOnly shows when a box that knows none but those fit to be hubs is one itself.
+// TestHubsOnly checks when a box that knows only hub-eligible boxes is a hub itself.
 func TestHubsOnly(t *testing.T) {
 	tests := map[string]struct {
-		others int
-		named  time.Duration // ago; 0 for never
-		want   bool
+		others   int
+		namedAgo time.Duration // 0 for never
+		want     bool
 	}{
-		"others are fit":                {others: 3},
-		"nobody else is there":          {want: true},
-		"others take it for one":        {others: 3, named: time.Second, want: true},
-		"others took it for one before": {others: 3, named: 4 * time.Second},
+		"others are eligible":     {others: 3},
+		"no other box":            {want: true},
+		"named by others":         {others: 3, namedAgo: time.Second, want: true},
+		"named by others earlier": {others: 3, namedAgo: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := members.New(members.Box{Name: "self", Hall: "hall0", Address: "self", State: members.Live})
 			m.SetHubsOnly()
 			var list []wire.Member
-			for i := range tt.others { // of another hall: its own has none
+			for i := range tt.others { // in another hall: its own has no eligible box
 				list = append(list, wire.Member{Box: fmt.Sprint("b", i), Hall: "hall1", Address: fmt.Sprint(i), State: wire.MemberStateLive, Strong: true})
 			}
 			m.ApplyList(start, list)
-			if tt.named > 0 {
-				m.MarkNamedAsHub(start.Add(-tt.named))
+			if tt.namedAgo > 0 {
+				m.MarkNamedAsHub(start.Add(-tt.namedAgo))
 			}
 			_, hub := m.IsHub(start)
 			is.New(t).Equal(hub, tt.want)
