--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -227,7 +227,7 @@
 				w.fill("e0", 5, 500)
 				w.fill("e1", 5, 500)
 				runs := w.fill("e2", tt.leaving, 900)
-				w.fleet.Leaves(time.Now(), fleet.Departure{ID: "e2", Said: true}, "entry")
+				w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: "e2", Announced: true}, "entry")
 				req := tt.req
 				req.Arrived = time.Now()
 				if tt.runsStay {
@@ -583,7 +583,7 @@
 		w.picker.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
 		w.picker.Allocation = func(route.Service) float64 { return 1 }
 		u := w.fleet.Serving("llm")[0]
-		u.Version, u.Cold = 2, time.Now().Add(10*time.Second)
+		u.Version, u.ColdUntil = 2, time.Now().Add(10*time.Second)
 		w.fleet.Put(time.Now(), u)
 		req := check("a")
 		req.Service.ColdPerSecond = 4
--- a/admission/uneven_test.go
+++ b/admission/uneven_test.go
@@ -64,7 +64,7 @@
 			sim.engines[id] = e
 			sim.mu.Unlock()
 			engines.Go(func() { e.work(ctx) })
-			sim.fleet.Leaves(time.Now(), fleet.Departure{ID: ids[0], Said: true}, "test")
+			sim.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: ids[0], Announced: true}, "test")
 			sim.fleet.Put(time.Now(), fleet.Upstream{ID: id, Service: "llm", Hall: "hall0", Slots: 24, State: fleet.Open})
 			ids = append(ids[1:], id)
 			n++
--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -107,11 +107,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, known := t.entries[u.ID]
-	if known && u.Born < e.startedAt {
+	if known && u.StartedAt < e.startedAt {
 		return
 	}
-	if !known || u.Born > e.startedAt {
-		e = &entry{service: u.Service, startedAt: u.Born, requestedAt: now}
+	if !known || u.StartedAt > e.startedAt {
+		e = &entry{service: u.Service, startedAt: u.StartedAt, requestedAt: now}
 		t.entries[u.ID] = e
 		t.count.Store(int64(len(t.entries)))
 	}
@@ -127,7 +127,7 @@
 	}
 	e.until, e.trialAt = until, time.Time{}
 	e.resumeAt = until.Add(time.Duration(t.random.Int64N(int64(min(d/jitterDivisor, maxJitter)) + 1)))
-	t.record(change, u.ID, logrus.Fields{"rest_ms": d.Milliseconds(), "left_ms": e.resumeAt.Sub(now).Milliseconds(), "born": u.Born})
+	t.record(change, u.ID, logrus.Fields{"rest_ms": d.Milliseconds(), "left_ms": e.resumeAt.Sub(now).Milliseconds(), "born": u.StartedAt})
 }
 
 // Answered records an answer that requests no backoff, to a request that was sent at a
@@ -139,7 +139,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, known := t.entries[u.ID]
-	if !known || u.Born < e.startedAt || sent.Before(e.resumeAt) {
+	if !known || u.StartedAt < e.startedAt || sent.Before(e.resumeAt) {
 		return
 	}
 	t.record(Over, u.ID, logrus.Fields{"asked_ms": now.Sub(e.requestedAt).Milliseconds(), "after_ms": now.Sub(e.until).Milliseconds()})
--- a/backoff/backoff_test.go
+++ b/backoff/backoff_test.go
@@ -60,7 +60,7 @@
 			began := time.Now()
 			ms := func(n int) time.Time { return began.Add(time.Duration(n) * time.Millisecond) }
 			for _, a := range tt.answers {
-				u := fleet.Upstream{ID: "u", Service: "s", Born: a.startedAt}
+				u := fleet.Upstream{ID: "u", Service: "s", StartedAt: a.startedAt}
 				if a.backoff > 0 {
 					tracker.Requested(ms(a.at), u, time.Duration(a.backoff)*time.Millisecond)
 				} else {
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -34,7 +34,7 @@
 		Box: self.Name, Hall: self.Hall, Address: self.Address, Incarnation: self.Incarnation,
 		Revision: d.resources.View().Revision, Leaving: d.draining.Load(),
 	}
-	for name, incarnation := range d.health.Gone() {
+	for name, incarnation := range d.health.LeavingIncarnations() {
 		beat.GoneUpstreams = append(beat.GoneUpstreams, name+"@"+strconv.Itoa(incarnation))
 	}
 	sort.Strings(beat.GoneUpstreams)
@@ -72,7 +72,7 @@
 // Heartbeat takes a peer's.
 func (d *Daemon) Heartbeat(from wire.Heartbeat) wire.HeartbeatAnswer {
 	now := time.Now()
-	d.members.Heard(now, boxOf(from))
+	d.members.MarkSeen(now, boxOf(from))
 	uses := map[string]quota.Use{}
 	for _, u := range from.Demand {
 		uses[u.Organisation] = quota.Use{Rate: u.Rate, Tokens: u.Tokens}
@@ -84,7 +84,7 @@
 	for _, gone := range from.GoneUpstreams {
 		name, incarnation, _ := strings.Cut(gone, "@")
 		if n, err := strconv.Atoi(incarnation); err == nil && n > 0 {
-			d.health.Leaving(name, n)
+			d.health.MarkLeaving(name, n)
 		}
 	}
 	d.newer(from.Revision, from.Address)
@@ -106,7 +106,7 @@
 	if a.Leaving {
 		b.State = members.Leaving
 	}
-	d.members.Heard(time.Now(), b)
+	d.members.MarkSeen(time.Now(), b)
 	d.newer(a.Revision, b.Address)
 }
 
@@ -204,12 +204,12 @@
 	if !d.loads.Report(now, load) {
 		return
 	}
-	d.health.Heard(now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, silence)
+	d.health.MarkSeen(now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, silence)
 	switch {
 	case load.Leaving:
-		d.health.Leaving(load.Engine, load.Incarnation)
+		d.health.MarkLeaving(load.Engine, load.Incarnation)
 	case !d.resources.View().Upstreams[load.Engine].Leaving:
-		d.health.Stays(load.Engine)
+		d.health.ClearLeaving(load.Engine)
 	}
 	d.grants.Report(now, d.cellsNow().Of(load.Engine), load)
 }
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -39,8 +39,8 @@
 		e.registrar.asked(from.Sender)
 	}
 	e.hearDeparting(now, from.Departing)
-	e.quarantine.Told(now, from.Ends)
-	e.limits.Update(now, from.Limits, e.members.Hub(now, from.Sender.Box))
+	e.quarantine.Update(now, from.Ends)
+	e.limits.Update(now, from.Limits, e.members.IsHubBox(now, from.Sender.Box))
 	e.hearWords(now, from.Sender.Box, wordsOf(from), from.Counts, peerstate.Coverage{Boxes: from.Covers, Recent: from.CoversNear})
 	a := wire.GossipAnswer{Sender: e.record, Leaving: e.draining.Load(), Tells: e.tells(now, from.Wants), StoreSilentMs: e.storeAge(now)}
 	switch a.Tells {
@@ -65,12 +65,12 @@
 // is told what other hubs know too, as it hears none of them; a hub only what this one
 // knows, as two would else remind each other for good of boxes that are gone.
 func (e *Edge) answerCrowd(now time.Time, a *wire.GossipAnswer) {
-	crowd := e.members.Crowd(now)
+	crowd := e.members.LargeFleetCounts(now)
 	if crowd == nil || a.Tells == wire.GossipScopeNone {
 		return
 	}
 	if a.Tells == wire.GossipScopeAll {
-		crowd = e.members.CrowdOfAll(now)
+		crowd = e.members.MergedLargeFleetCounts(now)
 	}
 	for hall, boxes := range crowd {
 		a.Crowd = append(a.Crowd, wire.HallBoxes{Hall: hall, Boxes: boxes})
@@ -90,7 +90,7 @@
 	if wanted != wire.GossipScopeAll {
 		return wanted
 	}
-	others := e.members.Count(now) - e.members.Leaving() - 1
+	others := e.members.Count(now) - e.members.CountLeaving() - 1
 	told := float64(e.tally.Boxes(now)) >= hubTold*float64(others)
 	since, hub := e.members.IsHub(now)
 	if hub && (told || since >= hubKnows) {
@@ -111,7 +111,7 @@
 }
 
 func (e *Edge) answerConfiguration(now time.Time, a *wire.GossipAnswer) {
-	table, age, _ := e.belief.Now(now)
+	table, age, _ := e.belief.Current(now)
 	if table == nil {
 		return
 	}
@@ -133,7 +133,7 @@
 // Configuration implements edgerpc.Box.
 func (e *Edge) Configuration() wire.Configuration {
 	e.timer.Check()
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return wire.Configuration{}
 	}
@@ -175,7 +175,7 @@
 		a.FleetLater = true
 		return
 	}
-	if !e.tables.allow(now, len(packed)+fleetCall) && !e.members.Hub(now, from.Sender.Box) {
+	if !e.tables.allow(now, len(packed)+fleetCall) && !e.members.IsHubBox(now, from.Sender.Box) {
 		a.FleetLater = true
 		e.metrics.FleetTold("later")
 		return
@@ -196,7 +196,7 @@
 	for _, u := range list {
 		records = append(records, wire.UpstreamRecord{
 			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, ColdMs: coldMs(now, u),
-			State: string(u.State), Version: int(u.Version), Said: u.Said, Born: int(u.Born),
+			State: string(u.State), Version: int(u.Version), Said: u.Announced, Born: int(u.StartedAt),
 		})
 	}
 	return records
@@ -219,7 +219,7 @@
 	case from.FleetKnownMs == 0:
 		return 0
 	}
-	change, known := e.fleet.At(now.Add(-config.Millis(from.FleetKnownMs) - askTime))
+	change, known := e.fleet.ChangeAt(now.Add(-config.Millis(from.FleetKnownMs) - askTime))
 	if !known {
 		return 0
 	}
@@ -228,10 +228,10 @@
 
 // coldMs returns for how much longer an upstream is cold, in ms.
 func coldMs(now time.Time, u fleet.Upstream) int {
-	if u.Cold.IsZero() {
+	if u.ColdUntil.IsZero() {
 		return 0
 	}
-	return int(max(u.Cold.Sub(now), 0).Milliseconds())
+	return int(max(u.ColdUntil.Sub(now), 0).Milliseconds())
 }
 
 // pacer lets things through one after the other, each taking its time at a rate.
@@ -258,7 +258,7 @@
 	var records []wire.BoxRecord
 	for _, b := range e.members.Hubs(now) {
 		records = append(records, wire.BoxRecord{
-			Box: b.Name, Hall: b.Hall, Address: b.Address, Incarnation: b.Incarnation, Strong: b.Strong,
+			Box: b.Name, Hall: b.Hall, Address: b.Address, Incarnation: b.Incarnation, Strong: b.HubEligible,
 		})
 	}
 	return records
--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -526,7 +526,7 @@
 		time.Sleep(4 * time.Second)
 		lists, readers := c.table.listed()
 		t.Log("listings of the store's tables:", lists, "by", readers, "boxes")
-		is.True(readers <= 2*members.ReadersMost) // three for good, some until they had heard of a better one
+		is.True(readers <= 2*members.MaxReaders) // three for good, some until they had heard of a better one
 		c.busiest()
 		time.Sleep(time.Second)
 		asked, askers, used := c.busiest()
@@ -561,7 +561,7 @@
 // all boxes know within a second.
 func (c *crowd) learns(t testing.TB, upstream string, version int) {
 	c.table.put("servers", upstream, string(worker(5, 1, "draining")))
-	t.Log("a departure is known after", c.until(t, "knows the departure", time.Second, func(e *Edge) bool { return e.fleet.Leaving(upstream) }))
+	t.Log("a departure is known after", c.until(t, "knows the departure", time.Second, func(e *Edge) bool { return e.fleet.IsLeaving(upstream) }))
 	c.table.put("op", "config", fmt.Sprintf(`{"version":%d,"routes":[],"services":[],"limits":{"max_body_bytes":4096},"tenants":[]}`, version))
 	t.Log("a version is known after", c.until(t, "knows the version", time.Second, func(e *Edge) bool { return e.View().Version == version }))
 }
@@ -628,7 +628,7 @@
 		is.NoErr(err)
 		hub.belief.Confirm(time.Now())
 		time.Sleep(900 * time.Millisecond)
-		e.Hear(hub.Heard(e.Say(hub.members.Self())), time.Now())
+		e.HandleAnswer(hub.Heard(e.ReportFor(hub.members.Self())), time.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(e.View().Version, 3)
 		is.True(e.View().ConfigurationAgeMs >= 1000 && e.View().ConfigurationAgeMs < 1010)
@@ -656,7 +656,7 @@
 					e.unheard("keeper")
 					time.Sleep(tt.cut)
 				}
-				e.Hear(wire.GossipAnswer{Sender: wire.BoxRecord{Box: "hub", Address: "hub:1"}, Heard: []wire.BoxHeard{{Box: "keeper", AgoMs: int(tt.ago.Milliseconds())}}}, time.Now())
+				e.HandleAnswer(wire.GossipAnswer{Sender: wire.BoxRecord{Box: "hub", Address: "hub:1"}, Heard: []wire.BoxHeard{{Box: "keeper", AgoMs: int(tt.ago.Milliseconds())}}}, time.Now())
 				is.New(t).Equal(e.hears("keeper"), tt.want)
 			})
 		})
@@ -720,7 +720,7 @@
 		})
 		time.Sleep(upTo(random, 100*time.Millisecond))
 	}
-	c.until(t, "knows many, and two are hubs", time.Minute, func(e *Edge) bool { return e.Known() && !e.AllRead() && len(c.hubs()) == 2 })
+	c.until(t, "knows many, and two are hubs", time.Minute, func(e *Edge) bool { return e.Joined() && !e.AllReaders() && len(c.hubs()) == 2 })
 	for _, e := range c.hubs() {
 		c.kill(e)
 	}
@@ -728,7 +728,7 @@
 	c.table.put("servers", "u99", string(worker(99, 1, "ready")))
 	c.table.put("op", "config", `{"version":9,"routes":[],"services":[],"limits":{"max_body_bytes":4096},"tenants":[]}`)
 	c.until(t, "knows all that is new", waitLong, func(e *Edge) bool {
-		return e.fleet.Leaving("u5") && e.fleet.Takes("u99") && e.View().Version == 9
+		return e.fleet.IsLeaving("u5") && e.fleet.Takes("u99") && e.View().Version == 9
 	})
 }
 
@@ -745,18 +745,18 @@
 func (c *crowd) gossip(b *testing.B, e, hub *Edge, box, at *second) {
 	b.Helper()
 	calls := 4
-	if e.members.Spare(time.Now(), hub.members.Self()) {
+	if e.members.IsBackupHub(time.Now(), hub.members.Self()) {
 		calls = 1
 	}
 	for range calls {
 		began := time.Now()
-		say := e.Say(hub.members.Self())
+		say := e.ReportFor(hub.members.Self())
 		size := encoded(b, say)
 		said := time.Now()
 		answer := hub.Heard(say)
 		size += encoded(b, answer)
 		answered := time.Now()
-		e.Hear(answer, began)
+		e.HandleAnswer(answer, began)
 		at.took += answered.Sub(said)
 		box.took += said.Sub(began) + time.Since(answered)
 		for _, s := range []*second{box, at} {
@@ -819,9 +819,9 @@
 // is no hub, and those that its hub answers.
 func (c *crowd) round(b *testing.B, named map[string]*Edge, box, hub *second) {
 	one := c.all[slices.IndexFunc(c.all, func(e *Edge) bool { return !e.IsHub() })]
-	nearest := one.members.Nearest(time.Now()).Name
+	nearest := one.members.PrimaryHub(time.Now()).Name
 	for _, e := range c.all {
-		for _, h := range e.members.Asks(time.Now()) {
+		for _, h := range e.members.HubsToCall(time.Now()) {
 			by, at := &second{}, &second{}
 			if e == one {
 				by = box
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -214,7 +214,7 @@
 	e.configuration = manifest.NewConfiguration(e.store, e.belief, e.halls, log)
 	e.members = members.New(members.Box{
 		Name: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: e.record.Incarnation, State: members.Live,
-		Strong: e.record.Strong,
+		HubEligible: e.record.Strong,
 	})
 	e.belief.OnSlept(e.slept)
 	e.fleet.OnSlept(e.slept)
@@ -240,7 +240,7 @@
 	})
 	if e.config.Balances(wire.EdgeBalanceElemPlaces) {
 		e.places = places.New(places.Parts{
-			Ranker: chooser, Failing: e.reliability.Failing, Limits: e.limiter, Counter: e.metrics, Hall: e.config.Hall, Log: e.log,
+			Ranker: chooser, Failing: e.reliability.FailureRate, Limits: e.limiter, Counter: e.metrics, Hall: e.config.Hall, Log: e.log,
 			Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 4)),
 		})
 	}
@@ -254,7 +254,7 @@
 	e.callers = callers.New(e.relay, e.bodyMost, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Parts{
 		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.tally,
-		Moved: e.metrics.Moved, Log: e.log, Leaving: e.fleet.Leaving, Takes: e.fleet.Takes,
+		RecordMove: e.metrics.Moved, Log: e.log, IsLeaving: e.fleet.IsLeaving, AcceptsWork: e.fleet.Takes,
 	})
 }
 
@@ -273,7 +273,7 @@
 
 // coldFor is the longest that an upstream of any service is cold after its start.
 func (e *Edge) coldFor() time.Duration {
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return 0
 	}
@@ -317,7 +317,7 @@
 
 // bodyMost bounds a request's body by the configuration in force.
 func (e *Edge) bodyMost() int {
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil || table.Limits().BodyBytes == 0 {
 		return e.config.Limits.BodyBytes
 	}
@@ -325,7 +325,7 @@
 }
 
 func (e *Edge) service(name string) (route.Service, bool) {
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return route.Service{}, false
 	}
@@ -356,13 +356,13 @@
 		return relay.Stop{}, false
 	}
 	now := time.Now()
-	most := 2*e.members.Leaving() >= e.members.Count(now)
+	most := 2*e.members.CountLeaving() >= e.members.Count(now)
 	return relay.Stop{Since: now.Sub(s.began), Remaining: s.until.Sub(now), MostBoxes: most}, true
 }
 
 // ready tells whether callers are to be sent here.
 func (e *Edge) ready() bool {
-	table, _, stale := e.belief.Now(time.Now())
+	table, _, stale := e.belief.Current(time.Now())
 	_, known := e.fleet.Age(time.Now())
 	serves := table != nil && (!stale || e.config.Edge.ServeStale)
 	return serves && known && !e.draining.Load()
@@ -381,13 +381,13 @@
 func (e *Edge) departed(ctx context.Context) fleet.Listener {
 	return func(u fleet.Upstream, source string) {
 		if u.State != fleet.Leaving {
-			e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.Born, "source": source}).Info("upstream_back")
+			e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.StartedAt, "source": source}).Info("upstream_back")
 			return
 		}
 		at := len(e.runs.At(u.ID))
-		e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.Born, "source": source, "runs": at}).Info("upstream_leaves")
+		e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.StartedAt, "source": source, "runs": at}).Info("upstream_leaves")
 		if e.config.Edge.Moves != wire.EdgeMovesNone {
-			e.evacuator.Leaves(ctx, u)
+			e.evacuator.Evacuate(ctx, u)
 		}
 	}
 }
@@ -405,13 +405,13 @@
 		cut, copies := e.runs.UpstreamRestarted(u)
 		e.metrics.Restarted()
 		e.log.WithFields(logrus.Fields{
-			"upstream": u.ID, "service": u.Service, "born": u.Born, "state": u.State, "source": source, "cut": cut, "copies": copies,
+			"upstream": u.ID, "service": u.Service, "born": u.StartedAt, "state": u.State, "source": source, "cut": cut, "copies": copies,
 		}).Warn("upstream_restarted")
 	}
 }
 
 // hallChanged takes the news that a hall is evacuated, or that this is taken back.
-func (e *Edge) hallChanged(w halls.Word, source string) {
+func (e *Edge) hallChanged(w halls.Status, source string) {
 	if w.Evacuated {
 		e.fleet.CloseHall(w.Since, w.Hall)
 	} else {
@@ -423,7 +423,7 @@
 		log.Info("hall_taken_back")
 		return
 	}
-	if !e.fleet.Knows(w.Hall) {
+	if !e.fleet.HasHall(w.Hall) {
 		log = log.WithField("upstreams", 0) // maybe a name that was mistyped
 	}
 	log.Warn("hall_evacuated")
--- a/edge/ends.go
+++ b/edge/ends.go
@@ -55,7 +55,7 @@
 
 // hearEnds takes a hub's word.
 func (e *Edge) hearEnds(a wire.GossipAnswer, sent time.Time) {
-	e.quarantine.Told(sent, a.Ends)
+	e.quarantine.Update(sent, a.Ends)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	m := e.known[a.Sender.Box]
@@ -107,13 +107,13 @@
 	log  *logrus.Entry
 }
 
-// Keep implements quarantine.Keeper.
-func (k *kept) Keep(fp fingerprint.Fingerprint, upstreams []string) {
+// Save implements quarantine.Keeper.
+func (k *kept) Save(fp fingerprint.Fingerprint, upstreams []string) {
 	go k.insist(fp, "keep", func(ctx context.Context) error { return k.list.Put(ctx, fp, upstreams) })
 }
 
-// Drop implements quarantine.Keeper.
-func (k *kept) Drop(fp fingerprint.Fingerprint) {
+// Delete implements quarantine.Keeper.
+func (k *kept) Delete(fp fingerprint.Fingerprint) {
 	go k.insist(fp, "drop", func(ctx context.Context) error { return k.list.Remove(ctx, fp) })
 }
 
--- a/edge/join.go
+++ b/edge/join.go
@@ -74,7 +74,7 @@
 	e.timer.Sleep(ctx, settleTime)
 	e.readAsHub(ctx)
 	e.joined.Store(true)
-	if e.members.Crowd(time.Now()) != nil {
+	if e.members.LargeFleetCounts(time.Now()) != nil {
 		e.timer.Sleep(ctx, registerSettles)
 		e.readAsHub(ctx)
 		e.countHall(ctx)
@@ -87,11 +87,11 @@
 	var hubs []wire.BoxRecord
 	var halls []wire.HallBoxes
 	read := func(ctx context.Context) (err error) { hubs, halls, err = e.boxes.Hubs(ctx); return err }
-	if !e.insist(ctx, read) || len(hubs) == 0 || boxesOf(halls) <= members.StarMost {
+	if !e.insist(ctx, read) || len(hubs) == 0 || boxesOf(halls) <= members.MaxSmallFleet {
 		return false
 	}
 	for _, h := range halls {
-		e.members.ToldCrowd(time.Now(), h.Hall, h.Boxes)
+		e.members.UpdateHallCount(time.Now(), h.Hall, h.Boxes)
 	}
 	e.leaveRow(hubs)
 	e.others.Store(true)
@@ -121,7 +121,7 @@
 
 // leaveRow takes the boxes that are fit to be hubs for all that there are to be known here.
 func (e *Edge) leaveRow(hubs []wire.BoxRecord) {
-	e.members.HubsOnly()
+	e.members.SetHubsOnly()
 	e.listed(hubs)
 	e.unlisted.Store(true)
 }
@@ -135,7 +135,7 @@
 
 // ownHall returns how many boxes of a crowd this one's hall has; nothing where there is none.
 func (e *Edge) ownHall() []wire.HallBoxes {
-	boxes, crowd := e.members.Crowd(time.Now())[e.config.Hall]
+	boxes, crowd := e.members.LargeFleetCounts(time.Now())[e.config.Hall]
 	if !crowd {
 		return nil
 	}
@@ -190,7 +190,7 @@
 // whose boxes are not to read all together; fewer boxes when this one has joined: hubs
 // that restart with it would be called before they are up, and passed by for 3 s.
 func (e *Edge) restarts(before []wire.BoxRecord) {
-	if len(before) > members.StarMost {
+	if len(before) > members.MaxSmallFleet {
 		e.listed(before)
 	}
 	e.others.Store(true)
@@ -232,18 +232,18 @@
 	for _, r := range list {
 		known = append(known, wire.Member{Box: r.Box, Hall: r.Hall, Address: r.Address, State: wire.MemberStateLive, Strong: r.Strong})
 	}
-	e.members.Listed(time.Now(), known)
+	e.members.ApplyList(time.Now(), known)
 	e.log.WithField("boxes", len(known)).Info("boxes_listed")
 }
 
-// Known implements readpolicy.Boxes.
-func (e *Edge) Known() bool { return e.joined.Load() }
+// Joined implements readpolicy.Boxes.
+func (e *Edge) Joined() bool { return e.joined.Load() }
 
 // Listed implements readpolicy.Boxes.
 func (e *Edge) Listed() bool { return e.others.Load() }
 
-// TurnedAway implements readpolicy.Boxes.
-func (e *Edge) TurnedAway() bool { return e.turnedAway.Load() }
+// Rejected implements readpolicy.Boxes.
+func (e *Edge) Rejected() bool { return e.turnedAway.Load() }
 
 // IsHub tells whether this box knows for others.
 func (e *Edge) IsHub() bool {
@@ -251,30 +251,30 @@
 	return is
 }
 
-// Reads implements readpolicy.Boxes.
-func (e *Edge) Reads() bool { return e.members.Reads(time.Now()) }
+// IsReader implements readpolicy.Boxes.
+func (e *Edge) IsReader() bool { return e.members.IsReader(time.Now()) }
 
 // Count implements readpolicy.Boxes.
 func (e *Edge) Count() int { return e.members.Count(time.Now()) }
 
-// Crowded implements readpolicy.Boxes.
-func (e *Edge) Crowded() bool { return e.members.Crowd(time.Now()) != nil }
+// IsLargeFleet implements readpolicy.Boxes.
+func (e *Edge) IsLargeFleet() bool { return e.members.LargeFleetCounts(time.Now()) != nil }
 
-// AllRead implements readpolicy.Boxes.
-func (e *Edge) AllRead() bool {
+// AllReaders implements readpolicy.Boxes.
+func (e *Edge) AllReaders() bool {
 	count := e.Count()
-	return count <= members.ReadersMost && len(e.members.Hubs(time.Now())) == count
+	return count <= members.MaxReaders && len(e.members.Hubs(time.Now())) == count
 }
 
-// HubHeard implements readpolicy.Boxes.
-func (e *Edge) HubHeard() time.Time {
+// LastHubAnswer implements readpolicy.Boxes.
+func (e *Edge) LastHubAnswer() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.hubHeard
 }
 
-// Promised implements readpolicy.Boxes.
-func (e *Edge) Promised() time.Time {
+// LastPromised implements readpolicy.Boxes.
+func (e *Edge) LastPromised() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.promised
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -293,12 +293,12 @@
 				keeper, hub := hubs[0], hubs[1]
 				boxes := slices.DeleteFunc(slices.Clone(c.all), func(e *Edge) bool { return e.IsHub() })[:39]
 				for _, e := range boxes {
-					g := e.Say(hub.members.Self())
+					g := e.ReportFor(hub.members.Self())
 					g.Counts = true
 					hub.Heard(g)
 				}
 				time.Sleep(tt.silent)
-				keeper.Heard(hub.Say(keeper.members.Self()))
+				keeper.Heard(hub.ReportFor(keeper.members.Self()))
 				time.Sleep(tt.parted)
 				now := time.Now()
 				is.New(t).Equal(keeper.tally.RecentBoxes(now, reachWithin)+keeper.tally.RecentIndirect(now, reachLeg), tt.heard)
@@ -343,7 +343,7 @@
 					_, err := e.configuration.List(t.Context(), false)
 					is.New(t).NoErr(err)
 				}
-				keeper, _ := c.all[0].members.KeeperHeard(now, "limit/u0", func(string) bool { return true })
+				keeper, _ := c.all[0].members.ReachableOwner(now, "limit/u0", func(string) bool { return true })
 				at := slices.IndexFunc(c.all, func(e *Edge) bool { return (e.Name() == keeper.Name) == tt.first })
 				time.Sleep(tt.silent)
 				answer := c.all[at].AllowFor(wire.AllowAsk{Box: "asker", Limit: wire.UpstreamLimit{Upstream: "u0", PerSecond: 2, Period: 1, Holds: true}})
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -46,11 +46,11 @@
 	limits      newsMark
 }
 
-// Say implements gossip.Box.
-func (e *Edge) Say(hub members.Box) wire.Gossip {
+// ReportFor implements gossip.Box.
+func (e *Edge) ReportFor(hub members.Box) wire.Gossip {
 	now := time.Now()
 	version := 0
-	if table, _, _ := e.belief.Now(now); table != nil {
+	if table, _, _ := e.belief.Current(now); table != nil {
 		version = table.Version()
 	}
 	whole := e.wantsFleet(now, hub)
@@ -61,7 +61,7 @@
 		Sender: e.record, Leaving: e.draining.Load(), Wants: e.wants(now, hub), Version: version,
 		Departing: departing, Unpacks: true, WholeFleet: whole, FleetOf: m.incarnation, FleetAfter: m.change,
 	}
-	g.Unlisted = e.unlisted.Load() && e.members.Nearest(now).Name == hub.Name
+	g.Unlisted = e.unlisted.Load() && e.members.PrimaryHub(now).Name == hub.Name
 	if age, known := e.fleet.Age(now); known {
 		g.FleetKnownMs = int(age.Milliseconds()) + 1
 	}
@@ -81,8 +81,8 @@
 		w.say(g)
 		g.Covers, g.CoversNear = covers.Boxes, covers.Recent
 		return
-	case e.members.Crowd(now) == nil:
-	case e.members.Nearest(now).Name != hub.Name:
+	case e.members.LargeFleetCounts(now) == nil:
+	case e.members.PrimaryHub(now).Name != hub.Name:
 		return
 	default:
 		g.Counts = true
@@ -94,14 +94,14 @@
 // knows nothing by it yet: the nearest is, and any other while that is not heard.
 // Hubs are told by each other; the many of a crowd by those that read the store.
 func (e *Edge) wantsFleet(now time.Time, hub members.Box) bool {
-	nearest := e.members.Nearest(now).Name
+	nearest := e.members.PrimaryHub(now).Name
 	switch {
-	case e.IsHub() && e.members.Crowd(now) != nil:
-		return !e.Reads() && e.members.Reader(now, hub.Name)
+	case e.IsHub() && e.members.LargeFleetCounts(now) != nil:
+		return !e.IsReader() && e.members.IsReaderBox(now, hub.Name)
 	case e.IsHub(), nearest == hub.Name:
 		return true
 	}
-	return !e.HubHeard().IsZero() && !e.hears(nearest)
+	return !e.LastHubAnswer().IsZero() && !e.hears(nearest)
 }
 
 // mark returns how far a hub's fleet is known here, and this box's there. A hub
@@ -145,14 +145,14 @@
 	switch {
 	case e.IsHub():
 		return wire.GossipScopeOwn
-	case e.members.Nearest(now).Name == hub.Name, e.tally.SumAge(now) > sumOld:
+	case e.members.PrimaryHub(now).Name == hub.Name, e.tally.SumAge(now) > sumOld:
 		return wire.GossipScopeAll
 	}
 	return wire.GossipScopeNone
 }
 
-// Hear implements gossip.Box.
-func (e *Edge) Hear(a wire.GossipAnswer, sent time.Time) {
+// HandleAnswer implements gossip.Box.
+func (e *Edge) HandleAnswer(a wire.GossipAnswer, sent time.Time) {
 	now := time.Now()
 	e.heardBox(now, a.Sender, a.Leaving)
 	e.answered(now, a.Sender)
@@ -160,14 +160,14 @@
 		e.introduce(now, r)
 	}
 	if slices.ContainsFunc(a.Hubs, e.isOwn) {
-		e.members.Named(now)
+		e.members.MarkNamedAsHub(now)
 	}
 	e.hearCrowd(now, a, sent)
 	for _, w := range a.Halls { // before the configuration, with which they are known
-		e.halls.Take(now, halls.Word{Hall: w.Hall, Evacuated: w.Evacuated, Version: int64(w.Version)}, a.Sender.Box)
+		e.halls.Update(now, halls.Status{Hall: w.Hall, Evacuated: w.Evacuated, Version: int64(w.Version)}, a.Sender.Box)
 	}
 	e.catchUp(now, a, sent)
-	table, _, _ := e.belief.Now(now)
+	table, _, _ := e.belief.Current(now)
 	if table != nil && table.Version() == a.Version {
 		e.belief.Confirm(sent.Add(-config.Millis(a.VersionAgeMs)))
 	}
@@ -187,7 +187,7 @@
 // other hubs: this box may not call them itself.
 func (e *Edge) hearCrowd(now time.Time, a wire.GossipAnswer, sent time.Time) {
 	for _, h := range a.Crowd {
-		e.members.ToldCrowd(now, h.Hall, h.Boxes)
+		e.members.UpdateHallCount(now, h.Hall, h.Boxes)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -237,9 +237,9 @@
 		if old && fleet.State(u.State) != fleet.Leaving {
 			continue
 		}
-		e.fleet.Told(now, fleet.Upstream{
-			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, Cold: coldUntil(now, u.ColdMs),
-			State: fleet.State(u.State), Version: int64(u.Version), Said: u.Said, Born: int64(u.Born),
+		e.fleet.UpdateFromPeer(now, fleet.Upstream{
+			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, ColdUntil: coldUntil(now, u.ColdMs),
+			State: fleet.State(u.State), Version: int64(u.Version), Announced: u.Said, StartedAt: int64(u.Born),
 		})
 	}
 	if old && !a.FleetFromNow {
@@ -269,7 +269,7 @@
 
 func (e *Edge) hearDeparting(now time.Time, list []wire.UpstreamDeparture) {
 	for _, d := range list {
-		e.fleet.Leaves(now, fleet.Departure{ID: d.Upstream, Version: int64(d.Version), Said: d.Said, Born: int64(d.Born)}, "peer")
+		e.fleet.ApplyDeparture(now, fleet.Departure{ID: d.Upstream, Version: int64(d.Version), Announced: d.Said, StartedAt: int64(d.Born)}, "peer")
 	}
 }
 
@@ -278,7 +278,7 @@
 func (e *Edge) departing(now time.Time, after int) (list []wire.UpstreamDeparture, last int) {
 	departures, last := e.fleet.Departing(now, departingFor, after)
 	for _, d := range departures {
-		list = append(list, wire.UpstreamDeparture{Upstream: d.ID, Version: int(d.Version), Said: d.Said, Born: int(d.Born)})
+		list = append(list, wire.UpstreamDeparture{Upstream: d.ID, Version: int(d.Version), Said: d.Announced, Born: int(d.StartedAt)})
 	}
 	return list, last
 }
@@ -288,8 +288,8 @@
 	if leaving {
 		state = members.Leaving
 	}
-	e.members.Heard(now, members.Box{
-		Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: state, Strong: r.Strong,
+	e.members.MarkSeen(now, members.Box{
+		Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: state, HubEligible: r.Strong,
 	})
 	e.mu.Lock()
 	e.heard[r.Box] = now
@@ -300,7 +300,7 @@
 func (e *Edge) introduce(now time.Time, r wire.BoxRecord) {
 	if r.Box != e.config.Box {
 		e.members.Introduce(now, members.Box{
-			Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: members.Live, Strong: r.Strong,
+			Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: members.Live, HubEligible: r.Strong,
 		})
 	}
 }
@@ -311,7 +311,7 @@
 // stale until the next answer, and read the store.
 func (e *Edge) catchUp(now time.Time, a wire.GossipAnswer, sent time.Time) {
 	hub, version := a.Sender, a.Version
-	table, _, _ := e.belief.Now(now)
+	table, _, _ := e.belief.Current(now)
 	if table != nil && table.Version() >= version || version == 0 || !e.catching.CompareAndSwap(false, true) {
 		return
 	}
--- a/edge/run.go
+++ b/edge/run.go
@@ -153,7 +153,7 @@
 	all.Go(func() { e.timer.Every(ctx, "tick", tickEvery, e.tick) })
 	look := probe.New(e.fleet, e.storeSilent, e.runs, e.upstreams, e.limits, e.rest, e.log)
 	all.Go(func() {
-		e.timer.Every(ctx, "watch", probe.Period, func(now time.Time) { look.Look(ctx, now) })
+		e.timer.Every(ctx, "watch", probe.Period, func(now time.Time) { look.Poll(ctx, now) })
 	})
 	all.Go(func() { e.join(ctx) })
 	all.Go(func() {
@@ -217,7 +217,7 @@
 		e.budget.Resize(e.slack(e.Count()))
 		e.noteRole()
 	}
-	table, age, stale := e.belief.Now(now)
+	table, age, stale := e.belief.Current(now)
 	if table == nil || stale == e.wasStale {
 		return
 	}
@@ -251,7 +251,7 @@
 		age, known := r.age(now)
 		r.edge.metrics.StoreRead(r.table, string(reason))
 		r.edge.log.WithFields(logrus.Fields{
-			"table": r.table, "reason": reason, "known": known, "age_ms": min(age, neverAge).Milliseconds(), "nearest": r.edge.members.Nearest(now).Name,
+			"table": r.table, "reason": reason, "known": known, "age_ms": min(age, neverAge).Milliseconds(), "nearest": r.edge.members.PrimaryHub(now).Name,
 		}).Info("store_read")
 	}
 	r.last = reason
--- a/edge/start_test.go
+++ b/edge/start_test.go
@@ -148,7 +148,7 @@
 				fleets, rows, wrote := c.table.read()
 				t.Log("boxes that read the upstreams:", fleets, "rows of boxes read:", rows, "calls that write:", wrote)
 				is.True(rows <= rowsMost*boxes)
-				is.True(fleets <= 2*members.ReadersMost)
+				is.True(fleets <= 2*members.MaxReaders)
 				is.True(wrote <= tt.writes*boxes/100)
 				list, err := c.all[0].boxes.List(t.Context())
 				is.NoErr(err)
@@ -220,7 +220,7 @@
 		is.True(len(c.hubs()) <= halls*3)  // one for 40 boxes of a hall
 		const spareCalls = 2 * time.Second // two calls to a spare hub, and some
 		c.table.put("servers", "u5", string(worker(5, 1, "draining")))
-		c.until(t, "knows the departure", spareCalls, func(e *Edge) bool { return e.fleet.Leaving("u5") })
+		c.until(t, "knows the departure", spareCalls, func(e *Edge) bool { return e.fleet.IsLeaving("u5") })
 		c.table.put("op", "config", `{"version":4,"routes":[],"services":[],"limits":{"max_body_bytes":4096},"tenants":[]}`)
 		c.until(t, "knows the version", spareCalls, func(e *Edge) bool { return e.View().Version == 4 })
 		readers := 0
@@ -230,7 +230,7 @@
 			}
 		}
 		t.Log("boxes that read the upstreams:", readers)
-		is.True(readers <= 2*members.ReadersMost)
+		is.True(readers <= 2*members.MaxReaders)
 	})
 }
 
@@ -254,6 +254,6 @@
 		t.Log("all serve after", c.until(t, "serves", 10*time.Second, (*Edge).ready))
 		fleets, _, _ := c.table.read()
 		t.Log("boxes that read the upstreams:", fleets)
-		is.True(fleets <= 2*members.ReadersMost)
+		is.True(fleets <= 2*members.MaxReaders)
 	})
 }
--- a/edge/view.go
+++ b/edge/view.go
@@ -21,21 +21,21 @@
 func (e *Edge) View() wire.BoxView {
 	now := time.Now()
 	v := wire.BoxView{
-		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.Reads(), Keeps: e.keeps(), Hubs: []string{}, Asks: []string{},
-		Nearest: e.members.Nearest(now).Name, Boxes: e.members.Count(now), Leaving: e.members.Leaving(), Told: e.tally.Boxes(now),
+		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.IsReader(), Keeps: e.keeps(), Hubs: []string{}, Asks: []string{},
+		Nearest: e.members.PrimaryHub(now).Name, Boxes: e.members.Count(now), Leaving: e.members.CountLeaving(), Told: e.tally.Boxes(now),
 		ConfigurationAgeMs: unknownAge, UpstreamsAgeMs: unknownAge, StoreSilentMs: unknownAge, LoadsAgeMs: unknownAge,
-		Upstreams: e.fleet.Open(), Waiting: e.admission.Waiting(), Serving: int(e.serving.Load()), Stopping: e.draining.Load(),
+		Upstreams: e.fleet.CountOpen(), Waiting: e.admission.Waiting(), Serving: int(e.serving.Load()), Stopping: e.draining.Load(),
 		Halls: e.hallWords(now), Places: e.viewPlaces(now), Quarantine: e.quarantine.View(now), Limits: e.limiter.View(now),
 		Rests: e.rest.View(now), LeavingUpstreams: e.leavingUpstreams(now),
 	}
-	for _, b := range e.members.Asks(now) {
+	for _, b := range e.members.HubsToCall(now) {
 		v.Asks = append(v.Asks, b.Name)
 	}
 	_, v.Tells = e.tally.Exclusive(now)
 	for _, b := range e.members.Hubs(now) {
 		v.Hubs = append(v.Hubs, b.Name)
 	}
-	if table, age, _ := e.belief.Now(now); table != nil {
+	if table, age, _ := e.belief.Current(now); table != nil {
 		for _, service := range table.Engines() {
 			v.Speeds = append(v.Speeds, e.speeds.Beliefs(now, service)...)
 		}
@@ -57,7 +57,7 @@
 func (e *Edge) leavingUpstreams(now time.Time) []wire.LeavingView {
 	list := []wire.LeavingView{}
 	e.fleet.EachLeaving(now, func(u fleet.Upstream, since time.Duration) {
-		list = append(list, wire.LeavingView{Upstream: u.ID, SinceMs: int(since.Milliseconds()), Said: u.Said})
+		list = append(list, wire.LeavingView{Upstream: u.ID, SinceMs: int(since.Milliseconds()), Said: u.Announced})
 	})
 	slices.SortFunc(list, func(a, b wire.LeavingView) int { return strings.Compare(a.Upstream, b.Upstream) })
 	return list
@@ -66,7 +66,7 @@
 // keeps returns the services whose queue this box keeps, as it sees it.
 func (e *Edge) keeps() []string {
 	keeps := []string{}
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.belief.Current(time.Now())
 	if table == nil {
 		return keeps
 	}
@@ -90,7 +90,7 @@
 func (e *Edge) noteRole() {
 	now := time.Now()
 	role := logrus.Fields{
-		"hub": e.IsHub(), "reads": e.Reads(), "keeps": strings.Join(e.keeps(), ","), "nearest": e.members.Nearest(now).Name, "crowd": e.Crowded(),
+		"hub": e.IsHub(), "reads": e.IsReader(), "keeps": strings.Join(e.keeps(), ","), "nearest": e.members.PrimaryHub(now).Name, "crowd": e.IsLargeFleet(),
 	}
 	if maps.Equal(e.role, role) {
 		return
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -10,7 +10,8 @@
 
 var sizes = []int{1000, 3000, 10000, 20000}
 
-// many returns a fleet of upstreams of a service of six halls, and a few of another.
+// many returns a fleet with a number of upstreams of one service in six halls, and one
+// upstream of another service.
 func many(upstreams int) *fleet.Fleet {
 	f := fleet.New(time.Second)
 	for i := range upstreams {
@@ -20,12 +21,12 @@
 	return f
 }
 
-// one returns one of them.
+// one returns the i-th upstream of the service.
 func one(i int, state fleet.State, version int64) fleet.Upstream {
 	return fleet.Upstream{ID: fmt.Sprint("u", i), Service: "llm", Address: "10.0.0.1:1", Hall: fmt.Sprint("hall", i%6), Slots: 24, State: state, Version: version}
 }
 
-// BenchmarkChange is a change of one upstream, and the list for the next request.
+// BenchmarkChange measures an update that changes one upstream, and the next Serving.
 func BenchmarkChange(b *testing.B) {
 	for _, upstreams := range sizes {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
@@ -33,28 +34,28 @@
 			for b.Loop() {
 				version++
 				u := one(int(version)%upstreams, fleet.Open, version)
-				u.Cold = now.Add(time.Duration(version))
-				f.Told(now, u)
+				u.ColdUntil = now.Add(time.Duration(version))
+				f.UpdateFromPeer(now, u)
 				f.Serving("llm")
 			}
 		})
 	}
 }
 
-// BenchmarkUnchanged is a word that says nothing new, and the list for the next request.
+// BenchmarkUnchanged measures an update that changes nothing, and the next Serving.
 func BenchmarkUnchanged(b *testing.B) {
 	for _, upstreams := range sizes {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			f := many(upstreams)
 			for b.Loop() {
-				f.Told(now, one(1, fleet.Open, 1))
+				f.UpdateFromPeer(now, one(1, fleet.Open, 1))
 				f.Serving("llm")
 			}
 		})
 	}
 }
 
-// BenchmarkTick is a tick of the timer.
+// BenchmarkTick measures a tick.
 func BenchmarkTick(b *testing.B) {
 	for _, upstreams := range sizes {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
@@ -66,13 +67,13 @@
 	}
 }
 
-// BenchmarkTold is what a hub tells another box of one change.
-func BenchmarkTold(b *testing.B) {
+// BenchmarkSince measures collecting one change for another box.
+func BenchmarkSince(b *testing.B) {
 	for _, upstreams := range sizes {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			f := many(upstreams)
 			_, before := f.Since(0)
-			f.Leaves(now, fleet.Departure{ID: "u7", Said: true}, "peer")
+			f.ApplyDeparture(now, fleet.Departure{ID: "u7", Announced: true}, "peer")
 			for b.Loop() {
 				f.Since(before)
 				f.Departing(now, time.Minute, before)
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -35,23 +35,23 @@
 	failAfter = 2
 )
 
-// StrangerError says that another box answered at an address than was asked there. It
+// WrongBoxError says that another box answered at an address than was asked there. It
 // may be of another fleet, so that nothing that it knows holds here.
-type StrangerError struct {
-	Address, Asked, Answered string
+type WrongBoxError struct {
+	Address, Expected, Actual string
 }
 
 // Error implements error.
-func (e *StrangerError) Error() string {
-	return "peer " + e.Address + ": " + e.Answered + " answers in place of " + e.Asked
+func (e *WrongBoxError) Error() string {
+	return "peer " + e.Address + ": " + e.Actual + " answers in place of " + e.Expected
 }
 
-// Box makes gossip and takes it.
-type Box interface {
-	// Say returns what to tell a hub.
-	Say(hub members.Box) wire.Gossip
-	// Hear takes a hub's answer to a call sent at a time.
-	Hear(a wire.GossipAnswer, sent time.Time)
+// Handler makes gossip and takes it.
+type Handler interface {
+	// ReportFor returns what to tell a hub.
+	ReportFor(hub members.Box) wire.Gossip
+	// HandleAnswer takes a hub's answer to a call sent at a time.
+	HandleAnswer(a wire.GossipAnswer, sent time.Time)
 }
 
 // Peers calls other boxes.
@@ -65,7 +65,7 @@
 type Gossip struct {
 	members *members.Members
 	peers   Peers
-	box     Box
+	box     Handler
 	timer   tasks.Timer
 	log     *logrus.Entry
 
@@ -75,7 +75,7 @@
 }
 
 // New returns gossip that Run passes on.
-func New(m *members.Members, p Peers, box Box, t tasks.Timer, log *logrus.Entry) *Gossip {
+func New(m *members.Members, p Peers, box Handler, t tasks.Timer, log *logrus.Entry) *Gossip {
 	return &Gossip{members: m, peers: p, box: box, timer: t, log: log, lost: map[string]bool{}, answers: map[string]bool{}}
 }
 
@@ -87,7 +87,7 @@
 // hubs returns the hubs that are called by address.
 func (g *Gossip) hubs(now time.Time) map[string]members.Box {
 	hubs := map[string]members.Box{}
-	for _, b := range g.members.Asks(now) {
+	for _, b := range g.members.HubsToCall(now) {
 		hubs[b.Address] = b
 	}
 	return hubs
@@ -98,7 +98,7 @@
 	silent := 0
 	var last time.Time
 	g.timer.Every(ctx, b.Name, period, func(now time.Time) {
-		if g.members.Spare(now, b) && g.answered(g.members.Nearest(now).Name) && now.Sub(last) < sparePeriod-period/2 {
+		if g.members.IsBackupHub(now, b) && g.answered(g.members.PrimaryHub(now).Name) && now.Sub(last) < sparePeriod-period/2 {
 			return
 		}
 		last = now
@@ -106,26 +106,26 @@
 		defer cancel()
 		var answer wire.GossipAnswer
 		sent := time.Now()
-		err := g.peers.Repeat(call, b.Address, peer.Gossip, g.box.Say(b), &answer)
+		err := g.peers.Repeat(call, b.Address, peer.Gossip, g.box.ReportFor(b), &answer)
 		if err == nil && answer.Sender.Box != b.Name {
-			err = &StrangerError{Address: b.Address, Asked: b.Name, Answered: answer.Sender.Box}
+			err = &WrongBoxError{Address: b.Address, Expected: b.Name, Actual: answer.Sender.Box}
 		}
 		g.note(b.Name, err == nil)
 		if err == nil {
 			silent = 0
-			g.members.Answered(b.Name)
+			g.members.MarkAnswered(b.Name)
 			g.heard(b)
-			g.box.Hear(answer, sent)
+			g.box.HandleAnswer(answer, sent)
 			return
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		silent++
-		var stranger *StrangerError
+		var stranger *WrongBoxError
 		if peer.Refused(err) || errors.As(err, &stranger) || silent >= failAfter {
 			g.peers.Forget(b.Address)
-			g.members.Failed(time.Now(), b.Name)
+			g.members.MarkFailed(time.Now(), b.Name)
 			g.missed(b, err)
 		}
 	})
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -140,7 +140,7 @@
 
 // Sent records that a request is sent to an upstream.
 func (p *Picker) Sent(now time.Time, s route.Service, u fleet.Upstream) {
-	if p.Warmup != nil && now.Before(u.Cold) {
+	if p.Warmup != nil && now.Before(u.ColdUntil) {
 		p.Warmup.Sent(now, u.ID, p.warmupLimit(s))
 	}
 	if p.Limits != nil && s.Engine != nil {
@@ -165,7 +165,7 @@
 // for now. Runs that move are exempt: they would be lost otherwise, and turns
 // (permissions to move a run) already restrict an upstream to one copy at a time.
 func (p *Picker) coldLimitReached(now time.Time, w Want, u fleet.Upstream) bool {
-	return p.Warmup != nil && now.Before(u.Cold) && !w.Moves && !p.Warmup.MaySend(now, u.ID, p.warmupLimit(w.Service))
+	return p.Warmup != nil && now.Before(u.ColdUntil) && !w.Moves && !p.Warmup.MaySend(now, u.ID, p.warmupLimit(w.Service))
 }
 
 func (p *Picker) warmupLimit(s route.Service) warmup.Limit {
@@ -200,7 +200,7 @@
 // Leaving returns the load of the upstreams of a service that are leaving.
 func (p *Picker) Leaving(now time.Time, service string) upstreamload.Load {
 	var sum upstreamload.Load
-	for _, u := range p.Fleet.Leavers(now, service, leavingWindow) {
+	for _, u := range p.Fleet.RecentlyLeaving(now, service, leavingWindow) {
 		sum = sum.Plus(p.Loads.Load(now, u.ID))
 	}
 	return sum
@@ -320,7 +320,7 @@
 
 // penalty returns the penalties for failures, distance and a lapsed entry, with noise.
 func (p *Picker) penalty(now time.Time, w Want, u fleet.Upstream) float64 {
-	sum := failureWeight*p.Reliability.Failing(now, u.ID) + noiseWeight*p.random()
+	sum := failureWeight*p.Reliability.FailureRate(now, u.ID) + noiseWeight*p.random()
 	if u.Hall != w.Hall {
 		sum += otherHallWeight
 		if w.Moves {
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -172,7 +172,7 @@
 			p.Allocation = func(route.Service) float64 { return tt.allocation }
 			for i := range tt.cold {
 				u, _ := p.Fleet.Get(fmt.Sprint("e", i))
-				u.Version, u.Cold = 2, now.Add(time.Second)
+				u.Version, u.ColdUntil = 2, now.Add(time.Second)
 				p.Fleet.Put(now, u)
 			}
 			u, _, ok := p.Choose(now, picker.Want{Service: service, Tokens: 100, Moves: tt.moves})
@@ -189,7 +189,7 @@
 	p, _ := newPickerAndLoads([]string{"leith"})
 	p.Warmup, p.Allocation = warmup.New(rand.New(rand.NewPCG(1, 1))), func(route.Service) float64 { return 1 }
 	u := p.Fleet.Serving("llm")[0]
-	u.Version, u.Cold = 2, now.Add(time.Second)
+	u.Version, u.ColdUntil = 2, now.Add(time.Second)
 	p.Fleet.Put(now, u)
 	sent := 0
 	for ; sent < 100; sent++ {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -110,19 +110,19 @@
 // Changes lists every change, for counters.
 func Changes() []string { return []string{Closed, LetIn, Cleared, Released, Excused} }
 
-// Keeper keeps quarantines beyond the lives of all boxes.
-type Keeper interface {
-	// Keep is told of a request and the ids of the upstreams that ended under it.
-	Keep(fp fingerprint.Fingerprint, upstreams []string)
-	// Drop is told that one is quarantined no longer.
-	Drop(fp fingerprint.Fingerprint)
+// Store keeps quarantines beyond the lives of all boxes.
+type Store interface {
+	// Save is told of a request and the ids of the upstreams that ended under it.
+	Save(fp fingerprint.Fingerprint, upstreams []string)
+	// Delete is told that one is quarantined no longer.
+	Delete(fp fingerprint.Fingerprint)
 }
 
 // Quarantine is one box's. It is safe for use by several goroutines; a nil one knows
 // of nothing.
 type Quarantine struct {
 	counter Counter
-	keeper  Keeper
+	keeper  Store
 	log     *logrus.Entry
 
 	mu       sync.Mutex
@@ -138,21 +138,21 @@
 type send struct{ cut func() }
 
 // New returns a quarantine that knows of nothing.
-func New(c Counter, k Keeper, log *logrus.Entry) *Quarantine {
+func New(c Counter, k Store, log *logrus.Entry) *Quarantine {
 	return &Quarantine{
 		counter: c, keeper: k, log: log, suspects: map[fingerprint.Fingerprint]*suspect{}, lives: map[life]*ended{},
 		sent: map[fingerprint.Fingerprint]map[*send]struct{}{},
 	}
 }
 
-// Gone notes that an upstream has ended unannounced, whoever was there.
-func (q *Quarantine) Gone(now time.Time, u fleet.Upstream) {
+// RecordEnd notes that an upstream has ended unannounced, whoever was there.
+func (q *Quarantine) RecordEnd(now time.Time, u fleet.Upstream) {
 	if q == nil {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gone(now, life{u.ID, u.Born})
+	q.gone(now, life{u.ID, u.StartedAt})
 }
 
 // gone notes the end of a life; false if it is known, or too many are.
@@ -165,8 +165,8 @@
 	return true
 }
 
-// Ended notes that an upstream has ended unannounced while a request was there.
-func (q *Quarantine) Ended(now time.Time, fp fingerprint.Fingerprint, u fleet.Upstream) {
+// RecordEndDuring notes that an upstream has ended unannounced while a request was there.
+func (q *Quarantine) RecordEndDuring(now time.Time, fp fingerprint.Fingerprint, u fleet.Upstream) {
 	if q == nil {
 		return
 	}
@@ -176,11 +176,11 @@
 		q.counter.Quarantined(Excused)
 		return
 	}
-	if q.add(now, fp, life{u.ID, u.Born}) {
+	if q.add(now, fp, life{u.ID, u.StartedAt}) {
 		s := q.suspects[fp]
 		s.own = true
 		q.log.WithFields(logrus.Fields{
-			"fingerprint": fp, "upstream": u.ID, "born": u.Born, "ends": s.count(now), "beside": len(q.lives[life{u.ID, u.Born}].fps) - 1,
+			"fingerprint": fp, "upstream": u.ID, "born": u.StartedAt, "ends": s.count(now), "beside": len(q.lives[life{u.ID, u.StartedAt}].fps) - 1,
 		}).Info("ended_under")
 	}
 }
@@ -212,8 +212,8 @@
 	s.changed = q.changes
 }
 
-// Good notes that a request has run to a good end: it ends no upstream.
-func (q *Quarantine) Good(now time.Time, fp fingerprint.Fingerprint) {
+// RecordSuccess notes that a request has run to a good end: it ends no upstream.
+func (q *Quarantine) RecordSuccess(now time.Time, fp fingerprint.Fingerprint) {
 	if q == nil {
 		return
 	}
@@ -266,7 +266,7 @@
 	q.counter.Quarantined(change)
 	q.log.WithFields(logrus.Fields{"fingerprint": fp, "change": change, "was_closed": closed}).Info("request_cleared")
 	if closed {
-		q.keeper.Drop(fp)
+		q.keeper.Delete(fp)
 	}
 	return true
 }
@@ -331,9 +331,9 @@
 	return s.newest
 }
 
-// Sent notes that a request is on its way or at an upstream, until left is called; cut
+// Track notes that a request is on its way or at an upstream, until left is called; cut
 // breaks it off if it is quarantined meanwhile.
-func (q *Quarantine) Sent(fp fingerprint.Fingerprint, cut func()) (left func()) {
+func (q *Quarantine) Track(fp fingerprint.Fingerprint, cut func()) (left func()) {
 	if q == nil {
 		return func() {}
 	}
--- a/readpolicy/readpolicy_test.go
+++ b/readpolicy/readpolicy_test.go
@@ -22,15 +22,15 @@
 	heard, promised time.Time
 }
 
-func (b boxes) Known() bool         { return b.known }
-func (b boxes) Reads() bool         { return b.reads }
-func (b boxes) Count() int          { return b.count }
-func (b boxes) Listed() bool        { return !b.unlisted }
-func (b boxes) TurnedAway() bool    { return b.away }
-func (b boxes) Crowded() bool       { return b.crowded }
-func (b boxes) AllRead() bool       { return b.count <= 8 }
-func (b boxes) HubHeard() time.Time { return b.heard }
-func (b boxes) Promised() time.Time { return b.promised }
+func (b boxes) Joined() bool             { return b.known }
+func (b boxes) IsReader() bool           { return b.reads }
+func (b boxes) Count() int               { return b.count }
+func (b boxes) Listed() bool             { return !b.unlisted }
+func (b boxes) Rejected() bool           { return b.away }
+func (b boxes) IsLargeFleet() bool       { return b.crowded }
+func (b boxes) AllReaders() bool         { return b.count <= 8 }
+func (b boxes) LastHubAnswer() time.Time { return b.heard }
+func (b boxes) LastPromised() time.Time  { return b.promised }
 
 const never = -1
 
@@ -183,10 +183,10 @@
 		boxes boxes
 		want  tablesync.Pace
 	}{
-		"a hub":      {boxes{reads: true, count: 350}, tablesync.Pace{First: 100 * time.Millisecond, Most: 1200 * time.Millisecond}},
-		"few boxes":  {boxes{count: 10}, tablesync.Pace{First: 1200 * time.Millisecond, Most: 1200 * time.Millisecond}},
-		"many boxes": {boxes{count: 58}, tablesync.Pace{First: 2900 * time.Millisecond, Most: 2900 * time.Millisecond}},
-		"350 boxes":  {boxes{count: 350}, tablesync.Pace{First: 5 * time.Second, Most: 5 * time.Second}},
+		"a hub":      {boxes{reads: true, count: 350}, tablesync.Pace{Initial: 100 * time.Millisecond, Max: 1200 * time.Millisecond}},
+		"few boxes":  {boxes{count: 10}, tablesync.Pace{Initial: 1200 * time.Millisecond, Max: 1200 * time.Millisecond}},
+		"many boxes": {boxes{count: 58}, tablesync.Pace{Initial: 2900 * time.Millisecond, Max: 2900 * time.Millisecond}},
+		"350 boxes":  {boxes{count: 350}, tablesync.Pace{Initial: 5 * time.Second, Max: 5 * time.Second}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/relay/backoff_test.go
+++ b/relay/backoff_test.go
@@ -58,7 +58,7 @@
 				backingOff := len(backoffs.Names(time.Now(), "plain")) + len(backoffs.Names(time.Now(), "llm"))
 				is.Equal(backingOff, tt.backingOff)
 				if tt.backingOff > 0 {
-					is.Equal(w.reliability.Failing(time.Now(), w.sender.first()), 0.0)
+					is.Equal(w.reliability.FailureRate(time.Now(), w.sender.first()), 0.0)
 				}
 			})
 		})
--- a/relay/disconnect.go
+++ b/relay/disconnect.go
@@ -14,7 +14,7 @@
 
 // LivenessChecker finds out the state of an upstream after a connection to it broke.
 type LivenessChecker interface {
-	Look(ctx context.Context, u fleet.Upstream, engine bool) liveness.Finding
+	Check(ctx context.Context, u fleet.Upstream, engine bool) liveness.Finding
 }
 
 // handleBroken handles a send that failed after the given number of events. Failures other
@@ -26,7 +26,7 @@
 	now := time.Now()
 	engine, found := j.service.Engine != nil, liveness.Unknown
 	if !engine || r.Backoff.AllowException(now, sent.upstream.ID) { // checking an engine sends it a request
-		found = r.Liveness.Look(ctx, sent.upstream, engine)
+		found = r.Liveness.Check(ctx, sent.upstream, engine)
 	}
 	r.Metrics.Broke(found)
 	held := found == liveness.Ended && !sent.healthy
@@ -35,11 +35,11 @@
 	}).Info("answer_broke")
 	if found == liveness.Ended {
 		j.upstreamEnded.Store(true)
-		r.Quarantine.Gone(now, sent.upstream)
+		r.Quarantine.RecordEnd(now, sent.upstream)
 		r.recordEnded(sent.upstream)
 	}
 	if held {
-		r.Quarantine.Ended(now, j.print, sent.upstream)
+		r.Quarantine.RecordEndDuring(now, j.print, sent.upstream)
 	}
 }
 
@@ -53,8 +53,8 @@
 
 // recordEnded records that an upstream has ended, unless it has restarted since.
 func (r *Relay) recordEnded(u fleet.Upstream) {
-	if r.Fleet.Current(u) {
-		r.Reliability.Gone(time.Now(), u.ID)
+	if r.Fleet.IsCurrent(u) {
+		r.Reliability.RecordEnd(time.Now(), u.ID)
 	}
 }
 
--- a/relay/quarantine.go
+++ b/relay/quarantine.go
@@ -47,7 +47,7 @@
 		return
 	}
 	s.lastHealthy = now
-	r.Quarantine.Good(now, f.job.print)
+	r.Quarantine.RecordSuccess(now, f.job.print)
 }
 
 // Trials grants turns, so that suspected requests are tried one after the other.
@@ -95,11 +95,11 @@
 // awaitDecision waits while the other boxes' reports may still quarantine the request.
 func (r *Relay) awaitDecision(ctx context.Context, j *job) error {
 	for {
-		st := r.Quarantine.Standing(time.Now(), j.print)
+		st := r.Quarantine.Status(time.Now(), j.print)
 		switch {
 		case st.Kind == quarantine.Refused:
 			return r.refuseQuarantined(j, st)
-		case st.Kind != quarantine.Open:
+		case st.Kind != quarantine.Pending:
 			return nil
 		case !st.Until.Before(j.deadline): // the wait would exceed the deadline
 			return r.refuseQuarantined(j, st)
@@ -116,7 +116,7 @@
 		if err := r.awaitDecision(ctx, j); err != nil {
 			return err
 		}
-		st := r.Quarantine.Standing(time.Now(), j.print)
+		st := r.Quarantine.Status(time.Now(), j.print)
 		switch {
 		case st.Kind == quarantine.Free || j.releaseTrial != nil || r.Trials == nil:
 			return nil
@@ -129,14 +129,14 @@
 
 // quarantineRefusal returns the refusal of a request that is quarantined.
 func (r *Relay) quarantineRefusal(j *job) (refusal.Refusal, bool) {
-	st := r.Quarantine.Standing(time.Now(), j.print)
+	st := r.Quarantine.Status(time.Now(), j.print)
 	if st.Kind != quarantine.Refused {
 		return refusal.Refusal{}, false
 	}
 	return r.refuseQuarantined(j, st), true
 }
 
-func (r *Relay) refuseQuarantined(j *job, st quarantine.Standing) refusal.Refusal {
+func (r *Relay) refuseQuarantined(j *job, st quarantine.Status) refusal.Refusal {
 	back := time.Until(st.Until)
 	j.log.WithFields(logrus.Fields{"ends": st.Ends, "last_ms": st.Age.Milliseconds(), "back_ms": back.Milliseconds()}).Info("quarantine_refused")
 	return refusal.New(refusal.Quarantined, "upstreams ended while they ran this request").WithRetryAfter(back)
@@ -144,7 +144,7 @@
 
 // refuseConcurrentTry returns the refusal of a suspected request while another try of it
 // is running.
-func (r *Relay) refuseConcurrentTry(j *job, st quarantine.Standing) refusal.Refusal {
+func (r *Relay) refuseConcurrentTry(j *job, st quarantine.Status) refusal.Refusal {
 	j.log.WithFields(logrus.Fields{"ends": st.Ends, "last_ms": st.Age.Milliseconds(), "back_ms": retryAfterTrial.Milliseconds()}).Info("other_try_goes_on")
 	return refusal.New(refusal.Quarantined, "an upstream ended while it ran this request, and another try is in progress").WithRetryAfter(retryAfterTrial)
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -21,16 +21,16 @@
 // fixedFinding is the finding of every liveness check.
 type fixedFinding liveness.Finding
 
-func (f fixedFinding) Look(context.Context, fleet.Upstream, bool) liveness.Finding {
+func (f fixedFinding) Check(context.Context, fleet.Upstream, bool) liveness.Finding {
 	return liveness.Finding(f)
 }
 
 // discardRecords discards the quarantine's metrics and stored records.
 type discardRecords struct{}
 
-func (discardRecords) Quarantined(string)                     {}
-func (discardRecords) Keep(fingerprint.Fingerprint, []string) {}
-func (discardRecords) Drop(fingerprint.Fingerprint)           {}
+func (discardRecords) Quarantined(string) {}
+func (discardRecords) Save(fingerprint.Fingerprint, []string) {}
+func (discardRecords) Delete(fingerprint.Fingerprint) {}
 
 // newQuarantine returns a quarantine and the fingerprint of the requests in this test.
 func newQuarantine() (*quarantine.Quarantine, fingerprint.Fingerprint) {
@@ -41,7 +41,7 @@
 // endUpstreams records ends of upstreams under a request, one after the other.
 func endUpstreams(q *quarantine.Quarantine, fp fingerprint.Fingerprint, n int) {
 	for i := range n {
-		q.Ended(time.Now(), fp, fleet.Upstream{ID: fmt.Sprint("ended", i)})
+		q.RecordEndDuring(time.Now(), fp, fleet.Upstream{ID: fmt.Sprint("ended", i)})
 		time.Sleep(200 * time.Millisecond)
 	}
 	time.Sleep(time.Second)
@@ -59,19 +59,19 @@
 		found liveness.Finding
 		want  int // ends counted
 	}{
-		"a whole answer, upstream ended":      {"/once/", broken, liveness.Ended, 1},
-		"reset, upstream alive":               {"/once/", broken, liveness.Lives, 0},
-		"upstream state unknown":              {"/once/", broken, liveness.Unknown, 0},
-		"upstream leaving":                    {"/once/", broken, liveness.Leaving, 0},
-		"nothing was sent":                    {"/once/", reply{err: errReset, notSent: true}, liveness.Ended, 0},
+		"a whole answer, upstream ended": {"/once/", broken, liveness.Ended, 1},
+		"reset, upstream alive": {"/once/", broken, liveness.Alive, 0},
+		"upstream state unknown": {"/once/", broken, liveness.Unknown, 0},
+		"upstream leaving": {"/once/", broken, liveness.Leaving, 0},
+		"nothing was sent": {"/once/", reply{err: errReset, notSent: true}, liveness.Ended, 0},
 		"a repeatable request, two upstreams": {"/safe/", broken, liveness.Ended, 2},
-		"a stream before its first event":     {"/draft/", broken, liveness.Ended, 1},
+		"a stream before its first event": {"/draft/", broken, liveness.Ended, 1},
 		"a stream just after its first event": {"/draft/", early, liveness.Ended, 1},
-		"a stream that has run for a while":   {"/draft/", late, liveness.Ended, 0},
-		"a resumed stream, two upstreams":     {"/check/", early, liveness.Ended, 2},
-		"the prompt may not have been read":   {"/draft/", reply{err: errReset, delay: 20 * time.Millisecond}, liveness.Ended, 1},
-		"an invalid answer":                   {"/once/", reply{body: "x", unsealed: true}, liveness.Ended, 0},
-		"the caller disconnected":             {"/once/", reply{hang: true}, liveness.Ended, 0},
+		"a stream that has run for a while": {"/draft/", late, liveness.Ended, 0},
+		"a resumed stream, two upstreams": {"/check/", early, liveness.Ended, 2},
+		"the prompt may not have been read": {"/draft/", reply{err: errReset, delay: 20 * time.Millisecond}, liveness.Ended, 1},
+		"an invalid answer": {"/once/", reply{body: "x", unsealed: true}, liveness.Ended, 0},
+		"the caller disconnected": {"/once/", reply{hang: true}, liveness.Ended, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 				ctx, leave := context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer leave()
 				w.serve(ctx, tt.path)
-				is.New(t).Equal(q.Standing(time.Now(), fp).Ends, tt.want)
+				is.New(t).Equal(q.Status(time.Now(), fp).Ends, tt.want)
 			})
 		})
 	}
@@ -138,7 +138,7 @@
 func reportEnds(q *quarantine.Quarantine, fp fingerprint.Fingerprint, ends int) {
 	time.Sleep(10 * time.Millisecond)
 	for i := range ends {
-		q.Ended(time.Now().Add(time.Duration(i-20)*100*time.Millisecond), fp, fleet.Upstream{ID: fmt.Sprint("ended", i)})
+		q.RecordEndDuring(time.Now().Add(time.Duration(i-20)*100*time.Millisecond), fp, fleet.Upstream{ID: fmt.Sprint("ended", i)})
 	}
 	q.Tick(time.Now())
 }
@@ -228,7 +228,7 @@
 		second := first
 		second.ID, second.Address, second.Version = "plain1", "plain1:1", 3
 		w.fleet.Replace(time.Now(), []fleet.Upstream{first, second}, 3, false)
-		q.Good(time.Now(), fp)
+		q.RecordSuccess(time.Now(), fp)
 		at := map[string]int{}
 		for range 40 {
 			time.Sleep(200 * time.Millisecond)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -154,7 +154,7 @@
 	if r.Full() {
 		return nil, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(retryAfterOtherBox)
 	}
-	table, age, stale := r.Routes.Now(req.Arrived)
+	table, age, stale := r.Routes.Current(req.Arrived)
 	if table == nil {
 		return nil, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(retryAfterOtherBox)
 	}
@@ -420,13 +420,13 @@
 	}
 	entry := r.UpstreamLoad.Begin(u.ID, load)
 	sending, cancel := context.WithCancelCause(ctx)
-	untrackQuarantine := r.Quarantine.Sent(j.print, func() { cancel(&QuarantinedError{}) })
+	untrackQuarantine := r.Quarantine.Track(j.print, func() { cancel(&QuarantinedError{}) })
 	untrackRun := r.Runs.TrackSend(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
 	untrack := func() {
 		untrackQuarantine()
 		untrackRun()
 	}
-	if !r.Fleet.Current(u) { // the restart was seen before TrackSend, which would have cancelled the send
+	if !r.Fleet.IsCurrent(u) { // the restart was seen before TrackSend, which would have cancelled the send
 		untrack()
 		cancel(nil)
 		entry.End()
@@ -493,10 +493,10 @@
 	if !answer.Leaving {
 		return
 	}
-	if !r.Fleet.Leaving(u.ID) {
-		j.log.WithFields(logrus.Fields{"upstream": u.ID, "born": u.Born, "status": answer.Status}).Info("leaving_heard")
+	if !r.Fleet.IsLeaving(u.ID) {
+		j.log.WithFields(logrus.Fields{"upstream": u.ID, "born": u.StartedAt, "status": answer.Status}).Info("leaving_heard")
 	}
-	r.Fleet.Leaves(now, fleet.Departure{ID: u.ID, Said: true, Born: u.Born}, sourceAnswer)
+	r.Fleet.ApplyDeparture(now, fleet.Departure{ID: u.ID, Announced: true, StartedAt: u.StartedAt}, sourceAnswer)
 }
 
 // RestartedError says that an upstream has restarted and lost its requests.
@@ -507,7 +507,7 @@
 
 // recordResult records success or failure of an upstream, unless it has restarted since.
 func (r *Relay) recordResult(u fleet.Upstream, failed bool) {
-	if r.Fleet.Current(u) {
+	if r.Fleet.IsCurrent(u) {
 		r.Reliability.Record(time.Now(), u.ID, failed)
 	}
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -229,7 +229,7 @@
 		routes: routecache.New(4600 * time.Millisecond), fleet: fleet.New(time.Second), runs: runs.New(), load: upstreamload.New(),
 		sender: &sender{script: script},
 	}
-	w.routes.Take(table)
+	w.routes.Update(table)
 	w.routes.Confirm(time.Now())
 	var list []fleet.Upstream
 	for _, service := range []string{"plain", "llm"} {
@@ -426,7 +426,7 @@
 // sharePlaces enables the sharing of places among boxes.
 func (w *world) sharePlaces() {
 	w.relay.Places = places.New(places.Parts{
-		Ranker: w.relay.Picker, Failing: w.reliability.Failing, Counter: w.relay.Metrics, Hall: "leith", Random: rand.New(rand.NewPCG(1, 2)), Log: w.relay.Log,
+		Ranker: w.relay.Picker, Failing: w.reliability.FailureRate, Counter: w.relay.Metrics, Hall: "leith", Random: rand.New(rand.NewPCG(1, 2)), Log: w.relay.Log,
 	})
 }
 
@@ -540,7 +540,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, first, reply{body: "ok"})
-				w.routes.Take(route.New(8, []route.Route{
+				w.routes.Update(route.New(8, []route.Route{
 					{Name: "whole", Host: "h", Prefix: "/whole/", Repeatable: true, Attempts: 2, Timeout: time.Second, Aim: 100 * time.Millisecond, Split: split("llm")},
 				}, []route.Service{{Name: "llm", Engine: &route.Engine{Slots: 8, Memory: 30000, EventTokens: 4}}}, []route.Organisation{{Name: "council", Keys: []string{"key"}}}, route.Limits{}))
 				r := &recordingAdmitter{w: w}
@@ -831,7 +831,7 @@
 		w.relay.Picker.Warmup = warmup.New(rand.New(rand.NewPCG(1, 1)))
 		w.relay.Picker.Allocation = func(route.Service) float64 { return 0 }
 		for _, u := range w.fleet.Serving("plain") {
-			u.Version, u.Cold = 2, time.Now().Add(2*time.Second)
+			u.Version, u.ColdUntil = 2, time.Now().Add(2*time.Second)
 			w.fleet.Put(time.Now(), u)
 		}
 		c := w.serve(t.Context(), "/public/")
@@ -864,7 +864,7 @@
 				is := is.New(t)
 				w := newWorld(t, reply{body: "b"})
 				w.relay.Picker.Regions = map[string]string{"": "edinburgh"}
-				w.routes.Take(route.New(8, []route.Route{
+				w.routes.Update(route.New(8, []route.Route{
 					{Name: "safe", Host: "h", Prefix: "/safe/", Repeatable: true, Attempts: 2, Timeout: time.Second, Aim: time.Second, Split: split("plain"), Regions: tt.route},
 				}, []route.Service{{Name: "plain"}}, []route.Organisation{{Name: "council", Keys: []string{"key"}, Regions: tt.organisation}}, route.Limits{}))
 				w.routes.Confirm(time.Now())
@@ -901,7 +901,7 @@
 	})
 	announce := func(id string, born int64) {
 		u, _ := w.fleet.Get(id)
-		u.Born, u.Version = born, u.Version+1
+		u.StartedAt, u.Version = born, u.Version+1
 		w.fleet.Put(time.Now(), u)
 	}
 	for _, service := range []string{"plain", "llm"} {
@@ -932,7 +932,7 @@
 	}
 	is.Equal(len(w.load.Own()), 0)
 	if r.born > 100 { // failures before the restart do not count afterwards
-		is.Equal(w.reliability.Failing(time.Now(), w.sender.sends[0].Upstream), 0.0)
+		is.Equal(w.reliability.FailureRate(time.Now(), w.sender.sends[0].Upstream), 0.0)
 	}
 }
 
@@ -979,9 +979,9 @@
 // or was evacuated after the request was placed.
 func TestStateChangeBeforeSend(t *testing.T) {
 	tests := map[string]func(w *world, u fleet.Upstream){
-		"restarted": func(w *world, u fleet.Upstream) { w.fleet.Started(time.Now(), u.ID, u.Born+1, "report") },
+		"restarted": func(w *world, u fleet.Upstream) { w.fleet.MarkStarted(time.Now(), u.ID, u.StartedAt+1, "report") },
 		"leaving": func(w *world, u fleet.Upstream) {
-			w.fleet.Leaves(time.Now(), fleet.Departure{ID: u.ID, Said: true}, "answer")
+			w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: u.ID, Announced: true}, "answer")
 		},
 		"hall evacuated": func(w *world, u fleet.Upstream) { w.fleet.CloseHall(time.Now(), u.Hall) },
 	}
@@ -992,7 +992,7 @@
 				w := newWorld(t, reply{events: []int{0}})
 				for i := range 2 {
 					u, _ := w.fleet.Get(fmt.Sprint("llm", i))
-					u.Born, u.Hall, u.Version = 100, fmt.Sprint("hall", i), u.Version+1
+					u.StartedAt, u.Hall, u.Version = 100, fmt.Sprint("hall", i), u.Version+1
 					w.fleet.Put(time.Now(), u)
 				}
 				w.relay.Admitter = &sequentialAdmitter{fleet: w.fleet, onFirst: func(u fleet.Upstream) { news(w, u) }}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -133,7 +133,7 @@
 		return &exchange.FailedError{Err: err}
 	}
 	if !result.resp.answer.NotRun {
-		r.Quarantine.Good(time.Now(), f.job.print) // the request ran, and its upstream is alive
+		r.Quarantine.RecordSuccess(time.Now(), f.job.print) // the request ran, and its upstream is alive
 	}
 	result.body = body
 	r.deliver(ctx, f.job, f.caller, result)
@@ -282,7 +282,7 @@
 			at = h.Source
 			continue
 		}
-		if !r.Fleet.Current(at) {
+		if !r.Fleet.IsCurrent(at) {
 			f.job.log.WithField("upstream", at.ID).Warn("not_gone_on_restarted")
 			at = h.Source
 			continue
@@ -346,7 +346,7 @@
 	switch {
 	case err == nil:
 		r.Metrics.Ended(refusal.Done)
-		r.Quarantine.Good(time.Now(), f.job.print)
+		r.Quarantine.RecordSuccess(time.Now(), f.job.print)
 		log.Info("streamed")
 	case r.Buffers != nil && slowReader(err) != "":
 		r.Metrics.SlowEnded(slowReader(err))
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -146,7 +146,7 @@
 	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Overloaded(time.Now(), j.service) {
 		why = metrics.NotBesideNoRoom
 	}
-	if r.Quarantine.Standing(time.Now(), j.print).Kind != quarantine.Free {
+	if r.Quarantine.Status(time.Now(), j.print).Kind != quarantine.Free {
 		why = metrics.NotBesideSuspect
 	}
 	if why != metrics.NotBesideBudget || !r.Budget.Spend() {
@@ -233,7 +233,7 @@
 		return tryResult{upstream: u.ID, err: err}
 	}
 	if !resp.answer.NotRun && !impliesNotRun(resp.answer.Status) {
-		r.Quarantine.Good(time.Now(), j.print)
+		r.Quarantine.RecordSuccess(time.Now(), j.print)
 	}
 	return tryResult{upstream: u.ID, resp: resp, body: body, more: more}
 }
--- a/runs/runs.go
+++ b/runs/runs.go
@@ -127,10 +127,10 @@
 func (r *Run) upstreamRestarted(u fleet.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.upstream.ID == u.ID && r.upstream.Born < u.Born {
+	if r.upstream.ID == u.ID && r.upstream.StartedAt < u.StartedAt {
 		r.resolveStop(Handoff{})
 	}
-	if r.copied == nil || r.copied.Target.ID != u.ID || r.copied.Target.Born >= u.Born {
+	if r.copied == nil || r.copied.Target.ID != u.ID || r.copied.Target.StartedAt >= u.StartedAt {
 		return false
 	}
 	r.copied = nil
@@ -240,7 +240,7 @@
 	s.mu.Lock()
 	var lost []*trackedSend
 	for sent := range s.sends {
-		if sent.upstream.ID == u.ID && sent.upstream.Born < u.Born {
+		if sent.upstream.ID == u.ID && sent.upstream.StartedAt < u.StartedAt {
 			lost = append(lost, sent)
 		}
 	}
--- a/upstreamlimits/upstreamlimits.go
+++ b/upstreamlimits/upstreamlimits.go
@@ -149,9 +149,9 @@
 	defer t.mu.Unlock()
 	e, known := t.list[u.ID]
 	switch {
-	case known && u.Born < e.startedAt: // an earlier incarnation
+	case known && u.StartedAt < e.startedAt: // an earlier incarnation
 	case limit.Kind == exchange.LimitAnnounced:
-		e = t.entryOf(u.ID, u.Born)
+		e = t.entryOf(u.ID, u.StartedAt)
 		if !e.active {
 			e.period++
 		}
@@ -213,7 +213,7 @@
 
 // unreadable records an invalid announcement; the previous limit stays in force.
 func (t *Tracker) unreadable(now time.Time, u fleet.Upstream) {
-	e := t.entryOf(u.ID, u.Born)
+	e := t.entryOf(u.ID, u.StartedAt)
 	if !e.unreadable {
 		t.record(Unreadable, u.ID, logrus.Fields{"holds": e.active, "per_second": e.perSecond})
 	}
--- a/upstreamlimits/upstreamlimits_test.go
+++ b/upstreamlimits/upstreamlimits_test.go
@@ -64,7 +64,7 @@
 			began := time.Now()
 			at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 			for _, a := range tt.answers {
-				tracker.Observe(at(a.received), at(a.sent), fleet.Upstream{ID: "u", Born: a.startedAt}, a.limit, a.whole)
+				tracker.Observe(at(a.received), at(a.sent), fleet.Upstream{ID: "u", StartedAt: a.startedAt}, a.limit, a.whole)
 			}
 			perSecond, _, limited := tracker.Of(at(40).Add(easeDuration), "u")
 			is.Equal(perSecond, tt.limit)
