--- a/edge/admit.go
+++ b/edge/admit.go
@@ -54,8 +54,8 @@
 	return e.admitAlone(ctx, ask)
 }
 
-// Keeps returns the box that keeps the queue of a service, as this one sees it.
-func (e *Edge) Keeps(service string) string {
+// QueueOwner returns the box that keeps the queue of a service, as this one sees it.
+func (e *Edge) QueueOwner(service string) string {
 	keeper, _ := e.members.Keeper(time.Now(), "admission/"+service)
 	return keeper.Name
 }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -261,7 +261,7 @@
 // part is the part of what a cold upstream of a service bears that this box may
 // send there: all of it where this box gives room to the requests of all.
 func (e *Edge) part(service route.Service) float64 {
-	if service.Engine != nil && e.Keeps(service.Name) == e.config.Box {
+	if service.Engine != nil && e.QueueOwner(service.Name) == e.config.Box {
 		return 1
 	}
 	boxes := boxesGuess
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -308,10 +308,12 @@
 		until(t, "a box is ready", b.isReady)
 	}
 	keeper, other := s.boxes[0], s.boxes[1]
-	if keeper.Keeps("llm") != keeper.Name() {
+	if keeper.QueueOwner("llm") != keeper.Name() {
 		keeper, other = other, keeper
 	}
-	until(t, "both name the same keeper", func() bool { return keeper.Keeps("llm") == keeper.Name() && other.Keeps("llm") == keeper.Name() })
+	until(t, "both name the same keeper", func() bool {
+		return keeper.QueueOwner("llm") == keeper.Name() && other.QueueOwner("llm") == keeper.Name()
+	})
 	var all sync.WaitGroup
 	bodies := make([]string, drafts)
 	for i := range bodies {
--- a/edge/limits_engines_test.go
+++ b/edge/limits_engines_test.go
@@ -98,6 +98,6 @@
 // killKeeper kills the box that gives room on the engines.
 func killKeeper(_ context.Context, w *engines) {
 	all := w.crowd.running()
-	at := slices.IndexFunc(all, func(e *Edge) bool { return e.Name() == all[0].Keeps("llm") })
+	at := slices.IndexFunc(all, func(e *Edge) bool { return e.Name() == all[0].QueueOwner("llm") })
 	w.crowd.kill(all[at])
 }
--- a/edge/view.go
+++ b/edge/view.go
@@ -71,7 +71,7 @@
 		return keeps
 	}
 	for _, service := range table.Engines() {
-		if e.Keeps(service) == e.config.Box {
+		if e.QueueOwner(service) == e.config.Box {
 			keeps = append(keeps, service)
 		}
 	}
