--- a/edge/admit.go
+++ b/edge/admit.go
@@ -18,80 +18,81 @@
 )
 
 const (
-	// admitWait is how long the keeper of a queue may hold an ask back: one that
-	// dies meanwhile costs those who wait so much.
+	// admitWait is how long the owner of a queue may hold a request; if it dies
+	// meanwhile, the waiting requests lose that time.
 	admitWait = 300 * time.Millisecond
-	// admitSlack is for the way to the keeper and back.
-	admitSlack = 100 * time.Millisecond
-	// admitTries bounds how often the keeper is asked anew because it named an
-	// upstream that this box does not know, that leaves, whose hall is evacuated or that
-	// has asked this box for rest.
-	admitTries = 3
+	// admitRoundTrip is the network round trip to the owner.
+	admitRoundTrip = 100 * time.Millisecond
+	// maxAdmitTries bounds how often admission is retried because the owner assigned an
+	// upstream that this box must not use: unknown here, leaving, in an evacuated hall
+	// or backed off.
+	maxAdmitTries = 3
 )
 
-// Admit implements relay.Admitter: one box keeps the queue of a service, so that
-// no two boxes take the same room. One that is not heard is done without.
+// Admit implements relay.Admitter. One box owns the queue of a service, so that two
+// boxes don't assign the same capacity. If the owner is unreachable, this box admits on
+// its own.
 func (e *Edge) Admit(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
 	ask.Box, ask.Hall = e.config.Box, e.config.Hall
-	g, err := e.admitTo(ctx, ask)
-	e.sharing.ended(time.Now(), ask, e.admission.Work(ask), err)
+	g, err := e.admitKnown(ctx, ask)
+	e.sharing.recordOutcome(time.Now(), ask, e.admission.Work(ask), err)
 	return g, err
 }
 
-// admitTo returns an upstream that this box knows.
-func (e *Edge) admitTo(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
-	for range admitTries {
+// admitKnown admits a request to an upstream that this box may use.
+func (e *Edge) admitKnown(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
+	for range maxAdmitTries {
 		g, err := e.admit(ctx, ask)
 		if err != nil {
 			return admission.Grant{}, err
 		}
-		if u, ok := e.fleet.Get(g.Upstream.ID); ok && e.fleet.Takes(u.ID) && e.rest.Wait(time.Now(), u.ID) == 0 {
+		if u, ok := e.fleet.Get(g.Upstream.ID); ok && e.fleet.Takes(u.ID) && e.backoff.Wait(time.Now(), u.ID) == 0 {
 			g.Upstream = u
 			return g, nil
 		}
 		ask.Avoid = append(ask.Avoid, g.Upstream.ID)
 	}
-	return e.admitAlone(ctx, ask)
+	return e.admitLocally(ctx, ask)
 }
 
-// QueueOwner returns the box that keeps the queue of a service, as this one sees it.
+// QueueOwner returns the box that owns the queue of a service, as seen by this box.
 func (e *Edge) QueueOwner(service string) string {
-	keeper, _ := e.members.Keeper(time.Now(), "admission/"+service)
-	return keeper.Name
+	owner, _ := e.members.Keeper(time.Now(), "admission/"+service)
+	return owner.Name
 }
 
 func (e *Edge) admit(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
 	for ctx.Err() == nil {
-		keeper, ok := e.members.Keeper(time.Now(), "admission/"+ask.Service.Name)
-		if !ok || keeper.Name == e.config.Box || !e.hears(keeper.Name) {
+		owner, ok := e.members.Keeper(time.Now(), "admission/"+ask.Service.Name)
+		if !ok || owner.Name == e.config.Box || !e.isReachable(owner.Name) {
 			break
 		}
-		g, ok, err := e.admitAt(ctx, keeper, ask)
+		g, ok, err := e.requestAdmission(ctx, owner, ask)
 		if ok || err != nil {
 			return g, err
 		}
 	}
-	return e.admitAlone(ctx, ask)
+	return e.admitLocally(ctx, ask)
 }
 
-// avoidResting returns an ask that passes by whom this box is to leave alone for now.
-func (e *Edge) avoidResting(ask admission.Ask) (with admission.Ask, some bool) {
-	resting := e.rest.Names(time.Now(), ask.Service.Name)
-	ask.Avoid = append(slices.Clone(ask.Avoid), resting...)
-	return ask, len(resting) > 0
+// avoidBackedOff excludes the upstreams that asked this box to back off.
+func (e *Edge) avoidBackedOff(ask admission.Ask) (avoiding admission.Ask, found bool) {
+	backedOff := e.backoff.Names(time.Now(), ask.Service.Name)
+	ask.Avoid = append(slices.Clone(ask.Avoid), backedOff...)
+	return ask, len(backedOff) > 0
 }
 
-// takeAlone waits in this box's own queue; while upstreams rest it asks anew as the
-// keeper is asked, so that those are not passed by that rest no longer.
-func (e *Edge) takeAlone(ctx context.Context, ask admission.Ask) (g admission.Grant, ok bool, err error) {
+// waitLocally waits in this box's own queue. While upstreams are backed off it rechecks
+// them every admitWait, so that they are used again once the backoff ends.
+func (e *Edge) waitLocally(ctx context.Context, ask admission.Ask) (g admission.Grant, ok bool, err error) {
 	for ctx.Err() == nil {
-		with, some := e.avoidResting(ask)
-		if !some {
+		avoiding, found := e.avoidBackedOff(ask)
+		if !found {
 			return e.admission.Take(ctx, ask)
 		}
-		waits, end := context.WithTimeout(ctx, admitWait)
-		g, ok, err = e.admission.Take(waits, with)
-		end()
+		waitCtx, cancel := context.WithTimeout(ctx, admitWait)
+		g, ok, err = e.admission.Take(waitCtx, avoiding)
+		cancel()
 		if ok || err != nil {
 			return g, ok, err
 		}
@@ -99,63 +100,63 @@
 	return g, false, nil
 }
 
-// admitAlone waits in this box's own queue.
-func (e *Edge) admitAlone(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
-	g, ok, err := e.takeAlone(ctx, ask)
+// admitLocally admits a request from this box's own queue.
+func (e *Edge) admitLocally(ctx context.Context, ask admission.Ask) (admission.Grant, error) {
+	g, ok, err := e.waitLocally(ctx, ask)
 	switch {
 	case err != nil:
 		return admission.Grant{}, err
 	case !ok && errors.Is(ctx.Err(), context.Canceled):
-		return admission.Grant{}, refusal.New(refusal.CallerGone, "the caller hung up while it waited for room")
+		return admission.Grant{}, refusal.New(refusal.CallerGone, "the caller disconnected while waiting for capacity")
 	case !ok:
-		return admission.Grant{}, refusal.New(refusal.Deadline, "no engine had room in time")
+		return admission.Grant{}, refusal.New(refusal.Deadline, "no engine had capacity in time")
 	}
-	e.tally.Kept(e.config.Box, g.Upstream.ID) // it is counted as this box's own from here on
+	e.loads.Kept(e.config.Box, g.Upstream.ID) // counted as this box's own request from here on
 	return g, nil
 }
 
-// admitAt asks the keeper once; ok is false if there is no room yet. A keeper that
-// does not answer is done without until it is heard again.
-func (e *Edge) admitAt(ctx context.Context, keeper members.Box, ask admission.Ask) (g admission.Grant, ok bool, err error) {
-	call, cancel := context.WithTimeout(ctx, admitWait+admitSlack)
+// requestAdmission calls the owner of the queue once; ok is false if there is no
+// capacity yet. An owner that doesn't answer is skipped until it is heard from again.
+func (e *Edge) requestAdmission(ctx context.Context, owner members.Box, ask admission.Ask) (g admission.Grant, ok bool, err error) {
+	call, cancel := context.WithTimeout(ctx, admitWait+admitRoundTrip)
 	defer cancel()
-	with, _ := e.avoidResting(ask)
+	avoiding, _ := e.avoidBackedOff(ask)
 	var answer wire.AdmitAnswer
-	err = e.peers.Repeat(call, keeper.Address, peer.Admit, wire.AdmitAsk{
+	err = e.peers.Repeat(call, owner.Address, peer.Admit, wire.AdmitAsk{
 		Request: ask.Request, Box: ask.Box, Hall: ask.Hall, Service: ask.Service.Name, Urgency: ask.Urgency,
 		Prompt: ask.Prompt, Answer: ask.Answer, AimMs: int(ask.Aim.Milliseconds()), GapMs: int(ask.Gap.Milliseconds()), WaitedMs: int(time.Since(ask.Arrived).Milliseconds()),
-		DeadlineMs: int(ask.Deadline.Milliseconds()), PatienceMs: int(ask.Patience.Milliseconds()), Mark: strconv.FormatUint(ask.Mark, 36), Organisation: ask.Organisation, Avoid: with.Avoid, Regions: ask.Regions, WaitMs: int(admitWait.Milliseconds()),
+		DeadlineMs: int(ask.Deadline.Milliseconds()), PatienceMs: int(ask.Patience.Milliseconds()), Mark: strconv.FormatUint(ask.Mark, 36), Organisation: ask.Organisation, Avoid: avoiding.Avoid, Regions: ask.Regions, WaitMs: int(admitWait.Milliseconds()),
 	}, &answer)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		e.unheard(keeper.Name)
-		e.log.WithError(err).WithFields(logrus.Fields{"keeper": keeper.Name, "request": ask.Request}).Warn("admission_not_asked")
+		e.markUnreachable(owner.Name)
+		e.log.WithError(err).WithFields(logrus.Fields{"keeper": owner.Name, "request": ask.Request}).Warn("admission_not_asked")
 		return g, false, nil
 	case err != nil:
 		return g, false, nil
-	case answer.Reason == string(refusal.NoUpstream): // it may know less than this box
-		g, err = e.admitAlone(ctx, ask)
+	case answer.Reason == string(refusal.NoUpstream): // the owner may know fewer upstreams than this box
+		g, err = e.admitLocally(ctx, ask)
 		return g, err == nil, err
 	case answer.Reason != "":
-		return g, false, refusal.New(refusal.Reason(answer.Reason), "no engine has room").WithRetryAfter(time.Duration(answer.RetryAfterMs) * time.Millisecond)
+		return g, false, refusal.New(refusal.Reason(answer.Reason), "no engine has capacity").WithRetryAfter(time.Duration(answer.RetryAfterMs) * time.Millisecond)
 	case answer.Upstream == "":
 		return g, false, nil
 	}
 	return admission.Grant{Upstream: fleet.Upstream{ID: answer.Upstream}, Load: float64(answer.LoadPct) / 100}, true, nil
 }
 
-// AdmitFor implements edgerpc.Box: it waits for room for another box's request.
+// AdmitFor implements edgerpc.Box: it waits for capacity for another box's request.
 func (e *Edge) AdmitFor(ctx context.Context, ask wire.AdmitAsk) wire.AdmitAnswer {
 	e.timer.Check()
 	service, ok := e.service(ask.Service)
 	if !ok || service.Engine == nil {
 		return wire.AdmitAnswer{Reason: string(refusal.NoUpstream)}
 	}
-	mark, _ := strconv.ParseUint(ask.Mark, 36, 64) // one that cannot be read is known by nobody
+	requestKey, _ := strconv.ParseUint(ask.Mark, 36, 64) // an invalid key matches no earlier request
 	g, ok, err := e.admission.Take(ctx, admission.Ask{
 		Request: ask.Request, Box: ask.Box, Hall: ask.Hall, Service: service, Urgency: ask.Urgency, Prompt: ask.Prompt,
 		Answer: ask.Answer, Arrived: time.Now().Add(-time.Duration(ask.WaitedMs) * time.Millisecond),
-		Aim: time.Duration(ask.AimMs) * time.Millisecond, Gap: time.Duration(ask.GapMs) * time.Millisecond, Deadline: time.Duration(ask.DeadlineMs) * time.Millisecond, Patience: time.Duration(ask.PatienceMs) * time.Millisecond, Mark: mark, Organisation: ask.Organisation, Avoid: ask.Avoid,
+		Aim: time.Duration(ask.AimMs) * time.Millisecond, Gap: time.Duration(ask.GapMs) * time.Millisecond, Deadline: time.Duration(ask.DeadlineMs) * time.Millisecond, Patience: time.Duration(ask.PatienceMs) * time.Millisecond, Mark: requestKey, Organisation: ask.Organisation, Avoid: ask.Avoid,
 		Regions: ask.Regions,
 	})
 	var refused refusal.Refusal
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// hubKnows is how long after it has become a hub a box has been told by all
-	// others that reach it: they find out by two calls of 0.5 s that the one before
-	// is gone. Until then, and until so many of them as hubTold have told, its sums
-	// would make full engines look empty.
-	hubKnows = 1250 * time.Millisecond
-	hubTold  = 0.75
-	// askTime is the longest that an asker's word is under way, which is then as much
-	// older: a call may be repeated within its 0.5 s.
-	askTime = 600 * time.Millisecond
-	// neverAge is told where there is no knowledge: older than all that counts.
+	// hubSettleTime is the time after which a new hub has reports of all boxes that
+	// reach it: they detect the loss of the previous hub after two calls of 0.5 s.
+	// Until then, or until minReportedFraction of them have reported, its sums are
+	// incomplete and would make full engines look empty.
+	hubSettleTime       = 1250 * time.Millisecond
+	minReportedFraction = 0.75
+	// maxGossipDelay bounds how old a gossip request is on arrival: a call may be
+	// retried within its 0.5 s.
+	maxGossipDelay = 600 * time.Millisecond
+	// neverAge stands for an unknown age; it exceeds every limit.
 	neverAge = time.Hour
-	// fleetLink is the part of its link that a box takes for whole fleets: many are asked
-	// for at once, and each waits in memory until it has gone out.
-	fleetLink = 0.25
-	// fleetCall is what a whole fleet takes of it besides its bytes, in bytes.
-	fleetCall = 1000
+	// fleetLinkFraction is the fraction of the box's link used for full fleet
+	// transfers: many boxes request them at once, and each is held in memory until it
+	// is sent.
+	fleetLinkFraction = 0.25
+	// fleetCallBytes is the overhead of a full fleet transfer, in bytes.
+	fleetCallBytes = 1000
 )
 
-// Heard implements edgerpc.Box: it answers as a hub does, as the asker holds
-// this box to be one.
+// Heard implements edgerpc.Box. It answers as a hub, since the caller takes this box
+// for one.
 func (e *Edge) Heard(from wire.Gossip) wire.GossipAnswer {
 	e.timer.Check()
 	now := time.Now()
-	e.heardBox(now, from.Sender, from.Leaving)
+	e.recordBox(now, from.Sender, from.Leaving)
 	if from.Unlisted {
-		e.registrar.asked(from.Sender)
+		e.registrar.add(from.Sender)
 	}
-	e.hearDeparting(now, from.Departing)
+	e.receiveDepartures(now, from.Departing)
 	e.quarantine.Told(now, from.Ends)
 	e.limits.Told(now, from.Limits, e.members.Hub(now, from.Sender.Box))
-	e.hearWords(now, from.Sender.Box, wordsOf(from), from.Counts, peerstate.Cover{Boxes: from.Covers, Near: from.CoversNear})
-	a := wire.GossipAnswer{Sender: e.record, Leaving: e.draining.Load(), Tells: e.tells(now, from.Wants), StoreSilentMs: e.storeAge(now)}
+	e.receiveReport(now, from.Sender.Box, gossipReport(from), from.Counts, peerstate.Cover{Boxes: from.Covers, Near: from.CoversNear})
+	a := wire.GossipAnswer{Sender: e.record, Leaving: e.draining.Load(), Tells: e.loadScope(now, from.Wants), StoreSilentMs: e.storeAge(now)}
 	switch a.Tells {
 	case wire.GossipScopeOwn:
-		w, covers := e.partWords(now, from.WantsSpeeds)
-		w.answer(&a)
-		a.Covers, a.CoversNear, a.Hubs = covers.Boxes, covers.Near, e.hubRecords(now)
+		w, coverage := e.aggregatedReport(now, from.WantsSpeeds)
+		w.fillAnswer(&a)
+		a.Covers, a.CoversNear, a.Hubs = coverage.Boxes, coverage.Near, e.hubRecords(now)
 	case wire.GossipScopeAll:
-		e.wordsWithout(now, from.Sender.Box, from.WantsSpeeds).answer(&a)
+		e.reportWithout(now, from.Sender.Box, from.WantsSpeeds).fillAnswer(&a)
 		a.Hubs = e.hubRecords(now)
 	}
-	e.answerCrowd(now, &a)
+	e.answerFleetSize(now, &a)
 	e.answerConfiguration(now, &a)
 	e.answerEnds(now, from, &a)
 	e.answerLimits(now, from, &a)
@@ -60,67 +61,67 @@
 	return a
 }
 
-// answerCrowd tells how many boxes there are, and which hubs are alive, where boxes
-// do not call all hubs: by that they know whom to call, and which keeper to ask. A box
-// is told what other hubs know too, as it hears none of them; a hub only what this one
-// knows, as two would else remind each other for good of boxes that are gone.
-func (e *Edge) answerCrowd(now time.Time, a *wire.GossipAnswer) {
-	crowd := e.members.Crowd(now)
-	if crowd == nil || a.Tells == wire.GossipScopeNone {
+// answerFleetSize adds the number of boxes per hall and the live hubs, for large fleets
+// in which boxes don't call every hub. Boxes also get what other hubs reported, since
+// they don't call those; hubs get only this hub's own count, as two hubs would
+// otherwise keep removed boxes alive in each other.
+func (e *Edge) answerFleetSize(now time.Time, a *wire.GossipAnswer) {
+	sizes := e.members.Crowd(now)
+	if sizes == nil || a.Tells == wire.GossipScopeNone {
 		return
 	}
 	if a.Tells == wire.GossipScopeAll {
-		crowd = e.members.CrowdOfAll(now)
+		sizes = e.members.CrowdOfAll(now)
 	}
-	for hall, boxes := range crowd {
+	for hall, boxes := range sizes {
 		a.Crowd = append(a.Crowd, wire.HallBoxes{Hall: hall, Boxes: boxes})
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, b := range a.Hubs {
-		if at, ok := e.heard[b.Box]; ok {
+		if at, ok := e.lastSeen[b.Box]; ok {
 			a.Heard = append(a.Heard, wire.BoxHeard{Box: b.Box, AgoMs: int(now.Sub(at).Milliseconds())})
 		}
 	}
 }
 
-// tells returns what a box tells of loads that is asked for them: of all boxes
-// only if it hears of all.
-func (e *Edge) tells(now time.Time, wanted wire.GossipScope) wire.GossipScope {
+// loadScope returns which loads to send to a caller: the sums of all boxes only if this
+// hub has nearly all reports.
+func (e *Edge) loadScope(now time.Time, wanted wire.GossipScope) wire.GossipScope {
 	if wanted != wire.GossipScopeAll {
 		return wanted
 	}
 	others := e.members.Count(now) - e.members.Leaving() - 1
-	told := float64(e.tally.Boxes(now)) >= hubTold*float64(others)
+	reported := float64(e.loads.Boxes(now)) >= minReportedFraction*float64(others)
 	since, hub := e.members.IsHub(now)
-	if hub && (told || since >= hubKnows) {
+	if hub && (reported || since >= hubSettleTime) {
 		return wire.GossipScopeAll
 	}
 	return wire.GossipScopeNone
 }
 
-// storeAge returns how many milliseconds ago the store answered anyone that this
-// box hears of, neverAge where it never did.
+// storeAge returns the milliseconds since the store last answered any box that this one
+// hears from, or neverAge.
 func (e *Edge) storeAge(now time.Time) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.storeHeard.IsZero() {
+	if e.storeLastSeen.IsZero() {
 		return int(neverAge.Milliseconds())
 	}
-	return int(now.Sub(e.storeHeard).Milliseconds()) + 1
+	return int(now.Sub(e.storeLastSeen).Milliseconds()) + 1
 }
 
 func (e *Edge) answerConfiguration(now time.Time, a *wire.GossipAnswer) {
-	table, age, _ := e.belief.Now(now)
+	table, age, _ := e.routes.Now(now)
 	if table == nil {
 		return
 	}
 	a.Version, a.VersionAgeMs = table.Version(), int(age.Milliseconds())+1
-	a.Halls = e.hallWords(now)
+	a.Halls = e.evacuations(now)
 }
 
-// hallWords returns what this box knows of the evacuation of halls.
-func (e *Edge) hallWords(now time.Time) []wire.HallWord {
+// evacuations returns the known state of halls.
+func (e *Edge) evacuations(now time.Time) []wire.HallWord {
 	list := []wire.HallWord{}
 	for _, w := range e.halls.All() {
 		list = append(list, wire.HallWord{
@@ -133,27 +134,27 @@
 // Configuration implements edgerpc.Box.
 func (e *Edge) Configuration() wire.Configuration {
 	e.timer.Check()
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.routes.Now(time.Now())
 	if table == nil {
 		return wire.Configuration{}
 	}
 	return wire.Configuration{Version: table.Version(), Encoded: string(e.configuration.Newest())}
 }
 
-// answerFleet tells what changed since the asker's mark; the whole fleet to one
-// that has none and wants it, as fast as fleetLink allows; to the few that are hubs
-// at once, as their part of the boxes waits for them.
+// answerFleet adds the changes since the caller's cursor. A caller without one that
+// wants the full fleet gets it as fast as fleetLinkFraction allows; hubs get it at
+// once, since their boxes depend on them.
 func (e *Edge) answerFleet(now time.Time, from wire.Gossip, a *wire.GossipAnswer) {
 	age, known := e.fleet.Age(now)
 	a.FleetAgeMs = int(age.Milliseconds()) + 1
-	if !known { // it is a hub, or about to be one, and will know soon
+	if !known { // a new hub, which will know the fleet soon
 		a.FleetAgeMs, a.FleetLater = int(neverAge.Milliseconds()), from.WholeFleet
 		return
 	}
-	after := e.after(now, from)
+	after := e.fleetCursor(now, from)
 	switch {
 	case after == 0 && from.WholeFleet:
-		e.answerWhole(now, from, a)
+		e.answerWholeFleet(now, from, a)
 		return
 	case from.WholeFleet && from.FleetAfter == 0:
 		e.metrics.FleetTold("changes")
@@ -167,15 +168,15 @@
 	a.Upstreams = e.upstreamRecords(now, changed)
 }
 
-// answerWhole tells the whole fleet, packed once for all that ask together.
-func (e *Edge) answerWhole(now time.Time, from wire.Gossip, a *wire.GossipAnswer) {
+// answerWholeFleet adds the full fleet, which is packed once for concurrent callers.
+func (e *Edge) answerWholeFleet(now time.Time, from wire.Gossip, a *wire.GossipAnswer) {
 	packed, at, err := e.snapshot.Packed(now)
 	if err != nil {
 		e.log.WithError(err).Error("fleet_not_packed")
 		a.FleetLater = true
 		return
 	}
-	if !e.tables.allow(now, len(packed)+fleetCall) && !e.members.Hub(now, from.Sender.Box) {
+	if !e.fleetPacer.allow(now, len(packed)+fleetCallBytes) && !e.members.Hub(now, from.Sender.Box) {
 		a.FleetLater = true
 		e.metrics.FleetTold("later")
 		return
@@ -195,62 +196,62 @@
 	records := make([]wire.UpstreamRecord, 0, len(list))
 	for _, u := range list {
 		records = append(records, wire.UpstreamRecord{
-			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, ColdMs: coldMs(now, u),
+			ID: u.ID, Service: u.Service, Address: u.Address, Hall: u.Hall, Slots: u.Slots, ColdMs: remainingColdMs(now, u),
 			State: string(u.State), Version: int(u.Version), Said: u.Said, Born: int(u.Born),
 		})
 	}
 	return records
 }
 
-// wholeFleet is the source of the snapshot.
-func (e *Edge) wholeFleet() ([]wire.UpstreamRecord, int) {
+// fleetSnapshot returns the records to pack for full transfers.
+func (e *Edge) fleetSnapshot() ([]wire.UpstreamRecord, int) {
 	list, change := e.fleet.Since(0)
 	return e.upstreamRecords(time.Now(), list), change
 }
 
-// after returns the change after which an asker is to be told: its mark, or where it
-// has none, as its hub has just been lost or this box become one, the last before it
-// knew all. It so has the news at once: of 300 boxes 38 ask in a lost hub's place, and
-// whole fleets are told to the last of them after 2 s.
-func (e *Edge) after(now time.Time, from wire.Gossip) int {
+// fleetCursor returns the change after which the caller needs updates: its own cursor
+// or, if it has none because it lost its hub or this box has just become one, the last
+// change before its fleet was complete. It then gets news without a full transfer,
+// which can take 2 s when many boxes lose their hub at once.
+func (e *Edge) fleetCursor(now time.Time, from wire.Gossip) int {
 	switch {
 	case from.FleetOf == e.record.Incarnation && from.FleetAfter > 0:
 		return from.FleetAfter
 	case from.FleetKnownMs == 0:
 		return 0
 	}
-	change, known := e.fleet.At(now.Add(-config.Millis(from.FleetKnownMs) - askTime))
+	change, known := e.fleet.At(now.Add(-config.Millis(from.FleetKnownMs) - maxGossipDelay))
 	if !known {
 		return 0
 	}
 	return change
 }
 
-// coldMs returns for how much longer an upstream is cold, in ms.
-func coldMs(now time.Time, u fleet.Upstream) int {
+// remainingColdMs returns for how many more milliseconds an upstream is cold.
+func remainingColdMs(now time.Time, u fleet.Upstream) int {
 	if u.Cold.IsZero() {
 		return 0
 	}
 	return int(max(u.Cold.Sub(now), 0).Milliseconds())
 }
 
-// pacer lets things through one after the other, each taking its time at a rate.
-// It is safe for use by several goroutines.
+// pacer limits a rate: each item blocks the next until its time has passed. It is safe
+// for concurrent use.
 type pacer struct {
-	rate float64 // a second
+	rate float64 // units per second
 
-	mu   sync.Mutex
-	free time.Time // the last one has had its time
+	mu       sync.Mutex
+	nextFree time.Time // when the next item may pass
 }
 
-// allow tells whether so many may go now.
+// allow reports whether n units may pass now.
 func (p *pacer) allow(now time.Time, n int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Before(p.free) {
+	if now.Before(p.nextFree) {
 		return false
 	}
-	p.free = now.Add(time.Duration(float64(n) / p.rate * float64(time.Second)))
+	p.nextFree = now.Add(time.Duration(float64(n) / p.rate * float64(time.Second)))
 	return true
 }
 
--- a/edge/crowd_test.go
+++ b/edge/crowd_test.go
@@ -366,7 +366,7 @@
 	for i := range boxes {
 		e := c.box(t, fmt.Sprint("b", i), fmt.Sprint("hall", i%halls))
 		c.all = append(c.all, e)
-		e.tally.Begin(fmt.Sprint("u", i), upstreamload.Load{Requests: 1})
+		e.loads.Begin(fmt.Sprint("u", i), upstreamload.Load{Requests: 1})
 	}
 	return c
 }
@@ -385,7 +385,7 @@
 			if pass(ctx, after) == nil {
 				c.start(ctx, e, records)
 				_ = pass(ctx, time.Duration(i)*joinCost)
-				e.listed(records)
+				e.setBoxes(records)
 				e.joined.Store(true)
 			}
 		}()
@@ -410,8 +410,8 @@
 		Edge: &wire.Edge{KeyAgeMs: 5000, LeaveMs: 2000, RetryRatio: 0.2, RetrySlack: 50, MemoryMb: 134, Descriptors: 4100, Processors: processors, LinkMbit: link, Balance: c.balance},
 	}}, logs.New(io.Discard, "error", name), counts)
 	e.peers = way{c, name}
-	e.kept.list = c.kept
-	e.configuration = manifest.NewConfiguration(reader{c.table, name}, e.belief, e.halls, e.log)
+	e.quarantineStore.table = c.kept
+	e.configuration = manifest.NewConfiguration(reader{c.table, name}, e.routes, e.halls, e.log)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cpu[name] = &processor{}
@@ -424,11 +424,11 @@
 	c.mu.Lock()
 	c.up[e.record.Address], c.ends[e] = e, end
 	c.mu.Unlock()
-	time.AfterFunc(listTime, func() { e.restarts(records) })
-	workers := manifest.NewWorkers(reader{c.table, e.Name()}, e.fleet, e.names, e.metrics, e.log)
-	go tablesync.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log).Run(ctx)
-	go tablesync.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log).Run(ctx)
-	go e.timer.Every(ctx, "tick", tickEvery, func(now time.Time) {
+	time.AfterFunc(listTime, func() { e.setPreviousBoxes(records) })
+	workers := manifest.NewWorkers(reader{c.table, e.Name()}, e.fleet, e.hasService, e.metrics, e.log)
+	go tablesync.New("configuration", e.configuration, storeAnswers{e.routes.Confirm, e.recordStoreAnswer}, e.readPolicy("configuration", e.routes.Age), e.log).Run(ctx)
+	go tablesync.New("upstreams", workers, storeAnswers{e.fleet.Confirm, e.recordStoreAnswer}, e.readPolicy("upstreams", e.fleet.Age), e.log).Run(ctx)
+	go e.timer.Every(ctx, "tick", tickInterval, func(now time.Time) {
 		e.fleet.Tick(now)
 		e.quarantine.Tick(now)
 		e.limiter.tick(now)
@@ -442,7 +442,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	return ctx, func() {
 		cancel()
-		time.Sleep(2 * catchTime)
+		time.Sleep(2 * configurationTimeout)
 		synctest.Wait()
 	}
 }
@@ -542,7 +542,7 @@
 		c.learns(t, "u6", 5)
 		time.Sleep(freshFor)
 		for _, e := range c.all {
-			is.Equal(e.tally.Load(time.Now(), "u"+c.all[7].Name()[1:]).Requests, 1)
+			is.Equal(e.loads.Load(time.Now(), "u"+c.all[7].Name()[1:]).Requests, 1)
 		}
 		after, _ := c.table.listed()
 		is.True(after <= lists+2*2) // by the hubs that read in their place
@@ -596,7 +596,7 @@
 				is.Equal(askers, tt.boxes-1)
 				is.True(asked >= 4*(tt.boxes-1))
 				for _, e := range c.all {
-					is.Equal(e.tally.Load(time.Now(), "u3").Requests, 1)
+					is.Equal(e.loads.Load(time.Now(), "u3").Requests, 1)
 					is.Equal(e.View().Tells, 0)
 				}
 			})
@@ -626,7 +626,7 @@
 		c.up[hub.record.Address] = hub
 		_, err := hub.configuration.List(t.Context(), false)
 		is.NoErr(err)
-		hub.belief.Confirm(time.Now())
+		hub.routes.Confirm(time.Now())
 		time.Sleep(900 * time.Millisecond)
 		e.Hear(hub.Heard(e.Say(hub.members.Self())), time.Now())
 		time.Sleep(100 * time.Millisecond)
@@ -653,11 +653,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				e := newCrowd(t, 1, 1, 0).all[0]
 				if tt.cut > 0 {
-					e.unheard("keeper")
+					e.markUnreachable("keeper")
 					time.Sleep(tt.cut)
 				}
 				e.Hear(wire.GossipAnswer{Sender: wire.BoxRecord{Box: "hub", Address: "hub:1"}, Heard: []wire.BoxHeard{{Box: "keeper", AgoMs: int(tt.ago.Milliseconds())}}}, time.Now())
-				is.New(t).Equal(e.hears("keeper"), tt.want)
+				is.New(t).Equal(e.isReachable("keeper"), tt.want)
 			})
 		})
 	}
@@ -710,12 +710,12 @@
 	for i, e := range c.all {
 		c.start(ctx, e, records[:i+1])
 		time.AfterFunc(2*listTime, func() {
-			e.listed(records[:i+1])
+			e.setBoxes(records[:i+1])
 			e.joined.Store(true)
 		})
 		time.AfterFunc(settleTime, func() { // as join does
 			if e.IsHub() {
-				e.listed(records)
+				e.setBoxes(records)
 			}
 		})
 		time.Sleep(upTo(random, 100*time.Millisecond))
@@ -792,10 +792,10 @@
 			for i, e := range c.all {
 				named[e.Name()] = e
 				records = append(records, e.record)
-				e.tally.Begin(fmt.Sprint("u", i*7%(10*boxes)), upstreamload.Load{Requests: 1, Tokens: 3000})
+				e.loads.Begin(fmt.Sprint("u", i*7%(10*boxes)), upstreamload.Load{Requests: 1, Tokens: 3000})
 			}
 			for _, e := range c.all {
-				e.listed(records)
+				e.setBoxes(records)
 			}
 			var box, hub second
 			for range 2 { // words of hubs hold what was told before
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -1,6 +1,5 @@
-// Package edge puts the parts of a box together that serves the callers of the
-// users' platform. What must last lies in the platform's store; the box itself
-// keeps nothing.
+// Package edge assembles a box that serves the callers of the users' platform. Durable
+// state lives in the platform's store; the box keeps none on disk.
 package edge
 
 import (
@@ -50,56 +49,56 @@
 )
 
 const (
-	// ageSlack is how much sooner than the bound on keys a belief is stale: the
-	// bound runs from the store's word to a request's sending, and clocks and
-	// processors lag a little.
-	ageSlack = 400 * time.Millisecond
-	// missingPart is the part of the time that a leaving upstream may still get
-	// work in which an upstream whose entry lapsed may come back.
-	missingPart = 0.75
-	// budgetPart is the part of the repeats that come with requests that is shared
-	// out: halls' shares of requests differ, and a box that has just started begins
-	// with a full share.
-	budgetPart = 0.5
-	// slackPart is the part of the repeats beyond them that is shared out; together
-	// with budgetPart it leaves room for two boxes in five to start anew at once.
-	slackPart = 0.8
-	// requestKB is the memory of one open stream (BenchmarkStreams, with both its
-	// ends in one process), of which requests may take requestsPart hundredths.
-	requestKB    = 102
-	requestsPart = 50
-	// heldPart hundredths of a box's memory may be held for callers that read slowly,
-	// with what buffers grow beyond their bytes: a quarter of requestsPart, so that
-	// stalled callers leave most of the room for requests to others.
-	heldPart = 12
-	// heldStream is how many bytes are held for one stream: a long answer with its
-	// events' heads, so that one whole answer waits for its caller and not its engine.
-	heldStream = 128 << 10
-	// requestDescriptors are the caller's connection and the upstream's;
-	// otherDescriptors are kept for files, peers, the store and calls of our own.
-	requestDescriptors = 2
-	otherDescriptors   = 400
-	// closeTime is what a stopping box keeps of its time to close connections and
-	// write its last lines, some 0.2 s at most: what it still has in flight then is
-	// cut off in order, so that callers and engines learn it, and not by force.
+	// keyAgeMargin is subtracted from the configured maximum age of the configuration:
+	// that maximum runs from the store's answer until a request is sent, and clocks and
+	// scheduling lag a little.
+	keyAgeMargin = 400 * time.Millisecond
+	// missingFraction is the fraction of the leave time during which an upstream whose
+	// entry lapsed may still return.
+	missingFraction = 0.75
+	// retryRatioFraction is the fraction of the retry ratio that a box uses. Halls
+	// receive unequal shares of the requests, and a box that has just started begins
+	// with a full budget.
+	retryRatioFraction = 0.5
+	// retrySlackFraction is the fraction of the retry slack that is divided among the
+	// boxes. With retryRatioFraction it lets two boxes in five restart at once within
+	// the limit.
+	retrySlackFraction = 0.8
+	// requestMemoryKB is the memory of one open stream (BenchmarkStreams, both ends in
+	// one process). Requests may use requestMemoryPercent of the box's memory.
+	requestMemoryKB      = 102
+	requestMemoryPercent = 50
+	// bufferMemoryPercent is the percentage of a box's memory that may be buffered for
+	// callers that read slowly, allocation overhead included. At a quarter of
+	// requestMemoryPercent, stalled callers leave most of that memory to other
+	// requests.
+	bufferMemoryPercent = 12
+	// maxStreamBuffer is the number of bytes buffered per stream: enough for a long
+	// answer including event headers, so that a slow caller doesn't occupy an engine.
+	maxStreamBuffer = 128 << 10
+	// requestDescriptors counts the caller's and the upstream's connection;
+	// reservedDescriptors are kept for files, peers, the store and the box's own calls.
+	requestDescriptors  = 2
+	reservedDescriptors = 400
+	// closeTime is the end of the stop time that is reserved for closing connections
+	// and writing the last log lines (at most 0.2 s). Requests still in flight then are
+	// aborted properly, so that callers and engines notice.
 	closeTime = 300 * time.Millisecond
-	// coldNews is how long an upstream's word that it is warm may take to come: its
-	// next entry is up to 1.2 s away, and is read some 0.8 s later.
-	coldNews = 2 * time.Second
-	// boxesGuess is among how many boxes the slack is shared out before it is known
-	// how many there are.
-	boxesGuess = 8
-	// strongProcessors and strongLink are what a hub needs, in cores and megabits
-	// a second: at 78 boxes it answers 310 calls a second, with 3 KB each.
-	strongProcessors = 0.3
-	// leastLink is what a box's link is taken to bear whose settings say less, in Mbit a
-	// second, and bytesMbit are the bytes of one.
-	leastLink  = 1
-	bytesMbit  = 125000
-	strongLink = 100
+	// warmReportDelay bounds how late an upstream's report that it is warm arrives: its
+	// next entry is up to 1.2 s away and is read 0.8 s later.
+	warmReportDelay = 2 * time.Second
+	// assumedBoxes is the fleet size assumed until the boxes are known.
+	assumedBoxes = 8
+	// minHubProcessors (cores) and minHubLinkMbit are the minimum for a hub: at 78
+	// boxes it answers 310 calls a second of 3 KB each.
+	minHubProcessors = 0.3
+	// minLinkMbit is assumed for a box whose settings give a slower link.
+	minLinkMbit    = 1
+	bytesPerMbit   = 125000
+	minHubLinkMbit = 100
 )
 
-// calls reaches the other boxes.
+// calls is the RPC client for the other boxes.
 type calls interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 	Repeat(ctx context.Context, address, method string, args, reply any) error
@@ -115,64 +114,64 @@
 	timer   *timer.Service
 	metrics *metrics.Metrics
 
-	store       *store.Store
-	boxes       *manifest.Boxes
-	belief      *routecache.Cache
-	fleet       *fleet.Fleet
-	halls       *halls.Halls
-	tally       *upstreamload.Tracker
-	reliability *reliability.Reliability
-	speeds      *speeds.Speeds // nil where that is off
-	places      *places.Places // nil unless switched on
-	runs        *runs.Runs
-	members     *members.Members
-	peers       calls
-	turns       *moveturns.Scheduler
-	trials      *moveturns.Scheduler // of this box's own requests
-	quarantine  *quarantine.Quarantine
-	kept        *kept
-	limits      *upstreamlimits.Tracker
-	rest        *backoff.Tracker
-	limiter     *limiter
-	admission   *admission.Admission
-	sharing     *sharing
-	budget      *retry.Budget
-	upstreams   *upstream.Client
-	relay       *relay.Relay
-	buffers     *buffers.Buffers // nil: off
-	callers     *callers.Handler
-	evacuator   *evacuate.Evacuator
-
-	tables        pacer // of whole fleets that are told to others
+	store           *store.Store
+	boxes           *manifest.Boxes
+	routes          *routecache.Cache
+	fleet           *fleet.Fleet
+	halls           *halls.Halls
+	loads           *upstreamload.Tracker
+	reliability     *reliability.Reliability
+	speeds          *speeds.Speeds // nil if disabled
+	places          *places.Places // nil if disabled
+	runs            *runs.Runs
+	members         *members.Members
+	peers           calls
+	turns           *moveturns.Scheduler
+	localTrials     *moveturns.Scheduler // serializes trials of this box's own requests
+	quarantine      *quarantine.Quarantine
+	quarantineStore *quarantineStore
+	limits          *upstreamlimits.Tracker
+	backoff         *backoff.Tracker
+	limiter         *limiter
+	admission       *admission.Admission
+	sharing         *sharing
+	retryBudget     *retry.Budget
+	upstreams       *upstream.Client
+	relay           *relay.Relay
+	buffers         *buffers.Buffers // nil if disabled
+	callers         *callers.Handler
+	evacuator       *evacuate.Evacuator
+
+	fleetPacer    pacer // limits the rate of full fleet transfers
 	configuration *manifest.Configuration
-	catching      atomic.Bool // a newer configuration is being asked for
+	fetching      atomic.Bool // a newer configuration is being fetched
 	joined        atomic.Bool // the other boxes are known
-	turnedAway    atomic.Bool // by the store, when this box last asked who the others are
-	unlisted      atomic.Bool // a hub is to put this box into the table of boxes
+	storeRefused  atomic.Bool // the store refused or failed this box's last call for the table of boxes
+	unlisted      atomic.Bool // this box has no row in the table of boxes; a hub is to write it
 	registrar     *registrar
 	snapshot      *snapshot.Snapshot
-	others        atomic.Bool // they were read, at least before this box joined
+	peersListed   atomic.Bool // the other boxes have been listed, possibly before this box joined
 	random        *rand.Rand
 
 	serving   atomic.Int64
 	draining  atomic.Bool
-	stop      atomic.Pointer[stop] // nil unless this box is being stopped
+	stop      atomic.Pointer[stop] // nil unless the box is stopping
 	drain     chan struct{}
 	drainOnce sync.Once
 
-	mu    sync.Mutex
-	heard map[string]time.Time // when boxes were last heard, by name
-	cut   map[string]time.Time // when calls to boxes last got no answer, by name
-	known map[string]mark      // how far the fleets of hubs are known, by name
+	mu         sync.Mutex
+	lastSeen   map[string]time.Time // when each box was last heard from, by name
+	unanswered map[string]time.Time // when a call to each box last went unanswered, by name
+	hubStates  map[string]hubState  // synchronization with each hub, by name
 
-	hubHeard   time.Time     // when a hub last answered
-	promised   time.Time     // when one last said that it tells the whole fleet later
-	storeHeard time.Time     // when the store last answered this box or a hub
-	wasStale   bool          // the belief was too old at the last tick
-	role       logrus.Fields // what this box was to the others at the last tick
+	hubLastSeen     time.Time     // when a hub last answered
+	fleetDeferredAt time.Time     // when a hub last deferred the full fleet
+	storeLastSeen   time.Time     // when the store last answered this box or a hub
+	wasStale        bool          // the configuration was stale at the last tick
+	role            logrus.Fields // the box's role at the last tick
 }
 
-// New puts a box together; nothing runs and no port is open before Run.
+// New assembles a box. Nothing runs and no port is open until Run is called.
 func New(c config.Config, log *logrus.Entry, counts *metrics.Metrics) *Edge {
 	s := c.Edge
 	now := time.Now()
@@ -180,62 +179,62 @@
 		config: c,
 		record: wire.BoxRecord{
 			Box: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: int(now.UnixMilli()),
-			Strong: s.Processors >= strongProcessors && s.LinkMbit >= strongLink,
+			Strong: s.Processors >= minHubProcessors && s.LinkMbit >= minHubLinkMbit,
 		},
 		log:         log,
 		timer:       timer.New(),
 		metrics:     counts,
 		store:       store.New(c.Platform.Address, counts).WithUnread(counts, log),
-		belief:      routecache.New(config.Millis(s.KeyAgeMs) - ageSlack),
-		fleet:       fleet.New(time.Duration(missingPart * float64(config.Millis(s.LeaveMs)))),
-		tally:       upstreamload.New(),
+		routes:      routecache.New(config.Millis(s.KeyAgeMs) - keyAgeMargin),
+		fleet:       fleet.New(time.Duration(missingFraction * float64(config.Millis(s.LeaveMs)))),
+		loads:       upstreamload.New(),
 		reliability: reliability.New(),
 		runs:        runs.New(),
 		peers:       peer.New(nil),
 		turns:       moveturns.New(),
-		trials:      moveturns.New(),
+		localTrials: moveturns.New(),
 		upstreams:   upstream.New().WithUnread(counts, log),
-		tables:      pacer{rate: fleetLink * max(s.LinkMbit, leastLink) * bytesMbit},
+		fleetPacer:  pacer{rate: fleetLinkFraction * max(s.LinkMbit, minLinkMbit) * bytesPerMbit},
 		drain:       make(chan struct{}),
 		random:      rand.New(rand.NewPCG(uint64(now.UnixNano()), 2)),
-		heard:       map[string]time.Time{},
-		cut:         map[string]time.Time{},
-		known:       map[string]mark{},
+		lastSeen:    map[string]time.Time{},
+		unanswered:  map[string]time.Time{},
+		hubStates:   map[string]hubState{},
 	}
 	e.boxes = manifest.NewBoxes(e.store, counts, log)
-	e.kept = &kept{list: blocklist.New(e.store), log: log}
-	e.quarantine = quarantine.New(counts, e.kept, log)
+	e.quarantineStore = &quarantineStore{table: blocklist.New(e.store), log: log}
+	e.quarantine = quarantine.New(counts, e.quarantineStore, log)
 	e.limits = upstreamlimits.New(counts, log)
 	e.limiter = newLimiter(e)
-	e.rest = backoff.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 8)), counts, log)
+	e.backoff = backoff.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 8)), counts, log)
 	e.registrar = newRegistrar(e)
-	e.snapshot = snapshot.New(e.wholeFleet)
-	e.halls = halls.New(e.hallChanged)
-	e.configuration = manifest.NewConfiguration(e.store, e.belief, e.halls, log)
+	e.snapshot = snapshot.New(e.fleetSnapshot)
+	e.halls = halls.New(e.onHallChange)
+	e.configuration = manifest.NewConfiguration(e.store, e.routes, e.halls, log)
 	e.members = members.New(members.Box{
 		Name: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: e.record.Incarnation, State: members.Live,
 		Strong: e.record.Strong,
 	})
-	e.belief.OnSlept(e.slept)
+	e.routes.OnSlept(e.slept)
 	e.fleet.OnSlept(e.slept)
-	e.serve()
+	e.initServing()
 	return e
 }
 
-// serve makes the parts that requests pass through.
-func (e *Edge) serve() {
+// initServing creates the components that handle requests.
+func (e *Edge) initServing() {
 	s := e.config.Edge
-	e.budget = retry.NewBudget(budgetPart*s.RetryRatio, e.slack(boxesGuess))
+	e.retryBudget = retry.NewBudget(retryRatioFraction*s.RetryRatio, e.retrySlack(assumedBoxes))
 	e.buffers = e.newBuffers()
 	reading := prefill.New()
 	if e.config.Balances(wire.EdgeBalanceElemSpeeds) {
 		e.speeds = speeds.New(e.fleet, e.metrics, e.log)
 	}
 	warm := warmup.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 5)))
-	e.fleet.OnRestart(e.restarted(warm))
+	e.fleet.OnRestart(e.onRestart(warm))
 	chooser := picker.New(picker.Parts{
-		Fleet: e.fleet, Tally: e.tally, Reliability: e.reliability, Reading: reading, Hall: e.config.Hall, Speeds: e.speeds,
-		Warmup: warm, Part: e.part, Limits: e.limiter, Rest: e.rest, Regions: s.Regions,
+		Fleet: e.fleet, Tally: e.loads, Reliability: e.reliability, Reading: reading, Hall: e.config.Hall, Speeds: e.speeds,
+		Warmup: warm, Part: e.coldShare, Limits: e.limiter, Rest: e.backoff, Regions: s.Regions,
 		Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 1)),
 	})
 	if e.config.Balances(wire.EdgeBalanceElemPlaces) {
@@ -245,79 +244,81 @@
 		})
 	}
 	e.sharing = newSharing(e.config.Balances(wire.EdgeBalanceElemShares))
-	e.admission = admission.New(chooser, e.tally, reading, e.sharing.keeper(), rand.New(rand.NewPCG(uint64(e.record.Incarnation), 3)), e.log)
+	e.admission = admission.New(chooser, e.loads, reading, e.sharing.queueShares(), rand.New(rand.NewPCG(uint64(e.record.Incarnation), 3)), e.log)
 	e.relay = relay.New(relay.Parts{
-		Belief: e.belief, Fleet: e.fleet, Chooser: chooser, Admitter: e, Places: e.places, Tally: e.tally, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
-		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Rest: e.rest, Budget: e.budget,
-		Runs: e.runs, Lengths: outputlen.New(), Prefill: reading, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, Silent: e.silentForAll, Log: e.log,
+		Belief: e.routes, Fleet: e.fleet, Chooser: chooser, Admitter: e, Places: e.places, Tally: e.loads, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
+		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Rest: e.backoff, Budget: e.retryBudget,
+		Runs: e.runs, Lengths: outputlen.New(), Prefill: reading, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, Silent: e.fleetStoreSilence, Log: e.log,
 	})
-	e.callers = callers.New(e.relay, e.bodyMost, e.draining.Load)
+	e.callers = callers.New(e.relay, e.maxBodySize, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Parts{
-		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.tally,
+		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.loads,
 		Moved: e.metrics.Moved, Log: e.log, Leaving: e.fleet.Leaving, Takes: e.fleet.Takes,
 	})
 }
 
-// part is the part of what a cold upstream of a service bears that this box may
-// send there: all of it where this box gives room to the requests of all.
-func (e *Edge) part(service route.Service) float64 {
+// coldShare returns the share of a cold upstream's capacity that this box may use: all
+// of it where this box owns the service's queue.
+func (e *Edge) coldShare(service route.Service) float64 {
 	if service.Engine != nil && e.QueueOwner(service.Name) == e.config.Box {
 		return 1
 	}
-	boxes := boxesGuess
+	boxes := assumedBoxes
 	if e.joined.Load() {
 		boxes = e.Count()
 	}
 	return 1 / float64(max(boxes, 1))
 }
 
-// coldFor is the longest that an upstream of any service is cold after its start.
-func (e *Edge) coldFor() time.Duration {
-	table, _, _ := e.belief.Now(time.Now())
+// maxColdTime returns the longest time that an upstream of any service stays cold after
+// its start.
+func (e *Edge) maxColdTime() time.Duration {
+	table, _, _ := e.routes.Now(time.Now())
 	if table == nil {
 		return 0
 	}
 	return table.ColdFor()
 }
 
-// slack is a box's share of the repeats beyond those that come with requests.
-func (e *Edge) slack(boxes int) float64 {
-	return max(slackPart*e.config.Edge.RetrySlack/float64(max(boxes, 1)), 1)
+// retrySlack returns this box's share of the retry slack.
+func (e *Edge) retrySlack(boxes int) float64 {
+	return max(retrySlackFraction*e.config.Edge.RetrySlack/float64(max(boxes, 1)), 1)
 }
 
-// full tells whether this box holds as many requests as its memory and its
-// descriptors allow: one more would end it, and all that it holds with it.
+// full reports whether the box holds as many requests as its memory and file
+// descriptors allow. Exceeding them would kill the box and every request on it.
 func (e *Edge) full() bool {
 	held := 0
 	if e.buffers != nil {
 		held = e.buffers.Held()
 	}
-	return e.serving.Load() > int64(requestsMost(e.config.Edge, held))
+	return e.serving.Load() > int64(maxRequests(e.config.Edge, held))
 }
 
-// requestsMost returns how many requests a box may hold that holds so many bytes for
-// slow readers.
-func requestsMost(s *wire.Edge, held int) int {
-	memoryKB := s.MemoryMb*1024*requestsPart/100 - float64(held)/1024
-	return max(min(int(memoryKB/requestKB), (s.Descriptors-otherDescriptors)/requestDescriptors), 1)
+// maxRequests returns the maximum number of concurrent requests for a box that has held
+// bytes buffered for slow readers.
+func maxRequests(s *wire.Edge, held int) int {
+	memoryKB := s.MemoryMb*1024*requestMemoryPercent/100 - float64(held)/1024
+	return max(min(int(memoryKB/requestMemoryKB), (s.Descriptors-reservedDescriptors)/requestDescriptors), 1)
 }
 
-// newBuffers returns what bounds the bytes held for slow readers; nil where that is
-// off.
+// newBuffers returns the accounting of bytes buffered for slow readers, or nil if
+// disabled.
 func (e *Edge) newBuffers() *buffers.Buffers {
 	if !e.config.Balances(wire.EdgeBalanceElemBuffers) {
 		return nil
 	}
-	b := buffers.New(buffers.Limits{Stream: heldStream, Box: int(e.config.Edge.MemoryMb * 1024 * 1024 * heldPart / 100)})
+	b := buffers.New(buffers.Limits{Stream: maxStreamBuffer, Box: int(e.config.Edge.MemoryMb * 1024 * 1024 * bufferMemoryPercent / 100)})
 	if err := e.metrics.Holds(b.Held); err != nil {
 		e.log.WithError(err).Warn("held_not_counted")
 	}
 	return b
 }
 
-// bodyMost bounds a request's body by the configuration in force.
-func (e *Edge) bodyMost() int {
-	table, _, _ := e.belief.Now(time.Now())
+// maxBodySize returns the maximum size of a request body under the current
+// configuration.
+func (e *Edge) maxBodySize() int {
+	table, _, _ := e.routes.Now(time.Now())
 	if table == nil || table.Limits().BodyBytes == 0 {
 		return e.config.Limits.BodyBytes
 	}
@@ -325,44 +326,45 @@
 }
 
 func (e *Edge) service(name string) (route.Service, bool) {
-	table, _, _ := e.belief.Now(time.Now())
+	table, _, _ := e.routes.Now(time.Now())
 	if table == nil {
 		return route.Service{}, false
 	}
 	return table.Service(name)
 }
 
-// names tells whether the configuration in force names a service.
-func (e *Edge) names(service string) bool {
+// hasService reports whether the current configuration defines the service.
+func (e *Edge) hasService(service string) bool {
 	_, ok := e.service(service)
 	return ok
 }
 
-// stop is a planned stop, on the steady clock.
+// stop is a planned stop, in monotonic time.
 type stop struct {
 	began time.Time
-	until time.Time // what is in flight then is cut off
+	until time.Time // requests in flight are aborted at this time
 }
 
-// newStop returns the stop of a box that is ended by force after a time.
+// newStop returns the stop of a box that is killed after the drain time.
 func newStop(now time.Time, drain time.Duration) *stop {
 	return &stop{began: now, until: now.Add(max(drain-closeTime, 0))}
 }
 
-// stopping tells how far this box's planned stop is; false if it is not stopped.
+// stopping returns the progress of the planned stop, or false if the box isn't
+// stopping.
 func (e *Edge) stopping() (relay.Stop, bool) {
 	s := e.stop.Load()
 	if s == nil {
 		return relay.Stop{}, false
 	}
 	now := time.Now()
-	most := 2*e.members.Leaving() >= e.members.Count(now)
-	return relay.Stop{Since: now.Sub(s.began), Left: s.until.Sub(now), Most: most}, true
+	majority := 2*e.members.Leaving() >= e.members.Count(now)
+	return relay.Stop{Since: now.Sub(s.began), Left: s.until.Sub(now), Most: majority}, true
 }
 
-// ready tells whether callers are to be sent here.
+// ready reports whether the load balancer should send callers to this box.
 func (e *Edge) ready() bool {
-	table, _, stale := e.belief.Now(time.Now())
+	table, _, stale := e.routes.Now(time.Now())
 	_, known := e.fleet.Age(time.Now())
 	serves := table != nil && (!stale || e.config.Edge.ServeStale)
 	return serves && known && !e.draining.Load()
@@ -371,35 +373,35 @@
 // Name returns the box's name.
 func (e *Edge) Name() string { return e.config.Box }
 
-// Drain begins the planned stop.
+// Drain starts the planned stop.
 func (e *Edge) Drain() { e.drainOnce.Do(func() { close(e.drain) }) }
 
-// Reload notes that the settings have changed; those of a box hold for its life.
+// Reload logs that the settings have changed; a box reads its own only at start.
 func (e *Edge) Reload() { e.log.Info("reload") }
 
-// departed takes the news that an upstream leaves, or is back.
+// departed handles an upstream that is leaving or has returned.
 func (e *Edge) departed(ctx context.Context) fleet.Listener {
 	return func(u fleet.Upstream, source string) {
 		if u.State != fleet.Leaving {
 			e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.Born, "source": source}).Info("upstream_back")
 			return
 		}
-		at := len(e.runs.At(u.ID))
-		e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.Born, "source": source, "runs": at}).Info("upstream_leaves")
+		runs := len(e.runs.At(u.ID))
+		e.log.WithFields(logrus.Fields{"upstream": u.ID, "service": u.Service, "born": u.Born, "source": source, "runs": runs}).Info("upstream_leaves")
 		if e.config.Edge.Moves != wire.EdgeMovesNone {
 			e.evacuator.Leaves(ctx, u)
 		}
 	}
 }
 
-// restarted takes the news that an upstream has started again: what was known of its
-// last incarnation goes before the new one gets work.
-func (e *Edge) restarted(warm *warmup.Warmup) fleet.Listener {
+// onRestart drops the state of an upstream's previous incarnation before the new one
+// receives requests.
+func (e *Edge) onRestart(warm *warmup.Warmup) fleet.Listener {
 	return func(u fleet.Upstream, source string) {
-		e.tally.Forget(u.ID)
+		e.loads.Forget(u.ID)
 		e.reliability.Forget(u.ID)
 		e.limits.Forget(u.ID)
-		e.rest.Forget(u.ID)
+		e.backoff.Forget(u.ID)
 		warm.Forget(u.ID)
 		e.turns.Forget(u.ID)
 		cut, copies := e.runs.Restarted(u)
@@ -410,12 +412,12 @@
 	}
 }
 
-// hallChanged takes the news that a hall is evacuated, or that this is taken back.
-func (e *Edge) hallChanged(w halls.Word, source string) {
+// onHallChange handles the evacuation of a hall or its end.
+func (e *Edge) onHallChange(w halls.Word, source string) {
 	if w.Evacuated {
 		e.fleet.CloseHall(w.Since, w.Hall)
 	} else {
-		e.fleet.OpenHall(w.Hall, w.Since.Add(e.coldFor()+coldNews))
+		e.fleet.OpenHall(w.Hall, w.Since.Add(e.maxColdTime()+warmReportDelay))
 	}
 	e.metrics.HallChanged(w.Evacuated)
 	log := e.log.WithFields(logrus.Fields{"hall": w.Hall, "version": w.Version, "source": source})
@@ -424,7 +426,7 @@
 		return
 	}
 	if !e.fleet.Knows(w.Hall) {
-		log = log.WithField("upstreams", 0) // maybe a name that was mistyped
+		log = log.WithField("upstreams", 0) // possibly a misspelled name
 	}
 	log.Warn("hall_evacuated")
 }
--- a/edge/full_test.go
+++ b/edge/full_test.go
@@ -24,7 +24,7 @@
 		"no room at all":                {memory: 32, held: 60 << 20, descriptors: 1400, want: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(requestsMost(&wire.Edge{MemoryMb: tt.memory, Descriptors: tt.descriptors}, tt.held), tt.want)
+			is.New(t).Equal(maxRequests(&wire.Edge{MemoryMb: tt.memory, Descriptors: tt.descriptors}, tt.held), tt.want)
 		})
 	}
 }
--- a/edge/incarnations.go
+++ b/edge/incarnations.go
@@ -5,54 +5,52 @@
 	"petrelstep/wire"
 )
 
-// born returns the incarnation of an upstream that this box knows; 0 for none.
-func (e *Edge) born(upstream string) int {
+// startTime returns the start time of the upstream's known incarnation, or 0.
+func (e *Edge) startTime(upstream string) int {
 	u, _ := e.fleet.Get(upstream)
 	return int(u.Born)
 }
 
-// bornLoads names the incarnations that loads are told of.
-func (e *Edge) bornLoads(list []wire.UpstreamTally) []wire.UpstreamTally {
+// loadsWithStart fills in the start times of the upstreams.
+func (e *Edge) loadsWithStart(list []wire.UpstreamTally) []wire.UpstreamTally {
 	for i := range list {
-		list[i].Born = e.born(list[i].Upstream)
+		list[i].Born = e.startTime(list[i].Upstream)
 	}
 	return list
 }
 
-// bornFailures names the incarnations that failures are told of.
-func (e *Edge) bornFailures(list []wire.UpstreamFailures) []wire.UpstreamFailures {
+// failuresWithStart fills in the start times of the upstreams.
+func (e *Edge) failuresWithStart(list []wire.UpstreamFailures) []wire.UpstreamFailures {
 	for i := range list {
-		list[i].Born = e.born(list[i].Upstream)
+		list[i].Born = e.startTime(list[i].Upstream)
 	}
 	return list
 }
 
-// currentLoads returns the loads that are told of no earlier incarnation than this
-// box knows.
+// currentLoads drops the loads of incarnations older than the known ones.
 func (e *Edge) currentLoads(list []wire.UpstreamTally) []wire.UpstreamTally {
-	var kept []wire.UpstreamTally
+	var current []wire.UpstreamTally
 	for _, l := range list {
-		if e.current(l.Upstream, l.Born) {
-			kept = append(kept, l)
+		if e.isCurrent(l.Upstream, l.Born) {
+			current = append(current, l)
 		}
 	}
-	return kept
+	return current
 }
 
-// currentFailures returns the failures that are told of no earlier incarnation than
-// this box knows.
+// currentFailures drops the failures of incarnations older than the known ones.
 func (e *Edge) currentFailures(list []wire.UpstreamFailures) []wire.UpstreamFailures {
-	var kept []wire.UpstreamFailures
+	var current []wire.UpstreamFailures
 	for _, f := range list {
-		if e.current(f.Upstream, f.Born) {
-			kept = append(kept, f)
+		if e.isCurrent(f.Upstream, f.Born) {
+			current = append(current, f)
 		}
 	}
-	return kept
+	return current
 }
 
-// current tells whether a word is of no earlier incarnation than this box knows. One
-// that names none is taken as of the known one.
-func (e *Edge) current(upstream string, born int) bool {
-	return born == 0 || e.fleet.Current(fleet.Upstream{ID: upstream, Born: int64(born)})
+// isCurrent reports whether a start time is not older than the known incarnation's.
+// Zero stands for the known one.
+func (e *Edge) isCurrent(upstream string, startedAt int) bool {
+	return startedAt == 0 || e.fleet.Current(fleet.Upstream{ID: upstream, Born: int64(startedAt)})
 }
--- a/edge/join.go
+++ b/edge/join.go
@@ -12,94 +12,95 @@
 )
 
 const (
-	// joinTime bounds a call that writes rows of boxes; a slow store takes 0.3 s.
-	joinTime = 1500 * time.Millisecond
-	// joinEvery is the wait after a call that failed, in the mean, and joinAgain after the
-	// first: where all start at once the store refuses connections for some 0.1 s.
-	joinEvery = time.Second
-	joinAgain = 200 * time.Millisecond
-	// settleTime is how long after its start a box that takes itself for a hub
-	// reads the table again: all start within 0.3 s, and their programs within 1 s.
+	// joinTimeout bounds a call that writes rows of boxes; a slow store takes 0.3 s.
+	joinTimeout = 1500 * time.Millisecond
+	// joinRetryInterval is the mean wait after repeated failures, and firstJoinRetry
+	// after the first: when all boxes start at once the store refuses connections for
+	// 0.1 s.
+	joinRetryInterval = time.Second
+	firstJoinRetry    = 200 * time.Millisecond
+	// settleTime is when a box that considers itself a hub rereads the table after its
+	// start. Boxes started together are up within 1.3 s.
 	settleTime = 2 * time.Second
-	// strongFirst is how long, and up to twice as long, boxes that are not fit to be hubs
-	// let those that are write their rows first, where all start for the first time.
-	strongFirst = 400 * time.Millisecond
-	// registerSettles is how long after that all boxes of a crowd that started at once
-	// stand in the table: hubs write a hundred rows in each registerEvery.
-	registerSettles = 4 * time.Second
+	// hubHeadStart is the minimum delay, randomized up to twice that, by which boxes
+	// that aren't hub-eligible write their rows later than those that are, at a cold
+	// start.
+	hubHeadStart = 400 * time.Millisecond
+	// registrationTime is how long after that the hubs have written the rows of all
+	// boxes of a large fleet: a hundred in each registerInterval.
+	registrationTime = 4 * time.Second
 )
 
-// join puts this box into the table of boxes and reads who else is there. A box
-// that starts later finds this one, and tells it of itself. All boxes may start
-// at once: one that takes itself for a hub, as it found few others, reads again
-// once all must have joined; at a cold start nothing else is read before. In a crowd
-// hubs read once more when they have put the boxes into the table that could not
-// do so themselves.
+// join adds this box to the table of boxes and reads the others. A box that starts
+// later finds this one in the table and calls it. When all boxes start at once, each
+// may find few others: one that considers itself a hub therefore reads again after
+// settleTime. At a cold start nothing is read before that. In a large fleet hubs read a
+// third time, after they have written the rows of the boxes that couldn't.
 //
-// A box of a crowd that is not fit to be a hub, and restarts, reads only which boxes are:
-// the table of all is read by hubs.
+// A restarting box of a large fleet that isn't hub-eligible reads only which boxes are;
+// the hubs read the full table.
 //
-// Any other that restarts lists the others before it writes, which takes a second where
-// many do: that tells how many may have restarted with it. Where its own row of before
-// is among them, those who join meanwhile find it: it need not list again, nor write
-// what stands there already.
+// Any other restarting box lists the others before it writes, which takes a second when
+// many do: the list shows how many may be restarting with it. If its own row is still
+// there, boxes that join meanwhile find it, and it neither lists again nor rewrites an
+// unchanged row.
 func (e *Edge) join(ctx context.Context) {
-	if !e.config.Edge.ColdStart && !e.record.Strong && e.ofCrowd(ctx) {
+	if !e.config.Edge.ColdStart && !e.record.Strong && e.joinLargeFleet(ctx) {
 		return
 	}
 	var before []wire.BoxRecord
 	if !e.config.Edge.ColdStart {
 		list := func(ctx context.Context) (err error) { before, err = e.boxes.List(ctx); return err }
-		if !e.insist(ctx, list) {
+		if !e.retry(ctx, list) {
 			return
 		}
-		e.restarts(before)
+		e.setPreviousBoxes(before)
 	}
 	if e.config.Edge.ColdStart && !e.record.Strong {
-		e.timer.Sleep(ctx, strongFirst+rand.N(strongFirst))
+		e.timer.Sleep(ctx, hubHeadStart+rand.N(hubHeadStart))
 	}
-	switch at := slices.IndexFunc(before, e.isOwn); {
+	switch at := slices.IndexFunc(before, e.isSelf); {
 	case at < 0:
-		if !e.enter(ctx) {
+		if !e.writeAndList(ctx) {
 			return
 		}
-	case !sameRow(before[at], e.record) && !e.insist(ctx, e.write):
+	case !sameRow(before[at], e.record) && !e.retry(ctx, e.writeOwnRow):
 		return
 	default:
-		e.listed(before)
+		e.setBoxes(before)
 	}
 	if !e.config.Edge.ColdStart {
 		e.joined.Store(true)
 	}
 	e.timer.Sleep(ctx, settleTime)
-	e.readAsHub(ctx)
+	e.readBoxesIfHub(ctx)
 	e.joined.Store(true)
 	if e.members.Crowd(time.Now()) != nil {
-		e.timer.Sleep(ctx, registerSettles)
-		e.readAsHub(ctx)
-		e.countHall(ctx)
+		e.timer.Sleep(ctx, registrationTime)
+		e.readBoxesIfHub(ctx)
+		e.writeHallSize(ctx)
 	}
 }
 
-// ofCrowd joins a box that is not fit to be a hub, where the boxes that are, and that they
-// are a crowd's, stand in the store. Its hub writes its row if there is none.
-func (e *Edge) ofCrowd(ctx context.Context) bool {
+// joinLargeFleet joins a box that isn't hub-eligible if the store lists the
+// hub-eligible boxes of a large fleet. Its hub writes its row if there is none.
+func (e *Edge) joinLargeFleet(ctx context.Context) bool {
 	var hubs []wire.BoxRecord
 	var halls []wire.HallBoxes
 	read := func(ctx context.Context) (err error) { hubs, halls, err = e.boxes.Hubs(ctx); return err }
-	if !e.insist(ctx, read) || len(hubs) == 0 || boxesOf(halls) <= members.StarMost {
+	if !e.retry(ctx, read) || len(hubs) == 0 || totalBoxes(halls) <= members.StarMost {
 		return false
 	}
 	for _, h := range halls {
 		e.members.ToldCrowd(time.Now(), h.Hall, h.Boxes)
 	}
-	e.leaveRow(hubs)
-	e.others.Store(true)
+	e.useHubsOnly(hubs)
+	e.peersListed.Store(true)
 	e.joined.Store(true)
 	return true
 }
 
-func boxesOf(halls []wire.HallBoxes) int {
+func totalBoxes(halls []wire.HallBoxes) int {
 	all := 0
 	for _, h := range halls {
 		all += h.Boxes
@@ -107,112 +108,115 @@
 	return all
 }
 
-// leavesRow reads the boxes that are fit to be hubs, where there are any, and leaves it to
-// them to write this one's row.
-func (e *Edge) leavesRow(ctx context.Context) bool {
+// tryHubsOnly reads the hub-eligible boxes and, if there are any, leaves writing this
+// box's row to them.
+func (e *Edge) tryHubsOnly(ctx context.Context) bool {
 	var hubs []wire.BoxRecord
 	read := func(ctx context.Context) (err error) { hubs, _, err = e.boxes.Hubs(ctx); return err }
-	if e.once(ctx, read) != nil || len(hubs) == 0 {
+	if e.attempt(ctx, read) != nil || len(hubs) == 0 {
 		return false
 	}
-	e.leaveRow(hubs)
+	e.useHubsOnly(hubs)
 	return true
 }
 
-// leaveRow takes the boxes that are fit to be hubs for all that there are to be known here.
-func (e *Edge) leaveRow(hubs []wire.BoxRecord) {
+// useHubsOnly makes the hub-eligible boxes the only ones known here.
+func (e *Edge) useHubsOnly(hubs []wire.BoxRecord) {
 	e.members.HubsOnly()
-	e.listed(hubs)
+	e.setBoxes(hubs)
 	e.unlisted.Store(true)
 }
 
-// countHall writes how many boxes this one's hall has, where it is a hub of a crowd.
-func (e *Edge) countHall(ctx context.Context) {
-	if halls := e.ownHall(); e.IsHub() && len(halls) > 0 {
-		e.insist(ctx, func(ctx context.Context) error { return e.writeRows(ctx, halls) })
+// writeHallSize stores the number of boxes in this box's hall if it is a hub of a large
+// fleet.
+func (e *Edge) writeHallSize(ctx context.Context) {
+	if halls := e.ownHallSize(); e.IsHub() && len(halls) > 0 {
+		e.retry(ctx, func(ctx context.Context) error { return e.writeRows(ctx, halls) })
 	}
 }
 
-// ownHall returns how many boxes of a crowd this one's hall has; nothing where there is none.
-func (e *Edge) ownHall() []wire.HallBoxes {
-	boxes, crowd := e.members.Crowd(time.Now())[e.config.Hall]
-	if !crowd {
+// ownHallSize returns the number of boxes in this box's hall, or nothing unless the
+// fleet is large.
+func (e *Edge) ownHallSize() []wire.HallBoxes {
+	boxes, large := e.members.Crowd(time.Now())[e.config.Hall]
+	if !large {
 		return nil
 	}
 	return []wire.HallBoxes{{Hall: e.config.Hall, Boxes: boxes}}
 }
 
-func (e *Edge) isOwn(r wire.BoxRecord) bool { return r.Box == e.config.Box }
+func (e *Edge) isSelf(r wire.BoxRecord) bool { return r.Box == e.config.Box }
 
-// sameRow tells whether a row would tell others the same of a box.
+// sameRow reports whether two rows describe a box alike.
 func sameRow(a, b wire.BoxRecord) bool {
 	return a.Hall == b.Hall && a.Address == b.Address && a.Strong == b.Strong
 }
 
-func (e *Edge) write(ctx context.Context) error { return e.writeRows(ctx, nil, e.record) }
+func (e *Edge) writeOwnRow(ctx context.Context) error { return e.writeRows(ctx, nil, e.record) }
 
-// writeRows puts rows of boxes and halls into the table.
+// writeRows writes rows of boxes and halls to the store.
 func (e *Edge) writeRows(ctx context.Context, halls []wire.HallBoxes, boxes ...wire.BoxRecord) error {
-	limited, cancel := context.WithTimeout(ctx, joinTime)
+	limited, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	return e.boxes.Join(limited, halls, boxes...)
 }
 
-// readAsHub reads the table of boxes where this box is a hub.
-func (e *Edge) readAsHub(ctx context.Context) {
+// readBoxesIfHub reads the table of boxes if this box is a hub.
+func (e *Edge) readBoxesIfHub(ctx context.Context) {
 	if e.IsHub() {
-		e.insist(ctx, e.readBoxes)
+		e.retry(ctx, e.readBoxes)
 	}
 }
 
-// enter writes this box's row and reads who else is there. The store takes 200 rows a
-// second, one after the other: where so many start that it refuses more, a box that
-// finds boxes fit to be hubs leaves its row to them, which write up to a hundred by a
-// call, and reads no others; those fit to be hubs try on, as the others look for them.
-func (e *Edge) enter(ctx context.Context) bool {
+// writeAndList writes this box's row and reads the others. The store takes 200 rows a
+// second, one after the other. When it refuses more, a box that finds hub-eligible
+// boxes leaves its row to them, which write up to a hundred per call, and reads no
+// other boxes. Hub-eligible boxes keep trying, as the others depend on their rows.
+func (e *Edge) writeAndList(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		err := e.once(ctx, e.write)
+		err := e.attempt(ctx, e.writeOwnRow)
 		if err == nil {
-			return e.insist(ctx, e.readBoxes)
+			return e.retry(ctx, e.readBoxes)
 		}
 		if manifest.Busy(err) && !e.record.Strong {
-			e.timer.Sleep(ctx, joinEvery/4+rand.N(joinEvery/4)) // those that find none would all write again
-			if e.leavesRow(ctx) {
+			e.timer.Sleep(ctx, joinRetryInterval/4+rand.N(joinRetryInterval/4)) // boxes that find no hub would otherwise all write again at once
+			if e.tryHubsOnly(ctx) {
 				return true
 			}
 		}
-		e.timer.Sleep(ctx, joinEvery/2+rand.N(joinEvery)) // not all at once again
+		e.timer.Sleep(ctx, joinRetryInterval/2+rand.N(joinRetryInterval)) // spread out the retries
 	}
 	return false
 }
 
-// restarts takes who the others were when this box started. A crowd is known at once,
-// whose boxes are not to read all together; fewer boxes when this one has joined: hubs
-// that restart with it would be called before they are up, and passed by for 3 s.
-func (e *Edge) restarts(before []wire.BoxRecord) {
+// setPreviousBoxes records the boxes listed before this one wrote its row. A large
+// fleet is used at once, so that its boxes don't all read the store. Fewer boxes are
+// used only after joining: hubs that restart with this box would be called before they
+// are up and then skipped for 3 s.
+func (e *Edge) setPreviousBoxes(before []wire.BoxRecord) {
 	if len(before) > members.StarMost {
-		e.listed(before)
+		e.setBoxes(before)
 	}
-	e.others.Store(true)
+	e.peersListed.Store(true)
 }
 
-// insist makes a call until it succeeds; it reports false if ctx ended first.
-func (e *Edge) insist(ctx context.Context, call func(context.Context) error) bool {
-	wait := joinAgain
+// retry calls call until it succeeds; it returns false if ctx ended first.
+func (e *Edge) retry(ctx context.Context, call func(context.Context) error) bool {
+	wait := firstJoinRetry
 	for ctx.Err() == nil {
-		if e.once(ctx, call) == nil {
+		if e.attempt(ctx, call) == nil {
 			return true
 		}
-		e.timer.Sleep(ctx, wait/2+rand.N(wait)) // not all at once again
-		wait = min(2*wait, joinEvery)
+		e.timer.Sleep(ctx, wait/2+rand.N(wait)) // spread out the retries
+		wait = min(2*wait, joinRetryInterval)
 	}
 	return false
 }
 
-// once makes a call.
-func (e *Edge) once(ctx context.Context, call func(context.Context) error) error {
+// attempt makes a call once and records whether it failed.
+func (e *Edge) attempt(ctx context.Context, call func(context.Context) error) error {
 	err := call(ctx)
-	e.turnedAway.Store(err != nil)
+	e.storeRefused.Store(err != nil)
 	if err != nil {
 		e.log.WithError(err).Warn("boxes_not_read")
 	}
@@ -222,12 +226,12 @@
 func (e *Edge) readBoxes(ctx context.Context) error {
 	list, err := e.boxes.List(ctx)
 	if err == nil {
-		e.listed(list)
+		e.setBoxes(list)
 	}
 	return err
 }
 
-func (e *Edge) listed(list []wire.BoxRecord) {
+func (e *Edge) setBoxes(list []wire.BoxRecord) {
 	known := make([]wire.Member, 0, len(list))
 	for _, r := range list {
 		known = append(known, wire.Member{Box: r.Box, Hall: r.Hall, Address: r.Address, State: wire.MemberStateLive, Strong: r.Strong})
@@ -240,12 +244,12 @@
 func (e *Edge) Known() bool { return e.joined.Load() }
 
 // Listed implements readpolicy.Boxes.
-func (e *Edge) Listed() bool { return e.others.Load() }
+func (e *Edge) Listed() bool { return e.peersListed.Load() }
 
 // TurnedAway implements readpolicy.Boxes.
-func (e *Edge) TurnedAway() bool { return e.turnedAway.Load() }
+func (e *Edge) TurnedAway() bool { return e.storeRefused.Load() }
 
-// IsHub tells whether this box knows for others.
+// IsHub reports whether this box aggregates the reports of others.
 func (e *Edge) IsHub() bool {
 	_, is := e.members.IsHub(time.Now())
 	return is
@@ -270,12 +274,12 @@
 func (e *Edge) HubHeard() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.hubHeard
+	return e.hubLastSeen
 }
 
 // Promised implements readpolicy.Boxes.
 func (e *Edge) Promised() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.promised
+	return e.fleetDeferredAt
 }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -18,85 +18,85 @@
 )
 
 const (
-	// leastRate is how many requests a second go to an upstream at least, whatever it
-	// names: only an answer tells that its need is over. Two in four seconds lie within the
-	// five that the rule allows beyond the limit.
-	leastRate = 0.5
-	// allowTime bounds an ask: a lost packet is sent again within 0.3 s, and callers of
-	// plain services want their answers within 0.1 s.
-	allowTime = 150 * time.Millisecond
-	// reachWithin is how recently a keeper has heard the boxes that it gives their part
-	// of a limit to: three of their periods of gossip.
-	reachWithin = 800 * time.Millisecond
-	// reachLeg is how recently each of two has heard the next where a box is heard by way
-	// of another hub, so that a parted box counts no longer than one that is heard itself.
-	reachLeg = reachWithin / 2
-	// reachOver is how much more than the share of the boxes that it hears a keeper gives
-	// out. Of boxes that have parted, all keepers together give out as many times the
-	// limit, 1.5 times being borne; while all hear each other, a quarter of them may be lost
-	// at no cost.
-	reachOver = 1.4
-	// savedMost and savedPart bound what a keeper saves up of a rest: two requests, and no
-	// more than that part of a second. Of boxes that have parted two keepers may spend
-	// theirs within the same four seconds, and 1.4 times the limit, and the next of each: that
-	// fits into 1.5 times and five for any limit. With none saved a request that comes a
-	// little late would lose its time.
-	savedMost = 2
-	savedPart = 0.8
-	// looseFrom is from how many times all that the boxes are asked for on a limit binds
-	// nobody: demand is told within half a second, and bursts grow it by three. Each box
-	// may have been asked once since it was last heard.
-	looseFrom = 4
-	// reachLasts is for how long it is not counted anew: counting 350 boxes takes
-	// ten times as long as the rest of an ask.
-	reachLasts = 50 * time.Millisecond
+	// minRate is the lowest rate at which requests are sent to an upstream, in requests
+	// per second: only an answer shows that a limit has been lifted. Two requests in
+	// four seconds fit into the five that are tolerated beyond a limit.
+	minRate = 0.5
+	// allowTimeout bounds a call to the owner: a lost packet is resent within 0.3 s,
+	// and callers of plain services expect an answer within 0.1 s.
+	allowTimeout = 150 * time.Millisecond
+	// reachMaxAge is the maximum age of a report for its box to count as reachable by
+	// the owner of a limit: three gossip periods.
+	reachMaxAge = 800 * time.Millisecond
+	// reachHopMaxAge is the maximum age per hop for a box whose reports arrive through
+	// another hub, so that a partitioned box counts no longer than one that reports
+	// directly.
+	reachHopMaxAge = reachMaxAge / 2
+	// reachFactor is the factor by which the fraction of a limit that an owner hands
+	// out may exceed the fraction of boxes that it reaches. In a partition all owners
+	// together hand out up to reachFactor times the limit, where 1.5 is tolerated;
+	// without one, a quarter of the boxes may be lost at no cost.
+	reachFactor = 1.4
+	// maxSaved requests, and no more than maxSavedSeconds of the rate, are saved up
+	// while an upstream gets less than its limit, so that a request that arrives a
+	// little late doesn't lose its slot. In a partition two owners may both spend what
+	// they saved within the same four seconds; the bound keeps that within the
+	// tolerated excess.
+	maxSaved        = 2
+	maxSavedSeconds = 0.8
+	// looseFactor is the multiple of the total demand from which a limit is not
+	// enforced: demand is known within half a second, and bursts triple it. One request
+	// per box may be missing from its last report.
+	looseFactor = 4
+	// reachCacheTime is how long the reachable fraction is cached: counting 350 boxes
+	// takes ten times as long as the rest of a request.
+	reachCacheTime = 50 * time.Millisecond
 )
 
-// limiter gives requests their time at limited upstreams.
+// limiter assigns requests to upstreams with a rate limit.
 type limiter struct {
 	*Edge
-	whole *ratelimit.Limiter // that this box keeps for all
-	parts *ratelimit.Limiter // of its own, while the keeper is not heard
+	total    *ratelimit.Limiter // for the upstreams that this box owns
+	fallback *ratelimit.Limiter // this box's share, used while the owner is unreachable
 
-	mu      sync.Mutex
-	reached float64 // the part that was worked out last
-	reachAt time.Time
-	usedUp  map[string]time.Time // until when a keeper has nothing more to give, by upstream
+	mu          sync.Mutex
+	lastReach   float64 // the cached reachable fraction
+	lastReachAt time.Time
+	usedUp      map[string]time.Time // until when the owner has no capacity left, by upstream
 }
 
 func newLimiter(e *Edge) *limiter {
 	random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(e.record.Incarnation), stream)) }
-	return &limiter{Edge: e, whole: ratelimit.New(random(6)), parts: ratelimit.New(random(7)), usedUp: map[string]time.Time{}}
+	return &limiter{Edge: e, total: ratelimit.New(random(6)), fallback: ratelimit.New(random(7)), usedUp: map[string]time.Time{}}
 }
 
-// knowsUpstream tells whether an upstream is one of the fleet.
+// knowsUpstream reports whether an upstream is in the fleet.
 func (e *Edge) knowsUpstream(id string) bool {
 	_, ok := e.fleet.Get(id)
 	return ok
 }
 
-// tick lets what is known of limits age.
+// tick expires limits and the state of upstreams that this box no longer owns.
 func (l *limiter) tick(now time.Time) {
 	l.limits.Tick(now, l.knowsUpstream)
-	l.whole.Keep(func(upstream string) bool { return l.keeps(now, upstream) })
+	l.total.Keep(func(upstream string) bool { return l.owns(now, upstream) })
 }
 
 // Limit implements places.Limits.
 func (l *limiter) Limit(upstream string) (perSecond float64, limited bool) {
 	perSecond, _, limited = l.limits.Of(time.Now(), upstream)
-	return max(perSecond, leastRate), limited
+	return max(perSecond, minRate), limited
 }
 
-// UsedUp returns for how long nothing more is to be had at an upstream, as far as this
-// box was told.
+// UsedUp returns for how long an upstream has no capacity left, according to its owner.
 func (l *limiter) UsedUp(now time.Time, upstream string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(l.usedUp[upstream].Sub(now), 0)
 }
 
-// noteUsedUp notes how long nothing is to be had at an upstream.
-func (l *limiter) noteUsedUp(now time.Time, upstream string, in time.Duration) {
+// recordUsedUp records for how long an upstream has no capacity left.
+func (l *limiter) recordUsedUp(now time.Time, upstream string, in time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, until := range l.usedUp {
@@ -107,94 +107,97 @@
 	l.usedUp[upstream] = now.Add(in)
 }
 
-// keeper returns the box that gives out what an upstream takes: that which gives room
-// on engines to all, or one hub for each plain upstream, the first that is heard.
-func (l *limiter) keeper(now time.Time, service route.Service, upstream string) (keeper members.Box, own bool) {
+// owner returns the box that enforces an upstream's limit: for engines the owner of the
+// service's queue, for a plain upstream the first hub of its rendezvous order that is
+// reachable.
+func (l *limiter) owner(now time.Time, service route.Service, upstream string) (owner members.Box, owned bool) {
 	if service.Engine != nil {
-		keeper, ok := l.members.Keeper(now, "admission/"+service.Name)
-		return keeper, !ok || keeper.Name == l.config.Box
+		owner, ok := l.members.Keeper(now, "admission/"+service.Name)
+		return owner, !ok || owner.Name == l.config.Box
 	}
-	keeper, _ = l.members.KeeperHeard(now, "limit/"+upstream, l.hears)
-	return keeper, keeper.Name == l.config.Box
+	owner, _ = l.members.KeeperHeard(now, "limit/"+upstream, l.isReachable)
+	return owner, owner.Name == l.config.Box
 }
 
-// keeps tells whether this box gives out what an upstream takes. Boxes of a crowd call two
-// hubs each, and may not agree on which of the others are gone: a hub that hears one that
-// goes before it leaves it to that.
-func (l *limiter) keeps(now time.Time, upstream string) bool {
+// owns reports whether this box enforces an upstream's limit. Boxes of a large fleet
+// call two hubs each and may disagree on which others are alive: a hub defers to a
+// reachable hub that precedes it.
+func (l *limiter) owns(now time.Time, upstream string) bool {
 	u, _ := l.fleet.Get(upstream)
 	service, _ := l.service(u.Service)
-	_, own := l.keeper(now, service, upstream)
-	return own
+	_, owned := l.owner(now, service, upstream)
+	return owned
 }
 
-// reach returns the part of a limit that this box may give out as its keeper.
-func (l *limiter) reach(now time.Time) float64 {
+// reachableFraction returns the fraction of a limit that this box may hand out as its
+// owner.
+func (l *limiter) reachableFraction(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.reachAt) >= reachLasts {
+	if now.Sub(l.lastReachAt) >= reachCacheTime {
 		known := max(l.members.Count(now)-l.members.Leaving(), 1)
-		heard := 1 + l.tally.Heard(now, reachWithin) + l.tally.HeardBehind(now, reachLeg)
-		l.reached, l.reachAt = min(reachOver*float64(heard)/float64(known), 1), now
+		reachable := 1 + l.loads.Heard(now, reachMaxAge) + l.loads.HeardBehind(now, reachHopMaxAge)
+		l.lastReach, l.lastReachAt = min(reachFactor*float64(reachable)/float64(known), 1), now
 	}
-	return l.reached
+	return l.lastReach
 }
 
-// wholeRate is what this box gives out as the keeper.
-func (l *limiter) wholeRate(now time.Time, perSecond float64) ratelimit.Rate {
-	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) * l.reach(now), Saved: min(savedMost, savedPart*perSecond)}
+// totalRate returns the rate that this box hands out as the owner.
+func (l *limiter) totalRate(now time.Time, perSecond float64) ratelimit.Rate {
+	return ratelimit.Rate{PerSecond: max(perSecond, minRate) * l.reachableFraction(now), Saved: min(maxSaved, maxSavedSeconds*perSecond)}
 }
 
-// partRate is what this box may send by itself while it does not hear the keeper.
-func (l *limiter) partRate(perSecond float64) ratelimit.Rate {
-	return ratelimit.Rate{PerSecond: max(perSecond, leastRate) / float64(max(l.Count(), 1)), Part: true}
+// shareRate returns the rate that this box may use while the owner is unreachable.
+func (l *limiter) shareRate(perSecond float64) ratelimit.Rate {
+	return ratelimit.Rate{PerSecond: max(perSecond, minRate) / float64(max(l.Count(), 1)), Part: true}
 }
 
-// May implements picker.Limits: on engines this box gives room to all, or sends its part.
+// May implements picker.Limits: on engines this box admits as the owner or within its
+// share.
 func (l *limiter) May(now time.Time, service route.Service, upstream string) bool {
 	perSecond, _, limited := l.limits.Of(now, upstream)
 	if !limited {
 		return true
 	}
-	if _, own := l.keeper(now, service, upstream); own {
-		return l.whole.Free(now, upstream, l.wholeRate(now, perSecond))
+	if _, owned := l.owner(now, service, upstream); owned {
+		return l.total.Free(now, upstream, l.totalRate(now, perSecond))
 	}
-	return l.parts.Free(now, upstream, l.partRate(perSecond))
+	return l.fallback.Free(now, upstream, l.shareRate(perSecond))
 }
 
-// Sent implements picker.Limits. What this box sends to an engine beside the keeper, as a
-// run that was moved goes on there, is told to the keeper.
+// Sent implements picker.Limits. The owner is notified of requests that this box sends
+// to an engine without asking first, such as a moved run.
 func (l *limiter) Sent(now time.Time, service route.Service, upstream string) {
 	perSecond, _, limited := l.limits.Of(now, upstream)
 	if !limited {
 		return
 	}
-	if _, own := l.keeper(now, service, upstream); own {
-		l.whole.Press(now, upstream, l.wholeRate(now, perSecond))
+	if _, owned := l.owner(now, service, upstream); owned {
+		l.total.Press(now, upstream, l.totalRate(now, perSecond))
 		return
 	}
-	l.parts.Press(now, upstream, l.partRate(perSecond))
+	l.fallback.Press(now, upstream, l.shareRate(perSecond))
 	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, upstream), Goes: true}
-	go func() { _, _ = l.askKeeper(context.Background(), now, service, ask) }()
+	go func() { _, _ = l.callOwner(context.Background(), now, service, ask) }()
 }
 
-// Take implements relay.Limiter: it asks the upstream's keeper. One that is not heard is
-// done without.
+// Take implements relay.Limiter: it asks the owner of the upstream's limit. If the
+// owner is unreachable, this box uses its share.
 func (l *limiter) Take(ctx context.Context, a relay.LimitAsk) ratelimit.Turn {
 	now := time.Now()
 	perSecond, at, limited := l.limits.Of(now, a.Upstream)
-	if !limited || l.loose(now, a.Service, perSecond) {
+	if !limited || l.isLoose(now, a.Service, perSecond) {
 		return ratelimit.Turn{Granted: true}
 	}
-	turn, by := l.ask(ctx, now, a)
+	turn, by := l.requestAllowance(ctx, now, a)
 	outcome := metrics.LimitGranted
 	if by == "" {
-		part := ratelimit.Ask{Rate: l.partRate(perSecond), Urgency: a.Urgency, Wait: a.Wait}
-		turn, outcome = l.parts.Take(now, a.Upstream, part), metrics.LimitUnheard
+		share := ratelimit.Ask{Rate: l.shareRate(perSecond), Urgency: a.Urgency, Wait: a.Wait}
+		turn, outcome = l.fallback.Take(now, a.Upstream, share), metrics.LimitUnheard
 	}
 	if !turn.Granted {
 		outcome = metrics.LimitUsedUp
-		l.noteUsedUp(now, a.Upstream, turn.In)
+		l.recordUsedUp(now, a.Upstream, turn.In)
 	}
 	l.metrics.LimitAsked(outcome)
 	l.log.WithFields(logrus.Fields{
@@ -204,70 +207,70 @@
 	return turn
 }
 
-// loose tells whether a limit is so far above all that the boxes are asked for that it
-// binds nobody.
-func (l *limiter) loose(now time.Time, service route.Service, perSecond float64) bool {
-	return l.places != nil && perSecond >= looseFrom*max(l.places.Asked(now, service), float64(l.members.Count(now)))
+// isLoose reports whether a limit is so far above the total demand that it need not be
+// enforced.
+func (l *limiter) isLoose(now time.Time, service route.Service, perSecond float64) bool {
+	return l.places != nil && perSecond >= looseFactor*max(l.places.Asked(now, service), float64(l.members.Count(now)))
 }
 
-// ask asks the keeper, which is returned; empty if it is not heard.
-func (l *limiter) ask(ctx context.Context, now time.Time, a relay.LimitAsk) (turn ratelimit.Turn, by string) {
+// requestAllowance asks the owner, whose name it returns; empty if it is unreachable.
+func (l *limiter) requestAllowance(ctx context.Context, now time.Time, a relay.LimitAsk) (turn ratelimit.Turn, by string) {
 	ask := wire.AllowAsk{Box: l.config.Box, Limit: l.limits.Word(now, a.Upstream), Urgency: a.Urgency, WaitMs: int(a.Wait.Milliseconds())}
-	answer, by := l.askKeeper(ctx, now, a.Service, ask)
+	answer, by := l.callOwner(ctx, now, a.Service, ask)
 	return ratelimit.Turn{Granted: answer.Granted, In: time.Duration(answer.InMs) * time.Millisecond}, by
 }
 
-func (l *limiter) askKeeper(ctx context.Context, now time.Time, service route.Service, ask wire.AllowAsk) (answer wire.AllowAnswer, by string) {
-	keeper, own := l.keeper(now, service, ask.Limit.Upstream)
-	if own {
+func (l *limiter) callOwner(ctx context.Context, now time.Time, service route.Service, ask wire.AllowAsk) (answer wire.AllowAnswer, by string) {
+	owner, owned := l.owner(now, service, ask.Limit.Upstream)
+	if owned {
 		return l.AllowFor(ask), l.config.Box
 	}
-	if !l.hears(keeper.Name) {
+	if !l.isReachable(owner.Name) {
 		return answer, ""
 	}
-	call, cancel := context.WithTimeout(ctx, allowTime)
+	call, cancel := context.WithTimeout(ctx, allowTimeout)
 	defer cancel()
-	err := l.peers.Repeat(call, keeper.Address, peer.Allow, ask, &answer)
+	err := l.peers.Repeat(call, owner.Address, peer.Allow, ask, &answer)
 	switch {
 	case err == nil && answer.Elsewhere:
-		l.log.WithFields(logrus.Fields{"keeper": keeper.Name, "upstream": ask.Limit.Upstream}).Info("limit_kept_elsewhere")
+		l.log.WithFields(logrus.Fields{"keeper": owner.Name, "upstream": ask.Limit.Upstream}).Info("limit_kept_elsewhere")
 		return wire.AllowAnswer{}, ""
 	case err == nil:
-		return answer, keeper.Name
+		return answer, owner.Name
 	case ctx.Err() == nil:
-		l.unheard(keeper.Name)
-		l.log.WithError(err).WithFields(logrus.Fields{"keeper": keeper.Name, "upstream": ask.Limit.Upstream}).Warn("limit_not_asked")
+		l.markUnreachable(owner.Name)
+		l.log.WithError(err).WithFields(logrus.Fields{"keeper": owner.Name, "upstream": ask.Limit.Upstream}).Warn("limit_not_asked")
 	}
 	return answer, ""
 }
 
-// AllowFor implements edgerpc.Box: it gives a request its time at an upstream of which
-// this box is the keeper.
+// AllowFor implements edgerpc.Box: it hands out a slot at an upstream whose limit this
+// box owns.
 func (l *limiter) AllowFor(ask wire.AllowAsk) wire.AllowAnswer {
 	l.timer.Check()
 	now := time.Now()
 	l.limits.Told(now, []wire.UpstreamLimit{ask.Limit}, false)
 	id := ask.Limit.Upstream
 	perSecond, _, limited := l.limits.Of(now, id)
-	if !limited { // it takes all again
+	if !limited { // the limit has been lifted
 		return wire.AllowAnswer{Granted: true}
 	}
-	rate := l.wholeRate(now, perSecond)
+	rate := l.totalRate(now, perSecond)
 	if ask.Goes {
-		l.whole.Press(now, id, rate)
+		l.total.Press(now, id, rate)
 		return wire.AllowAnswer{Granted: true}
 	}
-	if !l.keeps(now, id) {
+	if !l.owns(now, id) {
 		return wire.AllowAnswer{Elsewhere: true}
 	}
-	turn := l.whole.Take(now, id, ratelimit.Ask{Rate: rate, Urgency: ask.Urgency, Wait: time.Duration(ask.WaitMs) * time.Millisecond})
+	turn := l.total.Take(now, id, ratelimit.Ask{Rate: rate, Urgency: ask.Urgency, Wait: time.Duration(ask.WaitMs) * time.Millisecond})
 	return wire.AllowAnswer{Granted: turn.Granted, InMs: int((turn.In + time.Millisecond - 1) / time.Millisecond)}
 }
 
 // AllowFor implements edgerpc.Box.
 func (e *Edge) AllowFor(ask wire.AllowAsk) wire.AllowAnswer { return e.limiter.AllowFor(ask) }
 
-// View returns what this box knows of each limited upstream.
+// View returns the state of every limited upstream.
 func (l *limiter) View(now time.Time) []wire.LimitView {
 	list := []wire.LimitView{}
 	for _, id := range l.limits.All() {
@@ -277,33 +280,33 @@
 			continue
 		}
 		service, _ := l.service(u.Service)
-		keeper, own := l.keeper(now, service, id)
+		owner, owned := l.owner(now, service, id)
 		v := wire.LimitView{
-			Upstream: id, PerSecond: perSecond, SaidMs: int(now.Sub(at).Milliseconds()), Keeper: keeper.Name, UsedUpMs: int(l.UsedUp(now, id).Milliseconds()),
+			Upstream: id, PerSecond: perSecond, SaidMs: int(now.Sub(at).Milliseconds()), Keeper: owner.Name, UsedUpMs: int(l.UsedUp(now, id).Milliseconds()),
 		}
-		if own {
-			v.PartPct, v.Given = int(100*l.reach(now)), l.whole.Given(id)
+		if owned {
+			v.PartPct, v.Given = int(100*l.reachableFraction(now)), l.total.Given(id)
 		}
 		list = append(list, v)
 	}
 	return list
 }
 
-// sayLimits tells a hub what upstreams take, as far as it has not been told.
-func (e *Edge) sayLimits(now time.Time, hub string, g *wire.Gossip) {
+// sendLimits adds the limits that the hub doesn't have yet.
+func (e *Edge) sendLimits(now time.Time, hub string, g *wire.Gossip) {
 	e.mu.Lock()
-	m := e.known[hub]
+	m := e.hubStates[hub]
 	e.mu.Unlock()
-	list, last := e.limits.Since(now, m.limits.told, true)
-	g.Limits, g.LimitsAfter = list, m.limits.after
+	list, last := e.limits.Since(now, m.limits.sent, true)
+	g.Limits, g.LimitsAfter = list, m.limits.received
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m = e.known[hub]
-	m.limits.telling = last
-	e.known[hub] = m
+	m = e.hubStates[hub]
+	m.limits.sending = last
+	e.hubStates[hub] = m
 }
 
-// answerLimits tells an asker what it does not have.
+// answerLimits adds the limits that the caller doesn't have.
 func (e *Edge) answerLimits(now time.Time, from wire.Gossip, a *wire.GossipAnswer) {
 	after := 0
 	if from.EndsOf == e.record.Incarnation {
@@ -312,12 +315,12 @@
 	a.Limits, a.LimitsAt = e.limits.Since(now, after, e.members.Hub(now, from.Sender.Box))
 }
 
-// hearLimits takes a hub's word.
-func (e *Edge) hearLimits(now time.Time, a wire.GossipAnswer) {
+// receiveLimits records the limits reported by a hub.
+func (e *Edge) receiveLimits(now time.Time, a wire.GossipAnswer) {
 	e.limits.Told(now, a.Limits, true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.known[a.Sender.Box]
-	m.limits.after = a.LimitsAt
-	e.known[a.Sender.Box] = m
+	m := e.hubStates[a.Sender.Box]
+	m.limits.received = a.LimitsAt
+	e.hubStates[a.Sender.Box] = m
 }
--- a/edge/limits_bench_test.go
+++ b/edge/limits_bench_test.go
@@ -25,7 +25,7 @@
 				records = append(records, e.record)
 			}
 			for _, e := range c.all {
-				e.listed(records)
+				e.setBoxes(records)
 			}
 			change := c.limitsChange(limited)
 			for range 4 { // until all know all, and the changes are those of each second
--- a/edge/limits_strikes_test.go
+++ b/edge/limits_strikes_test.go
@@ -63,7 +63,7 @@
 		fresh.relay.Sender = portalSender{p, fresh}
 		c.start(ctx, fresh, records)
 		time.AfterFunc(2*listTime, func() {
-			fresh.listed(records)
+			fresh.setBoxes(records)
 			fresh.joined.Store(true)
 		})
 		time.AfterFunc(time.Second, func() {
@@ -104,7 +104,7 @@
 	const slept = 6 * time.Second
 	time.AfterFunc(slept, func() {
 		for _, e := range sleepers {
-			e.woke(slept)
+			e.onWake(slept)
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -278,7 +278,7 @@
 					t.Logf("all boxes know after %v; %s gets %.2f a second, %.2f before it named a limit", known, u.id, after, u.usual)
 					is.New(t).True(after >= limitGets*u.usual)
 				}
-				next := time.Duration(float64(time.Second) / max(tt.limit, leastRate)) // until it gets one that can tell
+				next := time.Duration(float64(time.Second) / max(tt.limit, minRate)) // until it gets one that can tell
 				is.New(t).True(known <= next+contact)
 				p.stop(end)
 			})
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -301,7 +301,7 @@
 				keeper.Heard(hub.Say(keeper.members.Self()))
 				time.Sleep(tt.parted)
 				now := time.Now()
-				is.New(t).Equal(keeper.tally.Heard(now, reachWithin)+keeper.tally.HeardBehind(now, reachLeg), tt.heard)
+				is.New(t).Equal(keeper.loads.Heard(now, reachMaxAge)+keeper.loads.HeardBehind(now, reachHopMaxAge), tt.heard)
 			})
 		})
 	}
@@ -314,7 +314,7 @@
 		records = append(records, e.record)
 	}
 	for _, e := range c.all {
-		e.listed(records)
+		e.setBoxes(records)
 	}
 }
 
@@ -338,8 +338,8 @@
 				records := []wire.BoxRecord{c.all[0].record, c.all[1].record}
 				now := time.Now()
 				for i, e := range c.all {
-					e.listed(records)
-					e.heardBox(now, records[1-i], false)
+					e.setBoxes(records)
+					e.recordBox(now, records[1-i], false)
 					_, err := e.configuration.List(t.Context(), false)
 					is.New(t).NoErr(err)
 				}
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -18,68 +18,69 @@
 )
 
 const (
-	// catchTime bounds the call for a configuration of some 100 KB.
-	catchTime = time.Second
-	// oldFleet is the age from which a hub's knowledge of the upstreams is not
-	// taken: two of its calls to the store, and some.
-	oldFleet = 3500 * time.Millisecond
-	// departingFor is how long an upstream that leaves is news to peers.
-	departingFor = 10 * time.Second
-	// cutFor is how long a box that did not answer this one is taken for unheard though
-	// others hear it: a request that asks a keeper in vain loses some tenths of a second.
-	cutFor = 3 * time.Second
-	// sumOld is the age of all boxes' loads from which any hub is asked for them: the
-	// nearest has missed two calls, or has them not yet.
-	sumOld = 600 * time.Millisecond
+	// configurationTimeout bounds the transfer of a configuration of some 100 KB.
+	configurationTimeout = time.Second
+	// maxFleetAge is the age from which a hub's fleet is ignored: a little over two of
+	// its calls to the store.
+	maxFleetAge = 3500 * time.Millisecond
+	// departureRetention is how long a leaving upstream is reported to peers.
+	departureRetention = 10 * time.Second
+	// unreachableFor is how long a box that didn't answer this one counts as
+	// unreachable although others hear from it: a request that calls a dead owner loses
+	// some tenths of a second.
+	unreachableFor = 3 * time.Second
+	// maxSumAge is the age of the load sums from which any hub is asked for them: the
+	// primary hub has missed two calls or doesn't have them yet.
+	maxSumAge = 600 * time.Millisecond
 )
 
-// mark is how far a hub's fleet is known here, and this box's there.
-type mark struct {
+// hubState is the progress of synchronizing the fleet and other changes with a hub.
+type hubState struct {
 	incarnation int
-	change      int
-	whole       bool      // all before the change is known too
-	from        time.Time // only what came later is told by this hub, unless it is whole
-	telling     int       // last change of this box's fleet in the call under way
-	told        int       // and in the last one that was answered
-	speeds      time.Time // when it was last told how fast engines are
-	ends        newsMark
-	limits      newsMark
+	received    int
+	whole       bool      // all changes up to received are known
+	from        time.Time // unless whole, this hub has sent only later changes
+	sending     int       // this box's last fleet change in the call under way
+	sent        int       // this box's last fleet change that the hub has acknowledged
+	speedsSent  time.Time // when engine speeds were last sent
+	ends        cursor
+	limits      cursor
 }
 
 // Say implements gossip.Box.
 func (e *Edge) Say(hub members.Box) wire.Gossip {
 	now := time.Now()
 	version := 0
-	if table, _, _ := e.belief.Now(now); table != nil {
+	if table, _, _ := e.routes.Now(now); table != nil {
 		version = table.Version()
 	}
 	whole := e.wantsFleet(now, hub)
-	m := e.mark(now, hub.Name, whole)
-	departing, last := e.departing(now, m.told)
-	e.telling(hub.Name, last)
+	m := e.hubState(now, hub.Name, whole)
+	departing, last := e.departures(now, m.sent)
+	e.recordSending(hub.Name, last)
 	g := wire.Gossip{
-		Sender: e.record, Leaving: e.draining.Load(), Wants: e.wants(now, hub), Version: version,
-		Departing: departing, Unpacks: true, WholeFleet: whole, FleetOf: m.incarnation, FleetAfter: m.change,
+		Sender: e.record, Leaving: e.draining.Load(), Wants: e.wantedScope(now, hub), Version: version,
+		Departing: departing, Unpacks: true, WholeFleet: whole, FleetOf: m.incarnation, FleetAfter: m.received,
 	}
 	g.Unlisted = e.unlisted.Load() && e.members.Nearest(now).Name == hub.Name
 	if age, known := e.fleet.Age(now); known {
 		g.FleetKnownMs = int(age.Milliseconds()) + 1
 	}
-	e.sayEnds(now, hub.Name, &g)
-	e.sayLimits(now, hub.Name, &g)
-	e.sayLoads(now, hub, &g)
+	e.sendEnds(now, hub.Name, &g)
+	e.sendLimits(now, hub.Name, &g)
+	e.sendLoads(now, hub, &g)
 	return g
 }
 
-// sayLoads tells a hub what runs here; a hub tells the others of its boxes too. In a
-// crowd a box tells its nearest hub alone, so that each box is counted once: its work
-// is known to all hubs after two calls, a quarter of a second in the mean.
-func (e *Edge) sayLoads(now time.Time, hub members.Box, g *wire.Gossip) {
+// sendLoads adds this box's load report; a hub includes the reports of its boxes. In a
+// large fleet a box reports to its primary hub only, so that each box is counted once:
+// all hubs have its load after two calls, 0.25 s on average.
+func (e *Edge) sendLoads(now time.Time, hub members.Box, g *wire.Gossip) {
 	switch {
 	case e.IsHub():
-		w, covers := e.partWords(now, e.speedsDue(now, hub.Name))
-		w.say(g)
-		g.Covers, g.CoversNear = covers.Boxes, covers.Near
+		w, coverage := e.aggregatedReport(now, e.speedsDue(now, hub.Name))
+		w.fillGossip(g)
+		g.Covers, g.CoversNear = coverage.Boxes, coverage.Near
 		return
 	case e.members.Crowd(now) == nil:
 	case e.members.Nearest(now).Name != hub.Name:
@@ -87,12 +88,12 @@
 	default:
 		g.Counts = true
 	}
-	e.ownWords(now, e.speedsDue(now, hub.Name)).say(g)
+	e.ownReport(now, e.speedsDue(now, hub.Name)).fillGossip(g)
 }
 
-// wantsFleet tells whether a hub is to send the whole fleet to this box, which
-// knows nothing by it yet: the nearest is, and any other while that is not heard.
-// Hubs are told by each other; the many of a crowd by those that read the store.
+// wantsFleet reports whether a hub should send the full fleet to a box that has no
+// cursor there. The primary hub should, and any other while the primary is unreachable.
+// Hubs get it from each other; in a large fleet only from those that read the store.
 func (e *Edge) wantsFleet(now time.Time, hub members.Box) bool {
 	nearest := e.members.Nearest(now).Name
 	switch {
@@ -101,27 +102,27 @@
 	case e.IsHub(), nearest == hub.Name:
 		return true
 	}
-	return !e.HubHeard().IsZero() && !e.hears(nearest)
+	return !e.HubHeard().IsZero() && !e.isReachable(nearest)
 }
 
-// mark returns how far a hub's fleet is known here, and this box's there. A hub
-// that is to tell the whole fleet, and has told only what came after its first
-// answer, is asked anew: what it had learned by then may never be told by another,
-// as the nearest hub may have died before it knew.
-func (e *Edge) mark(now time.Time, hub string, whole bool) mark {
+// hubState returns the synchronization state of a hub. A hub that should send the full
+// fleet, but has sent only changes since its first answer, is asked for all of it: the
+// earlier changes may be unknown to every other box if the primary hub died before it
+// had them.
+func (e *Edge) hubState(now time.Time, hub string, whole bool) hubState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.completed(now, e.known[hub])
+	m := e.updateComplete(now, e.hubStates[hub])
 	if whole && !m.whole {
-		m.change = 0
+		m.received = 0
 	}
-	e.known[hub] = m
+	e.hubStates[hub] = m
 	return m
 }
 
-// completed notes that all is known that a hub knew at its first answer: others
-// have told since what the store held then.
-func (e *Edge) completed(now time.Time, m mark) mark {
+// updateComplete marks a hub's fleet as complete once newer data from other hubs coverage
+// what the hub knew at its first answer.
+func (e *Edge) updateComplete(now time.Time, m hubState) hubState {
 	age, known := e.fleet.Age(now)
 	if !m.from.IsZero() && known && !now.Add(-age).Before(m.from) {
 		m.whole = true
@@ -129,23 +130,23 @@
 	return m
 }
 
-// telling notes up to which change a hub is being told of this box's fleet.
-func (e *Edge) telling(hub string, change int) {
+// recordSending records the last fleet change in the call to a hub.
+func (e *Edge) recordSending(hub string, change int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.known[hub]
-	m.telling = change
-	e.known[hub] = m
+	m := e.hubStates[hub]
+	m.sending = change
+	e.hubStates[hub] = m
 }
 
-// wants returns what a hub is to tell of boxes' loads. All boxes' loads come from
-// one hub, the nearest, as long as that tells them: they are most of an answer, and a box
-// of a fleet of six halls asks six hubs.
-func (e *Edge) wants(now time.Time, hub members.Box) wire.GossipScope {
+// wantedScope returns the loads to request from a hub. The sums of all boxes are
+// requested from the primary hub only, unless they are outdated: they make up most of
+// an answer, and a box of a fleet with six halls calls six hubs.
+func (e *Edge) wantedScope(now time.Time, hub members.Box) wire.GossipScope {
 	switch {
 	case e.IsHub():
 		return wire.GossipScopeOwn
-	case e.members.Nearest(now).Name == hub.Name, e.tally.SumAge(now) > sumOld:
+	case e.members.Nearest(now).Name == hub.Name, e.loads.SumAge(now) > maxSumAge:
 		return wire.GossipScopeAll
 	}
 	return wire.GossipScopeNone
@@ -154,38 +155,38 @@
 // Hear implements gossip.Box.
 func (e *Edge) Hear(a wire.GossipAnswer, sent time.Time) {
 	now := time.Now()
-	e.heardBox(now, a.Sender, a.Leaving)
-	e.answered(now, a.Sender)
+	e.recordBox(now, a.Sender, a.Leaving)
+	e.recordAnswer(now, a.Sender)
 	for _, r := range a.Hubs {
-		e.introduce(now, r)
+		e.addHub(now, r)
 	}
-	if slices.ContainsFunc(a.Hubs, e.isOwn) {
+	if slices.ContainsFunc(a.Hubs, e.isSelf) {
 		e.members.Named(now)
 	}
-	e.hearCrowd(now, a, sent)
-	for _, w := range a.Halls { // before the configuration, with which they are known
+	e.receiveFleetSize(now, a, sent)
+	for _, w := range a.Halls { // before the configuration that contains the halls
 		e.halls.Take(now, halls.Word{Hall: w.Hall, Evacuated: w.Evacuated, Version: int64(w.Version)}, a.Sender.Box)
 	}
-	e.catchUp(now, a, sent)
-	table, _, _ := e.belief.Now(now)
+	e.fetchConfiguration(now, a, sent)
+	table, _, _ := e.routes.Now(now)
 	if table != nil && table.Version() == a.Version {
-		e.belief.Confirm(sent.Add(-config.Millis(a.VersionAgeMs)))
+		e.routes.Confirm(sent.Add(-config.Millis(a.VersionAgeMs)))
 	}
-	e.hearEnds(a, sent)
-	e.hearLimits(now, a)
-	e.hearFleet(now, a, sent) // which incarnations there are, before what is told of them
+	e.receiveEnds(a, sent)
+	e.receiveLimits(now, a)
+	e.receiveFleet(now, a, sent) // before the reports, which refer to incarnations
 	switch a.Tells {
 	case wire.GossipScopeOwn:
-		e.hearWords(now, a.Sender.Box, wordsOfAnswer(a), false, peerstate.Cover{Boxes: a.Covers, Near: a.CoversNear})
+		e.receiveReport(now, a.Sender.Box, answerReport(a), false, peerstate.Cover{Boxes: a.Covers, Near: a.CoversNear})
 	case wire.GossipScopeAll:
-		e.hearSums(now, wordsOfAnswer(a))
+		e.receiveSums(now, answerReport(a))
 	}
-	e.storeAnswered(sent.Add(-config.Millis(a.StoreSilentMs)))
+	e.recordStoreAnswer(sent.Add(-config.Millis(a.StoreSilentMs)))
 }
 
-// hearCrowd takes a hub's word of how many boxes there are, and when it heard the
-// other hubs: this box may not call them itself.
-func (e *Edge) hearCrowd(now time.Time, a wire.GossipAnswer, sent time.Time) {
+// receiveFleetSize records the number of boxes and when a hub last heard from the other
+// hubs, which this box may not call itself.
+func (e *Edge) receiveFleetSize(now time.Time, a wire.GossipAnswer, sent time.Time) {
 	for _, h := range a.Crowd {
 		e.members.ToldCrowd(now, h.Hall, h.Boxes)
 	}
@@ -193,38 +194,38 @@
 	defer e.mu.Unlock()
 	for _, h := range a.Heard {
 		at := sent.Add(-config.Millis(h.AgoMs))
-		if h.Box != e.config.Box && now.Sub(e.cut[h.Box]) > cutFor && at.After(e.heard[h.Box]) {
-			e.heard[h.Box] = at
+		if h.Box != e.config.Box && now.Sub(e.unanswered[h.Box]) > unreachableFor && at.After(e.lastSeen[h.Box]) {
+			e.lastSeen[h.Box] = at
 		}
 	}
 }
 
-// answered notes that a hub has taken what it was told. One that has started
-// anew since the last time knows nothing of what was told before.
-func (e *Edge) answered(now time.Time, hub wire.BoxRecord) {
+// recordAnswer marks what was sent to a hub as received. A hub that has restarted since
+// has lost it.
+func (e *Edge) recordAnswer(now time.Time, hub wire.BoxRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.hubHeard = now
-	m := e.known[hub.Box]
+	e.hubLastSeen = now
+	m := e.hubStates[hub.Box]
 	if m.incarnation == hub.Incarnation {
-		m.told, m.ends.told, m.limits.told = m.telling, m.ends.telling, m.limits.telling
+		m.sent, m.ends.sent, m.limits.sent = m.sending, m.ends.sending, m.limits.sending
 	} else {
-		m = mark{incarnation: hub.Incarnation}
+		m = hubState{incarnation: hub.Incarnation}
 	}
-	e.known[hub.Box] = m
+	e.hubStates[hub.Box] = m
 }
 
-// hearFleet takes a hub's knowledge of the upstreams. Where that is old, as the
-// hubs have lost the store, only the news counts that an upstream leaves.
-func (e *Edge) hearFleet(now time.Time, a wire.GossipAnswer, sent time.Time) {
+// receiveFleet applies a hub's fleet changes. If its data is old because the hubs have
+// lost the store, only departures count.
+func (e *Edge) receiveFleet(now time.Time, a wire.GossipAnswer, sent time.Time) {
 	if a.FleetLater {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.promised = now
+		e.fleetDeferredAt = now
 		return
 	}
 	age := config.Millis(a.FleetAgeMs)
-	old := age > oldFleet
+	outdated := age > maxFleetAge
 	if a.Fleet != "" {
 		list, err := snapshot.Unpack(a.Fleet)
 		if err != nil {
@@ -234,7 +235,7 @@
 		a.Upstreams = list
 	}
 	for _, u := range a.Upstreams {
-		if old && fleet.State(u.State) != fleet.Leaving {
+		if outdated && fleet.State(u.State) != fleet.Leaving {
 			continue
 		}
 		e.fleet.Told(now, fleet.Upstream{
@@ -242,24 +243,24 @@
 			State: fleet.State(u.State), Version: int64(u.Version), Said: u.Said, Born: int64(u.Born),
 		})
 	}
-	if old && !a.FleetFromNow {
+	if outdated && !a.FleetFromNow {
 		return
 	}
 	e.mu.Lock()
-	m := e.completed(now, e.known[a.Sender.Box])
-	m.whole = m.whole || m.change == 0 && !a.FleetFromNow
-	m.change = a.FleetAt
+	m := e.updateComplete(now, e.hubStates[a.Sender.Box])
+	m.whole = m.whole || m.received == 0 && !a.FleetFromNow
+	m.received = a.FleetAt
 	if a.FleetFromNow && !m.whole {
 		m.from = now
 	}
-	e.known[a.Sender.Box] = m
+	e.hubStates[a.Sender.Box] = m
 	e.mu.Unlock()
 	if m.whole {
 		e.fleet.Confirm(sent.Add(-age))
 	}
 }
 
-// coldUntil returns until when an upstream is cold that is so for some ms more.
+// coldUntil returns the end of a cold period that lasts ms more milliseconds.
 func coldUntil(now time.Time, ms int) time.Time {
 	if ms <= 0 {
 		return time.Time{}
@@ -267,23 +268,23 @@
 	return now.Add(config.Millis(ms))
 }
 
-func (e *Edge) hearDeparting(now time.Time, list []wire.UpstreamDeparture) {
+func (e *Edge) receiveDepartures(now time.Time, list []wire.UpstreamDeparture) {
 	for _, d := range list {
 		e.fleet.Leaves(now, fleet.Departure{ID: d.Upstream, Version: int64(d.Version), Said: d.Said, Born: int64(d.Born)}, "peer")
 	}
 }
 
-// departing returns what became known to leave after a change of this box's
+// departures returns the upstreams that are known to leave since a change of this box's
 // fleet, and the last change.
-func (e *Edge) departing(now time.Time, after int) (list []wire.UpstreamDeparture, last int) {
-	departures, last := e.fleet.Departing(now, departingFor, after)
+func (e *Edge) departures(now time.Time, after int) (list []wire.UpstreamDeparture, last int) {
+	departures, last := e.fleet.Departing(now, departureRetention, after)
 	for _, d := range departures {
 		list = append(list, wire.UpstreamDeparture{Upstream: d.ID, Version: int(d.Version), Said: d.Said, Born: int(d.Born)})
 	}
 	return list, last
 }
 
-func (e *Edge) heardBox(now time.Time, r wire.BoxRecord, leaving bool) {
+func (e *Edge) recordBox(now time.Time, r wire.BoxRecord, leaving bool) {
 	state := members.Live
 	if leaving {
 		state = members.Leaving
@@ -292,12 +293,12 @@
 		Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: state, Strong: r.Strong,
 	})
 	e.mu.Lock()
-	e.heard[r.Box] = now
+	e.lastSeen[r.Box] = now
 	e.mu.Unlock()
 }
 
-// introduce takes another box's word that there is a hub.
-func (e *Edge) introduce(now time.Time, r wire.BoxRecord) {
+// addHub records a hub reported by another box.
+func (e *Edge) addHub(now time.Time, r wire.BoxRecord) {
 	if r.Box != e.config.Box {
 		e.members.Introduce(now, members.Box{
 			Name: r.Box, Hall: r.Hall, Address: r.Address, Incarnation: r.Incarnation, State: members.Live, Strong: r.Strong,
@@ -305,19 +306,19 @@
 	}
 }
 
-// catchUp asks a hub for a configuration that is newer than this box's, one hub
-// at a time: all hubs tell of it within the same moment. What the hub said of its age
-// holds for what it then gives: a box that has just started would else take it for
-// stale until the next answer, and read the store.
-func (e *Edge) catchUp(now time.Time, a wire.GossipAnswer, sent time.Time) {
+// fetchConfiguration fetches a newer configuration from a hub, one fetch at a time,
+// since all hubs announce it at once. The age in the hub's answer also applies to the
+// configuration fetched; otherwise a box that has just started would treat it as stale
+// until the next answer and read the store.
+func (e *Edge) fetchConfiguration(now time.Time, a wire.GossipAnswer, sent time.Time) {
 	hub, version := a.Sender, a.Version
-	table, _, _ := e.belief.Now(now)
-	if table != nil && table.Version() >= version || version == 0 || !e.catching.CompareAndSwap(false, true) {
+	table, _, _ := e.routes.Now(now)
+	if table != nil && table.Version() >= version || version == 0 || !e.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer e.catching.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), catchTime)
+		defer e.fetching.Store(false)
+		ctx, cancel := context.WithTimeout(context.Background(), configurationTimeout)
 		defer cancel()
 		var answer wire.Configuration
 		err := e.peers.Repeat(ctx, hub.Address, peer.Configuration, wire.Nothing{}, &answer)
@@ -329,7 +330,7 @@
 			return
 		}
 		if answer.Version >= version {
-			e.belief.Confirm(sent.Add(-config.Millis(a.VersionAgeMs)))
+			e.routes.Confirm(sent.Add(-config.Millis(a.VersionAgeMs)))
 		}
 	}()
 }
--- a/edge/places.go
+++ b/edge/places.go
@@ -6,7 +6,7 @@
 	"petrelstep/wire"
 )
 
-// ownPlaces returns what this box is asked for of plain services.
+// ownPlaces returns this box's demand for plain services.
 func (e *Edge) ownPlaces(now time.Time) []wire.ServicePlaces {
 	if e.places == nil {
 		return nil
@@ -14,22 +14,23 @@
 	return e.places.Own(now)
 }
 
-// partPlaces returns what this box and those that tell it alone are asked for.
-func (e *Edge) partPlaces(now time.Time) []wire.ServicePlaces {
+// aggregatedPlaces returns the demand at this box and at those that report only to it.
+func (e *Edge) aggregatedPlaces(now time.Time) []wire.ServicePlaces {
 	if e.places == nil {
 		return nil
 	}
 	return e.places.Part(now)
 }
 
-// coversPlaces notes, before a box's word is taken, whether it tells this box alone.
-func (e *Edge) coversPlaces(box string, only bool) {
+// setPlacesCoverage records, before a report is applied, whether the box reports only
+// to this one.
+func (e *Edge) setPlacesCoverage(box string, exclusive bool) {
 	if e.places != nil {
-		e.places.Covers(box, only)
+		e.places.Covers(box, exclusive)
 	}
 }
 
-// placesWithout returns what all boxes but one are asked for, for that one.
+// placesWithout returns the demand at all boxes but one, to be sent to that box.
 func (e *Edge) placesWithout(now time.Time, box string) []wire.ServicePlaces {
 	if e.places == nil {
 		return nil
@@ -37,21 +38,21 @@
 	return e.places.Without(now, box)
 }
 
-// toldPlaces takes another box's word of what it is asked for.
-func (e *Edge) toldPlaces(now time.Time, box string, list []wire.ServicePlaces) {
+// updatePlaces applies another box's report of its demand.
+func (e *Edge) updatePlaces(now time.Time, box string, list []wire.ServicePlaces) {
 	if e.places != nil {
 		e.places.Told(now, box, list)
 	}
 }
 
-// toldPlacesSum takes a hub's word of what all other boxes are asked for.
-func (e *Edge) toldPlacesSum(now time.Time, list []wire.ServicePlaces) {
+// updatePlacesSum applies a hub's sum of the demand at all other boxes.
+func (e *Edge) updatePlacesSum(now time.Time, list []wire.ServicePlaces) {
 	if e.places != nil {
 		e.places.ToldSum(now, list)
 	}
 }
 
-// viewPlaces returns what this box believes of plain services.
+// viewPlaces returns the state of plain services.
 func (e *Edge) viewPlaces(now time.Time) []wire.PlacesView {
 	if e.places == nil {
 		return []wire.PlacesView{}
--- /dev/null
+++ b/edge/quarantine.go
@@ -0,0 +1,131 @@
+package edge
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/gorilla/mux"
+	"github.com/sirupsen/logrus"
+
+	"petrelstep/fingerprint"
+	"petrelstep/wire"
+)
+
+const (
+	// quarantineWriteTries and quarantineWriteInterval bound the retries of a
+	// quarantine's write while the store is down; the boxes enforce it meanwhile.
+	quarantineWriteTries    = 30
+	quarantineWriteInterval = 2 * time.Second
+	// quarantineWriteTimeout bounds a call; a slow store takes 0.3 s.
+	quarantineWriteTimeout = 1500 * time.Millisecond
+)
+
+// cursor is the progress of exchanging one kind of change with a hub.
+type cursor struct {
+	received int // the hub's last change received
+	sending  int // this box's last change in the call under way
+	sent     int // this box's last change that the hub has acknowledged
+}
+
+// sendEnds adds the upstream failures, with the requests they ran, that the hub doesn't
+// have yet.
+func (e *Edge) sendEnds(now time.Time, hub string, g *wire.Gossip) {
+	e.mu.Lock()
+	m := e.hubStates[hub]
+	e.mu.Unlock()
+	list, last := e.quarantine.Since(now, m.ends.sent)
+	g.Ends, g.EndsOf, g.EndsAfter = list, m.incarnation, m.ends.received
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	m = e.hubStates[hub]
+	m.ends.sending = last
+	e.hubStates[hub] = m
+}
+
+// answerEnds adds the failures that the caller doesn't have: all of them if it has just
+// started or knew an earlier incarnation of this box.
+func (e *Edge) answerEnds(now time.Time, from wire.Gossip, a *wire.GossipAnswer) {
+	after := 0
+	if from.EndsOf == e.record.Incarnation {
+		after = from.EndsAfter
+	}
+	a.Ends, a.EndsAt = e.quarantine.Since(now, after)
+}
+
+// receiveEnds records the failures reported by a hub.
+func (e *Edge) receiveEnds(a wire.GossipAnswer, sent time.Time) {
+	e.quarantine.Told(sent, a.Ends)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	m := e.hubStates[a.Sender.Box]
+	m.ends.received = a.EndsAt
+	e.hubStates[a.Sender.Box] = m
+}
+
+// serveRelease lets an operator release a request from quarantine on all boxes.
+func (e *Edge) serveRelease(w http.ResponseWriter, r *http.Request) {
+	fp, err := fingerprint.Parse(mux.Vars(r)["fingerprint"])
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if !e.quarantine.Release(time.Now(), fp) {
+		http.Error(w, "no upstream is known to have failed while running it", http.StatusNotFound)
+	}
+}
+
+// restoreQuarantine reads the stored quarantines after all boxes were restarted. Hubs
+// read and report them; the other boxes make no call.
+func (e *Edge) restoreQuarantine(ctx context.Context) {
+	for ctx.Err() == nil && !e.joined.Load() {
+		e.timer.Sleep(ctx, tickInterval)
+	}
+	if !e.IsHub() {
+		return
+	}
+	e.retry(ctx, func(ctx context.Context) error {
+		stored, err := e.quarantineStore.table.All(ctx)
+		for fp, upstreams := range stored {
+			e.quarantine.Restore(time.Now(), fp, upstreams)
+			e.log.WithFields(logrus.Fields{"fingerprint": fp, "upstreams": upstreams}).Info("quarantine_restored")
+		}
+		return err
+	})
+}
+
+// quarantineTable is the storage that outlives all boxes.
+type quarantineTable interface {
+	Put(ctx context.Context, fp fingerprint.Fingerprint, upstreams []string) error
+	Remove(ctx context.Context, fp fingerprint.Fingerprint) error
+	All(ctx context.Context) (map[fingerprint.Fingerprint][]string, error)
+}
+
+// quarantineStore writes quarantines to the platform's store in the background.
+type quarantineStore struct {
+	table quarantineTable
+	log   *logrus.Entry
+}
+
+// Keep implements quarantine.Keeper.
+func (k *quarantineStore) Keep(fp fingerprint.Fingerprint, upstreams []string) {
+	go k.retry(fp, "keep", func(ctx context.Context) error { return k.table.Put(ctx, fp, upstreams) })
+}
+
+// Drop implements quarantine.Keeper.
+func (k *quarantineStore) Drop(fp fingerprint.Fingerprint) {
+	go k.retry(fp, "drop", func(ctx context.Context) error { return k.table.Remove(ctx, fp) })
+}
+
+func (k *quarantineStore) retry(fp fingerprint.Fingerprint, what string, call func(context.Context) error) {
+	for range quarantineWriteTries {
+		ctx, cancel := context.WithTimeout(context.Background(), quarantineWriteTimeout)
+		err := call(ctx)
+		cancel()
+		if err == nil {
+			return
+		}
+		k.log.WithError(err).WithFields(logrus.Fields{"fingerprint": fp, "call": what}).Warn("quarantine_not_kept")
+		time.Sleep(quarantineWriteInterval)
+	}
+}
--- a/edge/quarantine_test.go
+++ b/edge/quarantine_test.go
@@ -101,7 +101,7 @@
 	c.all = append(c.all, fresh)
 	c.start(ctx, fresh, records)
 	time.Sleep(listTime)
-	fresh.listed(records)
+	fresh.setBoxes(records)
 	fresh.joined.Store(true)
 }
 
@@ -425,7 +425,7 @@
 		at, other := w.crowd.all[0], w.crowd.all[5]
 		endsAt(at, "bad")
 		w.crowd.until(t, "refuses it", contact, refuses("bad"))
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 		is.Equal(len(other.View().Quarantine), 1)
 		is.Equal(other.View().Quarantine[0].Fingerprint, asked("bad").String())
 		for path, want := range map[string]int{
--- a/edge/register.go
+++ b/edge/registrar.go
@@ -10,11 +10,11 @@
 	"petrelstep/wire"
 )
 
-// registerEvery is how often a hub writes the rows of the boxes that asked it to.
-const registerEvery = time.Second
+// registerInterval is how often a hub writes the rows of boxes that requested it.
+const registerInterval = time.Second
 
-// registrar writes, for many boxes at once, the rows that the store would not take from
-// each of them.
+// registrar writes, in batches, the rows that the store refused to take from the boxes
+// themselves.
 type registrar struct {
 	*Edge
 
@@ -26,8 +26,8 @@
 	return &registrar{Edge: e, waiting: map[string]wire.BoxRecord{}}
 }
 
-// asked takes a box that has no row, unless the table was read with one since.
-func (r *registrar) asked(box wire.BoxRecord) {
+// add queues a box that has no row in the table as last read.
+func (r *registrar) add(box wire.BoxRecord) {
 	if r.members.IsListed(box.Box) {
 		return
 	}
@@ -36,26 +36,25 @@
 	r.waiting[box.Box] = box
 }
 
-// write writes the rows of those that wait, as many as one call takes. What failed is
-// written with the next.
+// write writes a batch of queued rows; after a failure they stay queued.
 func (r *registrar) write(ctx context.Context) {
-	rows := r.next()
+	rows := r.batch()
 	if len(rows) == 0 {
 		return
 	}
-	join := func(ctx context.Context) error { return r.writeRows(ctx, r.ownHall(), rows...) }
-	if r.once(ctx, join) != nil {
+	join := func(ctx context.Context) error { return r.writeRows(ctx, r.ownHallSize(), rows...) }
+	if r.attempt(ctx, join) != nil {
 		return
 	}
 	for _, row := range rows {
 		r.members.Registered(row.Box)
 	}
-	r.done(rows)
+	r.remove(rows)
 	r.log.WithField("boxes", len(rows)).Info("boxes_registered")
 }
 
-// next returns some of those that wait.
-func (r *registrar) next() []wire.BoxRecord {
+// batch returns the oldest of the queued rows, at most one call's worth.
+func (r *registrar) batch() []wire.BoxRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var rows []wire.BoxRecord
@@ -66,7 +65,7 @@
 	return rows[:min(len(rows), manifest.JoinMost)]
 }
 
-func (r *registrar) done(rows []wire.BoxRecord) {
+func (r *registrar) remove(rows []wire.BoxRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, row := range rows {
--- a/edge/run.go
+++ b/edge/run.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	tickEvery  = 100 * time.Millisecond
-	headerTime = 10 * time.Second
-	// idleTime lies above every bound on idle connections that callers reckon with.
-	idleTime    = 90 * time.Second
-	headerBytes = 64 << 10
-	drainLook   = 50 * time.Millisecond
-	// hearsOthers is how recently a box must have heard another to know what the store
-	// does for all.
-	hearsOthers = time.Second
-	// leaveNotice is how long a stopping box goes on taking requests: the
-	// balancer asks once a second and takes a box out after two bad answers.
-	leaveNotice = 3 * time.Second
+	tickInterval  = 100 * time.Millisecond
+	headerTimeout = 10 * time.Second
+	// idleTimeout exceeds the idle timeout of every client and load balancer.
+	idleTimeout       = 90 * time.Second
+	maxHeaderBytes    = 64 << 10
+	drainPollInterval = 50 * time.Millisecond
+	// peerMaxAge is how recently a box must have heard from another to judge whether
+	// the store answers other boxes.
+	peerMaxAge = time.Second
+	// balancerNotice is how long a stopping box goes on accepting requests: the load
+	// balancer checks once a second and removes a box after two failures.
+	balancerNotice = 3 * time.Second
 )
 
-// ListenError says that an address could not be opened.
+// ListenError reports that an address could not be opened.
 type ListenError struct {
 	Address string
 	Err     error
@@ -46,18 +46,18 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Run serves until Drain is called and all work in flight is done, or until
-// ctx ends, which cuts off what is left.
+// Run serves until Drain is called and all requests in flight are done, or until ctx
+// ends, which aborts the remaining ones.
 func (e *Edge) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
-	servers, err := e.open(ctx, &all)
+	servers, err := e.listen(ctx, &all)
 	if err != nil {
 		return err
 	}
 	e.fleet.Subscribe(e.departed(ctx))
-	e.start(ctx, &all)
+	e.startTasks(ctx, &all)
 	l := e.config.Listen
 	e.log.WithFields(logrus.Fields{"hall": e.config.Hall, "callers": l.Callers, "peers": l.Peers, "admin": l.Admin, "store": e.config.Platform.Address}).Info("started")
 	select {
@@ -67,7 +67,7 @@
 	}
 	cancel()
 	for _, s := range servers {
-		_ = s.Close() // what is left is cut off
+		_ = s.Close() // aborts the remaining requests
 	}
 	e.peers.Close()
 	e.store.Close()
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// open opens the box's addresses and serves them.
-func (e *Edge) open(ctx context.Context, all *sync.WaitGroup) ([]*http.Server, error) {
+// listen opens the box's addresses and serves them.
+func (e *Edge) listen(ctx context.Context, all *sync.WaitGroup) ([]*http.Server, error) {
 	l := e.config.Listen
 	handlers := map[string]http.Handler{
 		l.Callers: http.HandlerFunc(e.serveCaller), e.config.Edge.Ready: e.readiness(), l.Admin: e.admin(),
@@ -96,7 +96,7 @@
 	}
 	for _, listener := range listeners[:len(listeners)-1] {
 		s := &http.Server{
-			Handler: handlers[listener.Addr().String()], ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes,
+			Handler: handlers[listener.Addr().String()], ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		}
 		servers = append(servers, s)
 		all.Go(func() { e.serveHTTP(s, listener) })
@@ -123,7 +123,7 @@
 	e.callers.ServeHTTP(w, r)
 }
 
-// readiness answers the balancer, whatever path it asks for.
+// readiness serves the load balancer's health check on any path.
 func (e *Edge) readiness() http.Handler {
 	r := mux.NewRouter()
 	r.PathPrefix("/").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -134,7 +134,7 @@
 	return r
 }
 
-// admin serves the box's own figures.
+// admin serves metrics and the operators' API.
 func (e *Edge) admin() http.Handler {
 	r := mux.NewRouter()
 	r.Handle("/metrics", e.metrics.Handler())
@@ -143,81 +143,81 @@
 	return r
 }
 
-// start starts the tasks that are not bound to a caller.
-func (e *Edge) start(ctx context.Context, all *sync.WaitGroup) {
-	workers := manifest.NewWorkers(e.store, e.fleet, e.names, e.metrics, e.log)
-	configuration := tablesync.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log)
+// startTasks starts the background tasks.
+func (e *Edge) startTasks(ctx context.Context, all *sync.WaitGroup) {
+	workers := manifest.NewWorkers(e.store, e.fleet, e.hasService, e.metrics, e.log)
+	configuration := tablesync.New("configuration", e.configuration, storeAnswers{e.routes.Confirm, e.recordStoreAnswer}, e.readPolicy("configuration", e.routes.Age), e.log)
 	all.Go(func() { configuration.Run(ctx) })
-	upstreams := tablesync.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log)
+	upstreams := tablesync.New("upstreams", workers, storeAnswers{e.fleet.Confirm, e.recordStoreAnswer}, e.readPolicy("upstreams", e.fleet.Age), e.log)
 	all.Go(func() { upstreams.Run(ctx) })
-	all.Go(func() { e.timer.Every(ctx, "tick", tickEvery, e.tick) })
-	look := probe.New(e.fleet, e.storeSilent, e.runs, e.upstreams, e.limits, e.rest, e.log)
+	all.Go(func() { e.timer.Every(ctx, "tick", tickInterval, e.tick) })
+	prober := probe.New(e.fleet, e.storeSilence, e.runs, e.upstreams, e.limits, e.backoff, e.log)
 	all.Go(func() {
-		e.timer.Every(ctx, "watch", probe.Period, func(now time.Time) { look.Look(ctx, now) })
+		e.timer.Every(ctx, "watch", probe.Period, func(now time.Time) { prober.Look(ctx, now) })
 	})
 	all.Go(func() { e.join(ctx) })
 	all.Go(func() {
-		e.timer.Every(ctx, "register", registerEvery, func(time.Time) { e.registrar.write(ctx) })
+		e.timer.Every(ctx, "register", registerInterval, func(time.Time) { e.registrar.write(ctx) })
 	})
 	all.Go(func() { e.restoreQuarantine(ctx) })
 	all.Go(func() { gossip.New(e.members, e.peers, e, e.timer, e.log).Run(ctx) })
 }
 
-// heard takes the store's answers on one table.
-type heard struct {
+// storeAnswers records the store's answers on one table.
+type storeAnswers struct {
 	confirm, answered func(at time.Time)
 }
 
 // Confirm implements tablesync.Heard.
-func (h heard) Confirm(sent time.Time) { h.confirm(sent) }
+func (h storeAnswers) Confirm(sent time.Time) { h.confirm(sent) }
 
 // Answered implements tablesync.Heard.
-func (h heard) Answered(at time.Time) { h.answered(at) }
+func (h storeAnswers) Answered(at time.Time) { h.answered(at) }
 
-// storeAnswered notes that the store answered this box or a hub at a time.
-func (e *Edge) storeAnswered(at time.Time) {
+// recordStoreAnswer records when the store answered this box or a hub.
+func (e *Edge) recordStoreAnswer(at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if at.After(e.storeHeard) {
-		e.storeHeard = at
+	if at.After(e.storeLastSeen) {
+		e.storeLastSeen = at
 	}
 }
 
-// storeSilent returns for how long the store has answered nobody that this box
-// hears of. Before its first answer nothing runs here that could be lost.
-func (e *Edge) storeSilent(now time.Time) time.Duration {
+// storeSilence returns how long the store has answered none of the boxes heard from; 0
+// before its first answer, when there are no requests to lose.
+func (e *Edge) storeSilence(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.storeHeard.IsZero() {
+	if e.storeLastSeen.IsZero() {
 		return 0
 	}
-	return now.Sub(e.storeHeard)
+	return now.Sub(e.storeLastSeen)
 }
 
-// silentForAll returns for how long the store has answered no box, as far as this one hears
-// others; 0 if it hears none.
-func (e *Edge) silentForAll() time.Duration {
+// fleetStoreSilence returns how long the store has answered no box, or 0 if this box
+// hears from no other and can't tell.
+func (e *Edge) fleetStoreSilence() time.Duration {
 	now := time.Now()
 	e.mu.Lock()
-	hears := now.Sub(e.hubHeard) < hearsOthers
+	hearsHub := now.Sub(e.hubLastSeen) < peerMaxAge
 	e.mu.Unlock()
-	if !hears && e.tally.Heard(now, hearsOthers) == 0 {
+	if !hearsHub && e.loads.Heard(now, peerMaxAge) == 0 {
 		return 0
 	}
-	return e.storeSilent(now)
+	return e.storeSilence(now)
 }
 
-// tick lets what is known age.
+// tick expires outdated state.
 func (e *Edge) tick(now time.Time) {
 	e.fleet.Tick(now)
 	e.quarantine.Tick(now)
 	e.limiter.tick(now)
-	e.rest.Tick(now)
+	e.backoff.Tick(now)
 	if e.joined.Load() {
-		e.budget.Resize(e.slack(e.Count()))
-		e.noteRole()
+		e.retryBudget.Resize(e.retrySlack(e.Count()))
+		e.logRole()
 	}
-	table, age, stale := e.belief.Now(now)
+	table, age, stale := e.routes.Now(now)
 	if table == nil || stale == e.wasStale {
 		return
 	}
@@ -230,13 +230,13 @@
 	log.Info("configuration_confirmed")
 }
 
-// reading decides when this box reads a table whose knowledge has an age.
-func (e *Edge) reading(table string, age func(now time.Time) (time.Duration, bool)) tablesync.Need {
-	return &reads{Policy: readpolicy.New(e, age, e.config.Edge.ColdStart, e.random), table: table, edge: e, age: age}
+// readPolicy returns the policy that decides when this box reads a table itself.
+func (e *Edge) readPolicy(table string, age func(now time.Time) (time.Duration, bool)) tablesync.Need {
+	return &loggedPolicy{Policy: readpolicy.New(e, age, e.config.Edge.ColdStart, e.random), table: table, edge: e, age: age}
 }
 
-// reads logs and counts why a table is read.
-type reads struct {
+// loggedPolicy logs and counts the reasons for reading a table.
+type loggedPolicy struct {
 	*readpolicy.Policy
 	table string
 	edge  *Edge
@@ -245,7 +245,7 @@
 }
 
 // Needed implements tablesync.Need.
-func (r *reads) Needed(now time.Time) bool {
+func (r *loggedPolicy) Needed(now time.Time) bool {
 	reason := r.Reason(now)
 	if reason != r.last && reason != readpolicy.None {
 		age, known := r.age(now)
@@ -258,20 +258,20 @@
 	return reason != readpolicy.None
 }
 
-// drainAll is the planned stop: callers are sent elsewhere, and all in flight
-// is waited for.
+// drainAll announces the stop so that callers go elsewhere, and waits for the requests
+// in flight.
 func (e *Edge) drainAll(ctx context.Context, servers []*http.Server) {
 	e.log.WithField("in_flight", e.serving.Load()).Info("draining")
 	s := newStop(time.Now(), e.config.StopTime())
 	e.stop.Store(s)
 	e.draining.Store(true)
 	e.members.Leave()
-	servers[0].SetKeepAlivesEnabled(false) // the callers'
+	servers[0].SetKeepAlivesEnabled(false) // of the callers' server
 	for time.Now().Before(s.until) && ctx.Err() == nil {
-		if e.serving.Load() == 0 && time.Since(s.began) > leaveNotice {
+		if e.serving.Load() == 0 && time.Since(s.began) > balancerNotice {
 			break
 		}
-		e.timer.Sleep(ctx, drainLook)
+		e.timer.Sleep(ctx, drainPollInterval)
 	}
 	if n := e.serving.Load(); n > 0 {
 		e.log.WithField("in_flight", n).Warn("drain_cut_off")
--- a/edge/sharing.go
+++ b/edge/sharing.go
@@ -11,17 +11,17 @@
 	"petrelstep/wire"
 )
 
-// refusedKept is how long a refused request is known again, so that its repeats are
-// counted with it: callers come back within a third of their time.
-const refusedKept = 20 * time.Second
+// refusalRetention is how long a refused request is remembered, so that its retries
+// aren't counted again: callers retry within a third of this time.
+const refusalRetention = 20 * time.Second
 
-// sharing counts what came of the requests of this box's callers. It is safe for use
-// by several goroutines.
+// sharing counts the capacity granted and refused to this box's callers. It is safe for
+// concurrent use.
 type sharing struct {
-	shares *shares.Shares // nil where shares do not count
+	shares *shares.Shares // nil if disabled
 
 	mu      sync.Mutex
-	refused map[uint64]time.Time // requests, by what their tries have in common
+	refused map[uint64]time.Time // when requests were refused, by request key
 	pruned  time.Time
 }
 
@@ -33,16 +33,16 @@
 	return s
 }
 
-// keeper returns the shares as the keeper of a queue goes by.
-func (s *sharing) keeper() admission.Shares {
+// queueShares returns the shares that a queue is ordered by, or nil if disabled.
+func (s *sharing) queueShares() admission.Shares {
 	if s.shares == nil {
 		return nil
 	}
 	return s.shares
 }
 
-// ended notes whether a request was given room, or refused for the first time.
-func (s *sharing) ended(now time.Time, ask admission.Ask, work float64, err error) {
+// recordOutcome records that a request was granted capacity or first refused.
+func (s *sharing) recordOutcome(now time.Time, ask admission.Ask, work float64, err error) {
 	if s.shares == nil {
 		return
 	}
@@ -51,29 +51,29 @@
 	switch {
 	case err == nil:
 		s.shares.Took(now, party, work, true)
-	case errors.As(err, &refused) && refused.RetryAfter() > 0 && s.first(now, ask.Mark):
+	case errors.As(err, &refused) && refused.RetryAfter() > 0 && s.isFirstRefusal(now, ask.Mark):
 		s.shares.Took(now, party, work, false)
 	}
 }
 
-// first tells whether a request was not refused before.
-func (s *sharing) first(now time.Time, mark uint64) bool {
+// isFirstRefusal reports whether a request was not refused before.
+func (s *sharing) isFirstRefusal(now time.Time, requestKey uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.pruned) > refusedKept {
+	if now.Sub(s.pruned) > refusalRetention {
 		s.pruned = now
 		for m, at := range s.refused {
-			if now.Sub(at) > refusedKept {
+			if now.Sub(at) > refusalRetention {
 				delete(s.refused, m)
 			}
 		}
 	}
-	_, known := s.refused[mark]
-	s.refused[mark] = now
+	_, known := s.refused[requestKey]
+	s.refused[requestKey] = now
 	return !known
 }
 
-// own returns what this box's callers were given and refused.
+// own returns the capacity granted and refused to this box's callers.
 func (s *sharing) own(now time.Time) []wire.OrganisationUse {
 	if s.shares == nil {
 		return nil
@@ -81,23 +81,23 @@
 	return s.shares.Own(now)
 }
 
-// part returns what the callers of this box and of those that tell it alone were given
-// and refused.
-func (s *sharing) part(now time.Time) []wire.OrganisationUse {
+// aggregated returns the same for this box and those that report only to it.
+func (s *sharing) aggregated(now time.Time) []wire.OrganisationUse {
 	if s.shares == nil {
 		return nil
 	}
 	return s.shares.Part(now)
 }
 
-// covers notes, before a box's word is taken, whether it tells this box alone.
-func (s *sharing) covers(box string, only bool) {
+// setCoverage records, before a report is applied, whether the box reports only to this
+// one.
+func (s *sharing) setCoverage(box string, exclusive bool) {
 	if s.shares != nil {
-		s.shares.Covers(box, only)
+		s.shares.Covers(box, exclusive)
 	}
 }
 
-// without returns what the callers of all boxes but one were given and refused.
+// without returns the same for all boxes but one.
 func (s *sharing) without(now time.Time, box string) []wire.OrganisationUse {
 	if s.shares == nil {
 		return nil
@@ -105,15 +105,15 @@
 	return s.shares.Without(now, box)
 }
 
-// told takes another box's word of its callers.
-func (s *sharing) told(now time.Time, box string, uses []wire.OrganisationUse) {
+// update applies another box's report.
+func (s *sharing) update(now time.Time, box string, uses []wire.OrganisationUse) {
 	if s.shares != nil {
 		s.shares.Told(now, box, uses)
 	}
 }
 
-// toldSum takes a hub's word of all other boxes' callers.
-func (s *sharing) toldSum(now time.Time, uses []wire.OrganisationUse) {
+// updateSum applies a hub's sum over all other boxes.
+func (s *sharing) updateSum(now time.Time, uses []wire.OrganisationUse) {
 	if s.shares != nil {
 		s.shares.ToldSum(now, uses)
 	}
--- a/edge/speeds.go
+++ b/edge/speeds.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// speedsEvery is how often a hub is told how fast engines are, and asked for it: a
-// third of the time after which a box's word lapses.
-const speedsEvery = time.Second
+// speedsInterval is how often engine speeds are exchanged with a hub: a third of the
+// time after which a report expires.
+const speedsInterval = time.Second
 
-// renewSpeeds keeps what is believed of all engines, as this box may be the next to
-// decide for all.
+// renewSpeeds updates the speed estimates of all engines, which this box needs if it
+// becomes the owner of a queue.
 func (e *Edge) renewSpeeds(now time.Time) {
-	table, _, _ := e.belief.Now(now)
+	table, _, _ := e.routes.Now(now)
 	if table == nil {
 		return
 	}
@@ -18,25 +18,25 @@
 	}
 }
 
-// speedsDue tells whether a hub is now to be told of speeds. Then what this box believes
-// of them is renewed too.
+// speedsDue reports whether speeds are due to be sent to a hub, and updates the
+// estimates if so.
 func (e *Edge) speedsDue(now time.Time, hub string) bool {
-	if e.speeds == nil || !e.speedsTold(now, hub) {
+	if e.speeds == nil || !e.recordSpeedsSent(now, hub) {
 		return false
 	}
 	e.renewSpeeds(now)
 	return true
 }
 
-// speedsTold notes that a hub is told of speeds; false if that is not due.
-func (e *Edge) speedsTold(now time.Time, hub string) bool {
+// recordSpeedsSent records that speeds are sent to a hub; false if they aren't due.
+func (e *Edge) recordSpeedsSent(now time.Time, hub string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.known[hub]
-	if now.Sub(m.speeds) < speedsEvery {
+	m := e.hubStates[hub]
+	if now.Sub(m.speedsSent) < speedsInterval {
 		return false
 	}
-	m.speeds = now
-	e.known[hub] = m
+	m.speedsSent = now
+	e.hubStates[hub] = m
 	return true
 }
--- a/edge/speeds_test.go
+++ b/edge/speeds_test.go
@@ -54,7 +54,7 @@
 				said := box.Say(to)
 				is.Equal(said.WantsSpeeds, tt.box)
 				is.Equal(box.Say(to).WantsSpeeds, false) // told just now
-				time.Sleep(speedsEvery)
+				time.Sleep(speedsInterval)
 				is.Equal(box.Say(to).WantsSpeeds, tt.box)
 				hub.Heard(said)
 				asked := asker.Say(to)
--- a/edge/start_test.go
+++ b/edge/start_test.go
@@ -66,12 +66,12 @@
 	c.mu.Unlock()
 	rows := reader{c.table, e.Name()}
 	e.boxes = manifest.NewBoxes(rows, e.metrics, e.log)
-	e.configuration = manifest.NewConfiguration(rows, e.belief, e.halls, e.log)
-	workers := manifest.NewWorkers(rows, e.fleet, e.names, e.metrics, e.log)
-	go tablesync.New("configuration", e.configuration, heard{e.belief.Confirm, e.storeAnswered}, e.reading("configuration", e.belief.Age), e.log).Run(ctx)
-	go tablesync.New("upstreams", workers, heard{e.fleet.Confirm, e.storeAnswered}, e.reading("upstreams", e.fleet.Age), e.log).Run(ctx)
-	go e.timer.Every(ctx, "tick", tickEvery, e.tick)
-	go e.timer.Every(ctx, "register", registerEvery, func(time.Time) { e.registrar.write(ctx) })
+	e.configuration = manifest.NewConfiguration(rows, e.routes, e.halls, e.log)
+	workers := manifest.NewWorkers(rows, e.fleet, e.hasService, e.metrics, e.log)
+	go tablesync.New("configuration", e.configuration, storeAnswers{e.routes.Confirm, e.recordStoreAnswer}, e.readPolicy("configuration", e.routes.Age), e.log).Run(ctx)
+	go tablesync.New("upstreams", workers, storeAnswers{e.fleet.Confirm, e.recordStoreAnswer}, e.readPolicy("upstreams", e.fleet.Age), e.log).Run(ctx)
+	go e.timer.Every(ctx, "tick", tickInterval, e.tick)
+	go e.timer.Every(ctx, "register", registerInterval, func(time.Time) { e.registrar.write(ctx) })
 	go e.join(ctx)
 	go gossip.New(e.members, e.peers, e, e.timer, e.log).Run(ctx)
 }
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -50,9 +50,9 @@
 				time.Sleep(time.Millisecond)
 				e.timer.Check() // as serveCaller does first
 				if tt.confirm {
-					e.belief.Confirm(sent)
+					e.routes.Confirm(sent)
 				}
-				is.Equal(e.hears(hub.Name()), tt.slept == 0)
+				is.Equal(e.isReachable(hub.Name()), tt.slept == 0)
 				is.Equal(ask(ctx, e, "/check/", "a").refused.Reason(), tt.want)
 				time.Sleep(contact)
 				is.Equal(ask(ctx, e, "/check/", "a").status, http.StatusOK) // once it has been told again
--- a/edge/trials.go
+++ b/edge/trials.go
@@ -10,68 +10,68 @@
 )
 
 const (
-	// trialMost is how long a request may keep its turn: a prompt is read and a first
-	// event made within it. One whose box died costs its next try so much.
-	trialMost = 3 * time.Second
-	// trialNews is for how long a turn is kept after an upstream has ended, until the
-	// others have heard: two of the periods of gossip, and a lost packet.
-	trialNews = 800 * time.Millisecond
-	trialKey  = "trial/"
+	// maxTrialTime is how long a request may hold its turn: enough to read a prompt and
+	// produce a first event. If its box dies, the next try waits that long.
+	maxTrialTime = 3 * time.Second
+	// trialReportDelay is how long a turn is held after an upstream failure, until the
+	// other boxes have its report: two gossip periods and a lost packet.
+	trialReportDelay = 800 * time.Millisecond
+	trialKeyPrefix   = "trial/"
 )
 
-// trials implements relay.Trials: a request under which an upstream has ended is tried
-// once at a time, over all boxes. Two tries at once would end two upstreams before
-// either is known.
+// trials implements relay.Trials: a request under which an upstream has failed is tried
+// by one box at a time. Concurrent tries would take down two upstreams before either
+// failure is known.
 type trials struct{ *Edge }
 
 func (e *Edge) newTrials() trials { return trials{e} }
 
-// Take implements relay.Trials: first among this box's own requests, then among the
-// boxes, at the hub that is first in the fingerprint's rendezvous order. One that is
-// not heard is done without.
-func (t trials) Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (giveBack func(ended bool), ok bool) {
-	key := trialKey + fp.String()
-	_, ok = t.trials.Take(ctx, moveturns.Ask{Box: request, Source: key, Targets: []string{key}, Most: trialMost})
+// Take implements relay.Trials: it takes a turn first among this box's own requests,
+// then among all boxes at the first hub of the fingerprint's rendezvous order. If that
+// hub is unreachable, the request runs without a turn.
+func (t trials) Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (release func(ended bool), ok bool) {
+	key := trialKeyPrefix + fp.String()
+	_, ok = t.localTrials.Take(ctx, moveturns.Ask{Box: request, Source: key, Targets: []string{key}, Most: maxTrialTime})
 	if !ok {
 		return nil, false
 	}
-	own := func() { t.trials.GiveBack(key, request) }
-	others, ok := t.takeOfAll(ctx, key)
+	releaseLocal := func() { t.localTrials.GiveBack(key, request) }
+	releaseFleet, ok := t.takeFleetTurn(ctx, key)
 	if !ok {
-		own()
+		releaseLocal()
 		return nil, false
 	}
 	return func(ended bool) {
-		back := func() {
-			others()
-			own()
+		releaseAll := func() {
+			releaseFleet()
+			releaseLocal()
 		}
 		if ended {
-			time.AfterFunc(trialNews, back)
+			time.AfterFunc(trialReportDelay, releaseAll)
 			return
 		}
-		go back() // the caller's answer does not wait for the call
+		go releaseAll() // don't delay the caller's answer
 	}, true
 }
 
-// takeOfAll waits for this box's turn among the boxes.
-func (t trials) takeOfAll(ctx context.Context, key string) (giveBack func(), ok bool) {
-	keeper, known := t.members.Keeper(time.Now(), key)
-	if !known || keeper.Name == t.config.Box {
-		_, ok := t.turns.Take(ctx, moveturns.Ask{Box: t.config.Box, Source: key, Targets: []string{key}, Most: trialMost})
+// takeFleetTurn waits for this box's turn among all boxes.
+func (t trials) takeFleetTurn(ctx context.Context, key string) (release func(), ok bool) {
+	owner, known := t.members.Keeper(time.Now(), key)
+	if !known || owner.Name == t.config.Box {
+		_, ok := t.turns.Take(ctx, moveturns.Ask{Box: t.config.Box, Source: key, Targets: []string{key}, Most: maxTrialTime})
 		return func() { t.turns.GiveBack(key, t.config.Box) }, ok
 	}
 	call := wire.TurnAsk{
-		Upstream: key, Box: t.config.Box, Targets: []string{key}, WaitMs: int(turnWait.Milliseconds()), MostMs: int(trialMost.Milliseconds()),
+		Upstream: key, Box: t.config.Box, Targets: []string{key}, WaitMs: int(turnWait.Milliseconds()), MostMs: int(maxTrialTime.Milliseconds()),
 	}
-	for t.hears(keeper.Name) && ctx.Err() == nil {
-		answer, err := t.askOnce(ctx, keeper, call)
+	for t.isReachable(owner.Name) && ctx.Err() == nil {
+		answer, err := t.callTurn(ctx, owner, call)
 		if err != nil {
-			t.log.WithError(err).WithField("keeper", keeper.Name).Warn("trial_not_asked")
+			t.log.WithError(err).WithField("keeper", owner.Name).Warn("trial_not_asked")
 			break
 		}
 		if answer.Granted {
-			return func() { t.turnBack(keeper, call) }, true
+			return func() { t.returnTurn(owner, call) }, true
 		}
 	}
 	return func() {}, ctx.Err() == nil
--- a/edge/turns.go
+++ b/edge/turns.go
@@ -12,87 +12,88 @@
 )
 
 const (
-	// heardWithin is how recently a box was heard that keeps turns: three of its
-	// periods of gossip.
-	heardWithin = 800 * time.Millisecond
-	// turnBackTime bounds the call that gives a turn back; it lapses anyway.
-	turnBackTime = 500 * time.Millisecond
-	// turnWait is how long a keeper may hold an ask back: one that has died since
-	// costs so much of the notice of 1.5 s.
+	// seenMaxAge is how recently a box must have been heard from to count as reachable:
+	// three gossip periods.
+	seenMaxAge = 800 * time.Millisecond
+	// turnBackTimeout bounds the call that returns a turn; an unreturned one expires.
+	turnBackTimeout = 500 * time.Millisecond
+	// turnWait is how long an owner of turns may hold a call. If it has died, the move
+	// loses that much of the upstream's notice of 1.5 s.
 	turnWait = 400 * time.Millisecond
-	// turnSlack is for the way to the keeper of the turns and back.
-	turnSlack = 50 * time.Millisecond
+	// turnRoundTrip is the network round trip to the owner.
+	turnRoundTrip = 50 * time.Millisecond
 )
 
-// Take implements evacuate.Turns: one box keeps the turns of all upstreams of a
-// service, the first in the service's rendezvous order, so that it knows all
-// links that are in use. One that is not heard is done without.
-func (e *Edge) Take(ctx context.Context, ask evacuate.Ask) (target string, giveBack func()) {
-	alone := func() {}
+// Take implements evacuate.Turns. A turn is the permission to move a run. One box, the
+// first of the service's rendezvous order, owns the turns of all upstreams of a
+// service, so that it knows all links in use. If it is unreachable, the run moves
+// without a turn.
+func (e *Edge) Take(ctx context.Context, ask evacuate.Ask) (target string, release func()) {
+	noop := func() {}
 	if e.config.Edge.Moves != wire.EdgeMovesTurns {
-		return ask.Targets[0], alone
+		return ask.Targets[0], noop
 	}
-	keeper, ok := e.members.Keeper(time.Now(), "turns/"+ask.Source.Service)
-	if !ok || keeper.Name == e.config.Box {
-		own := moveturns.Ask{Box: e.config.Box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens}
-		target, ok := e.turns.Take(ctx, own)
+	owner, ok := e.members.Keeper(time.Now(), "turns/"+ask.Source.Service)
+	if !ok || owner.Name == e.config.Box {
+		local := moveturns.Ask{Box: e.config.Box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens}
+		target, ok := e.turns.Take(ctx, local)
 		if !ok {
-			return ask.Targets[0], alone
+			return ask.Targets[0], noop
 		}
 		return target, func() { e.turns.GiveBack(ask.Source.ID, e.config.Box) }
 	}
-	if !e.hears(keeper.Name) {
-		e.log.WithField("keeper", keeper.Name).Info("turn_without_keeper")
-		return ask.Targets[0], alone
+	if !e.isReachable(owner.Name) {
+		e.log.WithField("keeper", owner.Name).Info("turn_without_keeper")
+		return ask.Targets[0], noop
 	}
-	return e.askTurn(ctx, keeper, ask)
+	return e.requestTurn(ctx, owner, ask)
 }
 
-// askTurn asks another box for a turn, again and again while it answers that
-// there is none yet: one that does not answer is done without.
-func (e *Edge) askTurn(ctx context.Context, keeper members.Box, ask evacuate.Ask) (target string, giveBack func()) {
+// requestTurn calls the owner until it grants a turn; if the call fails, the run moves
+// without one.
+func (e *Edge) requestTurn(ctx context.Context, owner members.Box, ask evacuate.Ask) (target string, release func()) {
 	call := wire.TurnAsk{
 		Upstream: ask.Source.ID, Box: e.config.Box, Targets: ask.Targets, Tokens: ask.Tokens, WaitMs: int(turnWait.Milliseconds()),
 	}
 	for ctx.Err() == nil {
-		answer, err := e.askOnce(ctx, keeper, call)
+		answer, err := e.callTurn(ctx, owner, call)
 		if err != nil {
-			e.log.WithError(err).WithField("keeper", keeper.Name).Warn("turn_not_asked")
+			e.log.WithError(err).WithField("keeper", owner.Name).Warn("turn_not_asked")
 			break
 		}
 		if answer.Granted {
-			return answer.Target, func() { e.turnBack(keeper, call) }
+			return answer.Target, func() { e.returnTurn(owner, call) }
 		}
 	}
 	return ask.Targets[0], func() {}
 }
 
-func (e *Edge) askOnce(ctx context.Context, keeper members.Box, call wire.TurnAsk) (answer wire.TurnAnswer, err error) {
-	ctx, cancel := context.WithTimeout(ctx, turnWait+turnSlack)
+func (e *Edge) callTurn(ctx context.Context, owner members.Box, call wire.TurnAsk) (answer wire.TurnAnswer, err error) {
+	ctx, cancel := context.WithTimeout(ctx, turnWait+turnRoundTrip)
 	defer cancel()
-	err = e.peers.Repeat(ctx, keeper.Address, peer.Turn, call, &answer)
+	err = e.peers.Repeat(ctx, owner.Address, peer.Turn, call, &answer)
 	return answer, err
 }
 
-func (e *Edge) turnBack(keeper members.Box, ask wire.TurnAsk) {
-	ctx, cancel := context.WithTimeout(context.Background(), turnBackTime)
+func (e *Edge) returnTurn(owner members.Box, ask wire.TurnAsk) {
+	ctx, cancel := context.WithTimeout(context.Background(), turnBackTimeout)
 	defer cancel()
 	var answer wire.Nothing
-	if err := e.peers.Repeat(ctx, keeper.Address, peer.TurnBack, ask, &answer); err != nil {
-		e.log.WithError(err).WithField("keeper", keeper.Name).Warn("turn_not_given_back")
+	if err := e.peers.Repeat(ctx, owner.Address, peer.TurnBack, ask, &answer); err != nil {
+		e.log.WithError(err).WithField("keeper", owner.Name).Warn("turn_not_given_back")
 	}
 }
 
-// unheard notes that a box did not answer.
-func (e *Edge) unheard(box string) {
+// markUnreachable records that a box didn't answer.
+func (e *Edge) markUnreachable(box string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.heard, box)
-	e.cut[box] = time.Now()
+	delete(e.lastSeen, box)
+	e.unanswered[box] = time.Now()
 }
 
-func (e *Edge) hears(box string) bool {
+func (e *Edge) isReachable(box string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Since(e.heard[box]) < heardWithin
+	return time.Since(e.lastSeen[box]) < seenMaxAge
 }
--- a/edge/view.go
+++ b/edge/view.go
@@ -14,28 +14,28 @@
 	"petrelstep/wire"
 )
 
-// unknownAge is the age of what is not known at all.
+// unknownAge stands for an unknown age in views.
 const unknownAge = -1
 
-// View returns what this box is to the others, and how old what it knows is.
+// View returns the box's role in the fleet, its state and the age of its data.
 func (e *Edge) View() wire.BoxView {
 	now := time.Now()
 	v := wire.BoxView{
-		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.Reads(), Keeps: e.keeps(), Hubs: []string{}, Asks: []string{},
-		Nearest: e.members.Nearest(now).Name, Boxes: e.members.Count(now), Leaving: e.members.Leaving(), Told: e.tally.Boxes(now),
+		Box: e.config.Box, Hall: e.config.Hall, Hub: e.IsHub(), Reads: e.Reads(), Keeps: e.ownedQueues(), Hubs: []string{}, Asks: []string{},
+		Nearest: e.members.Nearest(now).Name, Boxes: e.members.Count(now), Leaving: e.members.Leaving(), Told: e.loads.Boxes(now),
 		ConfigurationAgeMs: unknownAge, UpstreamsAgeMs: unknownAge, StoreSilentMs: unknownAge, LoadsAgeMs: unknownAge,
 		Upstreams: e.fleet.Open(), Waiting: e.admission.Waiting(), Serving: int(e.serving.Load()), Stopping: e.draining.Load(),
-		Halls: e.hallWords(now), Places: e.viewPlaces(now), Quarantine: e.quarantine.View(now), Limits: e.limiter.View(now),
-		Rests: e.rest.View(now), LeavingUpstreams: e.leavingUpstreams(now),
+		Halls: e.evacuations(now), Places: e.viewPlaces(now), Quarantine: e.quarantine.View(now), Limits: e.limiter.View(now),
+		Rests: e.backoff.View(now), LeavingUpstreams: e.leavingUpstreams(now),
 	}
 	for _, b := range e.members.Asks(now) {
 		v.Asks = append(v.Asks, b.Name)
 	}
-	_, v.Tells = e.tally.Part(now)
+	_, v.Tells = e.loads.Part(now)
 	for _, b := range e.members.Hubs(now) {
 		v.Hubs = append(v.Hubs, b.Name)
 	}
-	if table, age, _ := e.belief.Now(now); table != nil {
+	if table, age, _ := e.routes.Now(now); table != nil {
 		for _, service := range table.Engines() {
 			v.Speeds = append(v.Speeds, e.speeds.Beliefs(now, service)...)
 		}
@@ -47,13 +47,13 @@
 	if age := e.storeAge(now); age < int(neverAge.Milliseconds()) {
 		v.StoreSilentMs = age
 	}
-	if age := e.tally.SumAge(now); age < neverAge {
+	if age := e.loads.SumAge(now); age < neverAge {
 		v.LoadsAgeMs = int(age.Milliseconds())
 	}
 	return v
 }
 
-// leavingUpstreams returns the upstreams to which this box sends nothing new as they leave.
+// leavingUpstreams returns the leaving upstreams, which get no new requests.
 func (e *Edge) leavingUpstreams(now time.Time) []wire.LeavingView {
 	list := []wire.LeavingView{}
 	e.fleet.EachLeaving(now, func(u fleet.Upstream, since time.Duration) {
@@ -63,22 +63,22 @@
 	return list
 }
 
-// keeps returns the services whose queue this box keeps, as it sees it.
-func (e *Edge) keeps() []string {
-	keeps := []string{}
-	table, _, _ := e.belief.Now(time.Now())
+// ownedQueues returns the services whose queue this box owns, as seen by this box.
+func (e *Edge) ownedQueues() []string {
+	owned := []string{}
+	table, _, _ := e.routes.Now(time.Now())
 	if table == nil {
-		return keeps
+		return owned
 	}
 	for _, service := range table.Engines() {
 		if e.QueueOwner(service) == e.config.Box {
-			keeps = append(keeps, service)
+			owned = append(owned, service)
 		}
 	}
-	return keeps
+	return owned
 }
 
-// serveView answers operators with this box's view.
+// serveView serves this box's view to operators.
 func (e *Edge) serveView(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(e.View()); err != nil {
@@ -86,16 +86,16 @@
 	}
 }
 
-// noteRole logs what this box is to the others where that has changed.
-func (e *Edge) noteRole() {
+// logRole logs this box's role in the fleet when it has changed.
+func (e *Edge) logRole() {
 	now := time.Now()
 	role := logrus.Fields{
-		"hub": e.IsHub(), "reads": e.Reads(), "keeps": strings.Join(e.keeps(), ","), "nearest": e.members.Nearest(now).Name, "crowd": e.Crowded(),
+		"hub": e.IsHub(), "reads": e.Reads(), "keeps": strings.Join(e.ownedQueues(), ","), "nearest": e.members.Nearest(now).Name, "crowd": e.Crowded(),
 	}
 	if maps.Equal(e.role, role) {
 		return
 	}
 	e.role = role
-	_, tells := e.tally.Part(now)
-	e.log.WithFields(role).WithFields(logrus.Fields{"boxes": e.members.Count(now), "tells": tells, "loads_age_ms": min(e.tally.SumAge(now), neverAge).Milliseconds()}).Info("role")
+	_, tells := e.loads.Part(now)
+	e.log.WithFields(role).WithFields(logrus.Fields{"boxes": e.members.Count(now), "tells": tells, "loads_age_ms": min(e.loads.SumAge(now), neverAge).Milliseconds()}).Info("role")
 }
