--- a/edge/backoff_test.go
+++ b/edge/backoff_test.go
@@ -10,43 +10,44 @@
 )
 
 const (
-	// restFrom is how long after an answer that asks for rest requests from the same box
-	// count, and restMost how many of them may reach the worker until the rest's end.
-	restFrom = 500 * time.Millisecond
-	restMost = 2
+	// backoffGrace is how long after a worker asked a box to back off the box's
+	// requests start to count, and maxDuringBackoff how many of them may reach the
+	// worker.
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// disturbed returns the most requests of one box that reached a worker in a rest that it
-// had asked the box for.
-func (w *protocolWorker) disturbed() (most int) {
+// maxSentDuringBackoff returns the most requests that one box sent to a worker during a
+// backoff that the worker had asked it for.
+func (w *protocolWorker) maxSentDuringBackoff() (highest int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.refusals {
 		n := 0
 		for _, a := range w.arrivals {
-			if a.box == r.box && a.at.After(r.at.Add(restFrom)) && a.at.Before(r.at.Add(r.rest)) {
+			if a.box == r.box && a.at.After(r.at.Add(backoffGrace)) && a.at.Before(r.at.Add(r.backoff)) {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// TestRestAskedFor guards against sending to a worker that has turned a box away and asked
-// it for rest.
-func TestRestAskedFor(t *testing.T) {
+// TestBackoffRequested guards against sending requests to a worker that has rejected a
+// box and asked it to back off.
+func TestBackoffRequested(t *testing.T) {
 	tests := map[string]struct {
-		boxes  int
-		demand float64
-		path   string
-		rest   time.Duration
+		boxes   int
+		demand  float64
+		path    string
+		backoff time.Duration
 	}{
-		"6 boxes":                    {boxes: 6, demand: 60, rest: 3 * time.Second},
-		"requests that may run once": {boxes: 6, demand: 60, path: "/once/", rest: 3 * time.Second},
-		"a rest of 12 s":             {boxes: 6, demand: 60, rest: 12 * time.Second},
-		"77 boxes":                   {boxes: 77, demand: 300, rest: 3 * time.Second},
-		"300 boxes":                  {boxes: 300, demand: 400, rest: 3 * time.Second},
+		"6 boxes":         {boxes: 6, demand: 60, backoff: 3 * time.Second},
+		"unsafe requests": {boxes: 6, demand: 60, path: "/once/", backoff: 3 * time.Second},
+		"backoff of 12 s": {boxes: 6, demand: 60, backoff: 12 * time.Second},
+		"77 boxes":        {boxes: 77, demand: 300, backoff: 3 * time.Second},
+		"300 boxes":       {boxes: 300, demand: 400, backoff: 3 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -55,31 +56,30 @@
 				is := is.New(t)
 				ctx, end := context.WithCancel(t.Context())
 				p := newProtocol(ctx, t, tt.boxes, 4)
-				p.press(ctx, tt.path, tt.demand, 3*time.Second)
+				p.sendLoad(ctx, tt.path, tt.demand, 3*time.Second)
 				w := p.workers[0]
-				w.set(func(w *protocolWorker) { w.rest = tt.rest })
-				asked, served := p.press(ctx, tt.path, tt.demand, 8*time.Second)
-				t.Log("turned away:", len(w.refusals), "at most", w.disturbed(), "of one box in a rest; served", served, "of", asked)
+				w.update(func(w *protocolWorker) { w.backoff = tt.backoff })
+				sent, served := p.sendLoad(ctx, tt.path, tt.demand, 8*time.Second)
+				t.Log("rejections:", len(w.refusals), "at most", w.maxSentDuringBackoff(), "requests of one box during a backoff; served", served, "of", sent)
 				p.stop(end)
 				is.True(len(w.refusals) > 0)
-				is.True(w.disturbed() <= restMost)
+				is.True(w.maxSentDuringBackoff() <= maxDuringBackoff)
 			})
 		})
 	}
 }
 
 const (
-	// restUse is the least part of its usual requests that a worker gets in restAfter from
-	// the end of a rest that all boxes were asked for.
-	restUse   = 0.8
-	restAfter = 10 * time.Second
-	// tenthMost is what a worker of six places can do in a tenth of a second.
-	tenthMost = 40
+	// minUseAfterBackoff is the fraction of its usual requests that a worker must get
+	// within observeTime after a backoff of all boxes.
+	minUseAfterBackoff = 0.8
+	observeTime        = 10 * time.Second
+	// maxBurst is what a worker with six slots can serve in a tenth of a second.
+	maxBurst = 40
 )
 
-// burst returns the most requests that reached a worker in any tenth of a second from a
-// time on.
-func (w *protocolWorker) burst(since time.Time) (most int) {
+// burst returns the most requests in any tenth of a second since a time.
+func (w *protocolWorker) burst(since time.Time) (highest int) {
 	for i, a := range w.arrivals {
 		n := 0
 		for _, o := range w.arrivals[i:] {
@@ -88,14 +88,14 @@
 			}
 		}
 		if !a.at.Before(since) {
-			most = max(most, n)
+			highest = max(highest, n)
 		}
 	}
-	return most
+	return highest
 }
 
-// count returns how many requests reached a worker in a time.
-func (w *protocolWorker) count(from time.Time, lasts time.Duration) (n int) {
+// countArrivals returns the number of requests in a period.
+func (w *protocolWorker) countArrivals(from time.Time, lasts time.Duration) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.arrivals {
@@ -106,9 +106,9 @@
 	return n
 }
 
-// TestRestEnds guards against all boxes coming back in one moment to a worker that had
-// asked all of them for rest until then, and against passing it by for longer.
-func TestRestEnds(t *testing.T) {
+// TestBackoffEnds guards against all boxes returning at once to a worker that had asked
+// all of them to back off, and against avoiding it for longer.
+func TestBackoffEnds(t *testing.T) {
 	tests := map[string]struct {
 		boxes  int
 		demand float64
@@ -124,85 +124,85 @@
 				is := is.New(t)
 				ctx, end := context.WithCancel(t.Context())
 				p := newProtocol(ctx, t, tt.boxes, 4)
-				p.press(ctx, "", tt.demand, 2*time.Second)
+				p.sendLoad(ctx, "", tt.demand, 2*time.Second)
 				w, before := p.workers[0], time.Now()
-				p.press(ctx, "", tt.demand, restAfter)
-				usual := w.count(before, restAfter)
-				over := time.Now().Add(3 * time.Second)
-				w.set(func(w *protocolWorker) { w.restUntil = over })
-				askedIn, servedIn := p.press(ctx, "", tt.demand, 3*time.Second)
-				asked, served := p.press(ctx, "", tt.demand, restAfter)
-				after, most := w.count(over, restAfter), w.burst(over)
-				t.Logf("turned away %d; served %d of %d meanwhile, %d of %d in %v after; it got %d where %d are usual, at most %d in a tenth of a second", len(w.refusals), servedIn, askedIn, served, asked, restAfter, after, usual, most)
+				p.sendLoad(ctx, "", tt.demand, observeTime)
+				usual := w.countArrivals(before, observeTime)
+				backoffEnd := time.Now().Add(3 * time.Second)
+				w.update(func(w *protocolWorker) { w.backoffUntil = backoffEnd })
+				sentIn, servedIn := p.sendLoad(ctx, "", tt.demand, 3*time.Second)
+				sent, served := p.sendLoad(ctx, "", tt.demand, observeTime)
+				after, highest := w.countArrivals(backoffEnd, observeTime), w.burst(backoffEnd)
+				t.Logf("rejections %d; served %d of %d meanwhile, %d of %d in %v after; the worker got %d, usually %d, at most %d in a tenth of a second", len(w.refusals), servedIn, sentIn, served, sent, observeTime, after, usual, highest)
 				p.stop(end)
-				is.True(most <= tenthMost)
-				is.True(float64(after) >= restUse*float64(usual))
-				is.True(w.disturbed() <= restMost)
+				is.True(highest <= maxBurst)
+				is.True(float64(after) >= minUseAfterBackoff*float64(usual))
+				is.True(w.maxSentDuringBackoff() <= maxDuringBackoff)
 			})
 		})
 	}
 }
 
-// TestAllRest guards against callers that wait in vain, or come back in one moment, while all
-// workers of a service have asked for rest; another service goes on.
-func TestAllRest(t *testing.T) {
+// TestAllBackedOff guards against callers that wait for nothing, or retry all at once,
+// while all workers of a service ask for backoff. Another service must be unaffected.
+func TestAllBackedOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, end := context.WithCancel(t.Context())
 		p := newProtocol(ctx, t, 6, 4)
-		p.press(ctx, "", 60, 3*time.Second)
+		p.sendLoad(ctx, "", 60, 3*time.Second)
 		for _, w := range p.workers[:4] {
-			w.set(func(w *protocolWorker) { w.rest = 5 * time.Second })
+			w.update(func(w *protocolWorker) { w.backoff = 5 * time.Second })
 		}
-		p.press(ctx, "", 60, time.Second) // each box is asked by each
+		p.sendLoad(ctx, "", 60, time.Second) // every worker asks every box to back off
 		p.mu.Lock()
-		p.worst, p.backs = 0, nil
+		p.slowestRefusal, p.retryAfters = 0, nil
 		p.mu.Unlock()
-		asked, served := p.press(ctx, "", 60, 3*time.Second)
+		sent, served := p.sendLoad(ctx, "", 60, 3*time.Second)
 		is.Equal(served, 0)
-		is.Equal(len(p.backs), asked)
-		is.True(p.worst <= 25*time.Millisecond) // a quarter of the aim
-		for _, back := range p.backs {
-			is.True(back > 0)
+		is.Equal(len(p.retryAfters), sent)
+		is.True(p.slowestRefusal <= 25*time.Millisecond) // a quarter of the latency goal
+		for _, after := range p.retryAfters {
+			is.True(after > 0)
 		}
-		beside, besideServed := p.press(ctx, "/beside/", 60, time.Second)
-		is.Equal(besideServed, beside)
+		otherSent, otherServed := p.sendLoad(ctx, "/beside/", 60, time.Second)
+		is.Equal(otherServed, otherSent)
 		for _, w := range p.workers[:4] {
-			is.True(w.disturbed() <= restMost)
+			is.True(w.maxSentDuringBackoff() <= maxDuringBackoff)
 		}
 		p.stop(end)
 	})
 }
 
-// disturbed returns the most requests of one box that reached an engine in a rest that it
-// had asked the box for.
-func (w *engines) disturbed(e *engine) (most int) {
+// maxSentDuringBackoff returns the most requests that one box sent to an engine during
+// a backoff that the engine had asked it for.
+func (w *engines) maxSentDuringBackoff(e *engine) (highest int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range e.refusals {
 		n := 0
 		for _, a := range w.arrivals {
-			if a.engine == e.id && a.box == r.box && a.at.After(r.at.Add(restFrom)) && a.at.Before(r.at.Add(r.rest)) {
+			if a.engine == e.id && a.box == r.box && a.at.After(r.at.Add(backoffGrace)) && a.at.Before(r.at.Add(r.backoff)) {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// TestEnginesRest guards against sending to an engine that has turned a box away and asked it
-// for rest: the keeper of the queue, which gives room to all boxes' requests, is told of it
-// with each ask, and goes on giving that engine's room to boxes that were not asked.
-func TestEnginesRest(t *testing.T) {
+// TestEngineBackoff guards against sending requests to an engine that has asked a box
+// to back off. The owner of the queue learns of it with each request and must still
+// assign the engine to other boxes.
+func TestEngineBackoff(t *testing.T) {
 	tests := map[string]struct {
 		boxes, engines int
 		perSecond      float64
 	}{
-		"6 boxes":           {6, 3, 10},
-		"77 boxes":          {77, 6, 40},
-		"6 boxes, all rest": {6, 1, 10},
-		"2 boxes":           {2, 3, 10},
+		"6 boxes":                       {6, 3, 10},
+		"77 boxes":                      {77, 6, 40},
+		"6 boxes, all engines back off": {6, 1, 10},
+		"2 boxes":                       {2, 3, 10},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -211,22 +211,22 @@
 				is := is.New(t)
 				ctx, end := context.WithCancel(t.Context())
 				w := newEngines(ctx, t, tt.boxes, tt.engines)
-				w.pressEvenly(ctx, tt.perSecond, 3*time.Second)
+				w.sendPoisson(ctx, tt.perSecond, 3*time.Second)
 				e := w.live()[0]
 				w.mu.Lock()
-				e.rest = 3 * time.Second
+				e.backoff = 3 * time.Second
 				w.mu.Unlock()
-				w.pressEvenly(ctx, tt.perSecond, 8*time.Second)
+				w.sendPoisson(ctx, tt.perSecond, 8*time.Second)
 				w.mu.Lock()
-				e.rest = 0
+				e.backoff = 0
 				w.mu.Unlock()
-				again := time.Now().Add(3*time.Second + restFrom)
-				w.pressEvenly(ctx, tt.perSecond, 8*time.Second)
-				most, after := w.disturbed(e), len(after(w.at(e.id), again))
-				t.Log("turned away:", len(e.refusals), "at most", most, "of one box in a rest; runs after it:", after)
+				again := time.Now().Add(3*time.Second + backoffGrace)
+				w.sendPoisson(ctx, tt.perSecond, 8*time.Second)
+				highest, after := w.maxSentDuringBackoff(e), len(arrivalsSince(w.arrivalsAt(e.id), again))
+				t.Log("rejections:", len(e.refusals), "at most", highest, "requests of one box during a backoff; runs after it:", after)
 				w.stop(end)
 				is.True(len(e.refusals) > 0)
-				is.True(most <= restMost)
+				is.True(highest <= maxDuringBackoff)
 				is.True(after > 0)
 			})
 		})
--- a/edge/fleet_test.go
+++ b/edge/fleet_test.go
@@ -11,44 +11,43 @@
 	"petrelstep/wire"
 )
 
-// TestFleetTold shows what a hub tells of its fleet, by what the asker has and
-// wants: whole fleets one after the other, so that many boxes that start at once
-// do not end it.
-func TestFleetTold(t *testing.T) {
+// TestFleetSent checks what a hub sends of its fleet, by the caller's cursor and needs.
+// Full transfers are paced, so that many boxes starting at once don't overload the hub.
+func TestFleetSent(t *testing.T) {
 	type answer struct {
 		rows           int
 		later, fromNow bool
 	}
 	tests := map[string]struct {
-		blank  bool // the hub knows nothing yet
-		before int  // others asked for the whole in the same moment
+		blank  bool // the hub knows no fleet yet
+		before int  // full transfers requested just before
 		pause  time.Duration
 		from   wire.Gossip
 		want   answer
 	}{
-		"it wants the whole":                 {from: wire.Gossip{WholeFleet: true}, want: answer{rows: 2}},
-		"the hub has just started":           {blank: true, from: wire.Gossip{WholeFleet: true}, want: answer{later: true}},
-		"it has, and does not ask":           {blank: true},
-		"it has it from another hub":         {want: answer{fromNow: true}},
-		"it has a mark":                      {from: wire.Gossip{FleetOf: 1, FleetAfter: 1}, want: answer{rows: 1}},
-		"it has a mark of an earlier life":   {from: wire.Gossip{FleetOf: 99, FleetAfter: 1, WholeFleet: true}, want: answer{rows: 2}},
-		"others want the whole":              {before: 1, from: wire.Gossip{WholeFleet: true}, want: answer{later: true}},
-		"others want the whole, it does not": {before: 1, want: answer{fromNow: true}},
-		"others have it":                     {before: 1, pause: time.Millisecond, from: wire.Gossip{WholeFleet: true}, want: answer{rows: 2}},
+		"full fleet":                         {from: wire.Gossip{WholeFleet: true}, want: answer{rows: 2}},
+		"hub has just started":               {blank: true, from: wire.Gossip{WholeFleet: true}, want: answer{later: true}},
+		"hub has just started, changes only": {blank: true},
+		"no cursor, changes only":            {want: answer{fromNow: true}},
+		"cursor":                             {from: wire.Gossip{FleetOf: 1, FleetAfter: 1}, want: answer{rows: 1}},
+		"cursor of an earlier incarnation":   {from: wire.Gossip{FleetOf: 99, FleetAfter: 1, WholeFleet: true}, want: answer{rows: 2}},
+		"transfer under way":                 {before: 1, from: wire.Gossip{WholeFleet: true}, want: answer{later: true}},
+		"transfer under way, changes only":   {before: 1, want: answer{fromNow: true}},
+		"transfer complete":                  {before: 1, pause: time.Millisecond, from: wire.Gossip{WholeFleet: true}, want: answer{rows: 2}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				e := alone(t, "hub", "leith", true)
+				e := newBox(t, "hub", "leith", true)
 				if !tt.blank {
-					e.Hear(wire.GossipAnswer{Sender: record("far", "gorgie", true), FleetAt: 1, Upstreams: rows("open", 1)}, time.Now())
+					e.Hear(wire.GossipAnswer{Sender: boxRecord("far", "gorgie", true), FleetAt: 1, Upstreams: upstreamRecords("open", 1)}, time.Now())
 				}
 				for range tt.before {
-					e.Heard(wire.Gossip{Sender: record("other", "leith", false), WholeFleet: true})
+					e.Heard(wire.Gossip{Sender: boxRecord("other", "leith", false), WholeFleet: true})
 				}
 				time.Sleep(tt.pause)
-				tt.from.Sender = record("b1", "leith", false)
+				tt.from.Sender = boxRecord("b1", "leith", false)
 				if tt.from.FleetOf == 1 {
 					tt.from.FleetOf = e.Heard(wire.Gossip{}).Sender.Incarnation
 				}
@@ -59,44 +58,44 @@
 	}
 }
 
-// TestFleetHeard shows that a box knows the fleet only once a hub has told it
-// whole, whatever others tell of from then on.
-func TestFleetHeard(t *testing.T) {
+// TestFleetReceived checks that a box considers the fleet known only after a full
+// transfer, whatever changes other hubs send.
+func TestFleetReceived(t *testing.T) {
 	is := is.New(t)
-	e := alone(t, "b1", "leith", false)
-	near, far := record("near", "leith", true), record("far", "gorgie", true)
+	e := newBox(t, "b1", "leith", false)
+	near, far := boxRecord("near", "leith", true), boxRecord("far", "gorgie", true)
 	known := func() bool { return e.View().UpstreamsAgeMs >= 0 }
 	wants := func(hub wire.BoxRecord) bool { return e.Say(members.Box{Name: hub.Box, Hall: hub.Hall}).WholeFleet }
 	e.Heard(wire.Gossip{Sender: near})
 	e.Heard(wire.Gossip{Sender: far})
 	is.True(wants(near))
-	is.True(!wants(far)) // the nearest may still answer
+	is.True(!wants(far)) // the primary hub may still answer
 	e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 5, FleetFromNow: true}, time.Now())
 	is.True(!known())
-	e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 6, Upstreams: rows("open", 1)[:1]}, time.Now())
-	is.True(!known()) // one upstream of those that there are
+	e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 6, Upstreams: upstreamRecords("open", 1)[:1]}, time.Now())
+	is.True(!known()) // one upstream of an incomplete fleet
 	e.Hear(wire.GossipAnswer{Sender: near, FleetLater: true}, time.Now())
 	is.True(!known())
-	is.True(time.Since(e.Promised()) < waitMost)
-	e.Hear(wire.GossipAnswer{Sender: near, FleetAt: 9, Upstreams: rows("open", 1)}, time.Now())
+	is.True(time.Since(e.Promised()) < maxWait)
+	e.Hear(wire.GossipAnswer{Sender: near, FleetAt: 9, Upstreams: upstreamRecords("open", 1)}, time.Now())
 	is.True(known())
 	is.Equal(e.View().Upstreams, 2)
 	is.Equal(e.Say(members.Box{Name: far.Box}).FleetAfter, 6)
 }
 
-// TestWantsFleet shows that another hub is asked for the whole fleet while the
-// nearest is not heard.
+// TestWantsFleet checks that another hub is asked for the full fleet while the primary
+// hub is unreachable.
 func TestWantsFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := alone(t, "b1", "leith", false)
-		near, far := record("near", "leith", true), record("far", "gorgie", true)
+		e := newBox(t, "b1", "leith", false)
+		near, far := boxRecord("near", "leith", true), boxRecord("far", "gorgie", true)
 		e.Hear(wire.GossipAnswer{Sender: near}, time.Now())
 		e.Hear(wire.GossipAnswer{Sender: far}, time.Now())
 		wants := func() bool { return e.Say(members.Box{Name: far.Box, Hall: far.Hall}).WholeFleet }
 		is.True(!wants())
 		time.Sleep(time.Second)
 		is.True(wants())
-		is.True(alone(t, "hub", "leith", true).Say(members.Box{Name: far.Box}).WholeFleet) // a hub is told by all others
+		is.True(newBox(t, "hub", "leith", true).Say(members.Box{Name: far.Box}).WholeFleet) // hubs exchange it with each other
 	})
 }
--- a/edge/incarnations_test.go
+++ b/edge/incarnations_test.go
@@ -14,39 +14,39 @@
 	"petrelstep/wire"
 )
 
-// TestIncarnationsTold shows what counts of what a box is told of two upstreams, the
-// first of which is known in incarnation 100.
-func TestIncarnationsTold(t *testing.T) {
+// TestIncarnationsReported checks which reports on an upstream count whose known
+// incarnation started at 100.
+func TestIncarnationsReported(t *testing.T) {
 	type counts struct{ requests, failures int }
 	tests := map[string]struct {
-		born int // as it is told
+		born int // start time in the report
 		want counts
 	}{
-		"the known one": {100, counts{requests: 2, failures: 300}},
-		"none is named": {0, counts{requests: 2, failures: 300}},
-		"a newer one":   {200, counts{requests: 2, failures: 300}},
-		"an older one":  {50, counts{}},
+		"known incarnation": {100, counts{requests: 2, failures: 300}},
+		"no start time":     {0, counts{requests: 2, failures: 300}},
+		"newer incarnation": {200, counts{requests: 2, failures: 300}},
+		"older incarnation": {50, counts{}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				e := alone(t, "hub", "leith", true)
-				list := rows("open", 1)
+				e := newBox(t, "hub", "leith", true)
+				list := upstreamRecords("open", 1)
 				list[0].Born = 100
-				e.Hear(wire.GossipAnswer{Sender: record("far", "gorgie", true), FleetAt: 1, Upstreams: list}, time.Now())
-				e.IsHub() // as it looks all the while
+				e.Hear(wire.GossipAnswer{Sender: boxRecord("far", "gorgie", true), FleetAt: 1, Upstreams: list}, time.Now())
+				e.IsHub() // a running box checks this continually
 				time.Sleep(2 * time.Second)
 				e.Heard(wire.Gossip{
-					Sender:   record("b1", "leith", false),
+					Sender:   boxRecord("b1", "leith", false),
 					Tallies:  []wire.UpstreamTally{{Upstream: "u1", Requests: 2, Born: tt.born}},
 					Failures: []wire.UpstreamFailures{{Upstream: "u1", Failed: 300, All: 300, Born: tt.born}},
 				})
-				a := e.Heard(wire.Gossip{Sender: record("b2", "leith", false), Wants: wire.GossipScopeAll, WholeFleet: true})
+				a := e.Heard(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: wire.GossipScopeAll, WholeFleet: true})
 				var got counts
 				for _, l := range a.Tallies {
 					got.requests += l.Requests
-					is.Equal(l.Born, 100) // told on with the incarnation that this box knows
+					is.Equal(l.Born, 100) // forwarded with the known start time
 				}
 				for _, f := range a.Failures {
 					got.failures += f.Failed
@@ -58,41 +58,41 @@
 	}
 }
 
-// TestRestartForgets holds that a hub which hears of a restart tells nothing more of
-// what was told of the incarnation before.
-func TestRestartForgets(t *testing.T) {
+// TestRestartDropsReports checks that a hub drops the reports on an upstream's previous
+// incarnation when it learns of a restart.
+func TestRestartDropsReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := alone(t, "hub", "leith", true)
-		list := rows("open", 1)
+		e := newBox(t, "hub", "leith", true)
+		list := upstreamRecords("open", 1)
 		list[0].Born = 100
-		far := record("far", "gorgie", true)
+		far := boxRecord("far", "gorgie", true)
 		e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 1, Upstreams: list}, time.Now())
-		e.IsHub() // as it looks all the while
+		e.IsHub() // a running box checks this continually
 		time.Sleep(2 * time.Second)
 		e.Heard(wire.Gossip{
-			Sender:   record("b1", "leith", false),
+			Sender:   boxRecord("b1", "leith", false),
 			Tallies:  []wire.UpstreamTally{{Upstream: "u1", Requests: 2, Born: 100}, {Upstream: "u2", Requests: 1}},
 			Failures: []wire.UpstreamFailures{{Upstream: "u1", Failed: 300, All: 300, Born: 100}},
 		})
 		list[0].Born, list[0].State = 200, "open"
 		e.Hear(wire.GossipAnswer{Sender: far, FleetAt: 2, Upstreams: list}, time.Now())
-		a := e.Heard(wire.Gossip{Sender: record("b2", "leith", false), Wants: wire.GossipScopeAll})
+		a := e.Heard(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: wire.GossipScopeAll})
 		is.Equal(a.Tallies, []wire.UpstreamTally{{Upstream: "u2", Requests: 1}})
 		is.Equal(len(a.Failures), 0)
 	})
 }
 
-// TestRestartCuts holds that a stream ends at once when its upstream's entry says that
-// it has started again, though its connection says nothing.
-func TestRestartCuts(t *testing.T) {
+// TestRestartAbortsStream checks that a stream is aborted when its upstream's entry
+// shows a restart, although its connection stays open.
+func TestRestartAbortsStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1)
 	const endless = 1 << 20
 	s.worker("e1", "llm", endless)
-	s.bornAt("e1", "llm", 100)
-	until(t, "a box is ready", s.boxes[0].isReady)
-	until(t, "the incarnation is known", func() bool { return s.boxes[0].bornOf("e1") == 100 })
+	s.announceStart("e1", "llm", 100)
+	waitFor(t, "a box is ready", s.boxes[0].isReady)
+	waitFor(t, "the incarnation is known", func() bool { return s.boxes[0].startTimeOf("e1") == 100 })
 	req, err := http.NewRequest(http.MethodPost, "http://"+s.boxes[0].callers+"/stream/x", nil)
 	is.NoErr(err)
 	req.Host = "a.example"
@@ -102,20 +102,20 @@
 	is.NoErr(err)
 	defer resp.Body.Close()
 	is.Equal(resp.StatusCode, http.StatusOK)
-	s.bornAt("e1", "llm", 200)
-	_, err = io.Copy(io.Discard, resp.Body) // it would go on for an hour
-	is.True(err != nil)                     // and does not look complete
-	is.Equal(s.boxes[0].bornOf("e1"), 200)
+	s.announceStart("e1", "llm", 200)
+	_, err = io.Copy(io.Discard, resp.Body) // would otherwise run for an hour
+	is.True(err != nil)                     // and must not look complete
+	is.Equal(s.boxes[0].startTimeOf("e1"), 200)
 }
 
-// bornAt puts a worker's row with its incarnation into the store.
-func (s *site) bornAt(id, service string, born int64) {
+// announceStart stores a worker's row with its start time.
+func (s *site) announceStart(id, service string, born int64) {
 	s.platform.Announce(platform.Worker{ID: id, Service: service, Address: strings.TrimPrefix(s.servers[id].URL, "http://"), Hall: "leith", Born: born})
 }
 
-// bornOf returns the incarnation of an upstream that a box tells others of.
-func (b *box) bornOf(id string) int {
-	for _, u := range b.Heard(wire.Gossip{Sender: record("asker", "leith", false), WholeFleet: true}).Upstreams {
+// startTimeOf returns the start time that a box reports for an upstream.
+func (b *box) startTimeOf(id string) int {
+	for _, u := range b.Heard(wire.Gossip{Sender: boxRecord("asker", "leith", false), WholeFleet: true}).Upstreams {
 		if u.ID == id {
 			return u.Born
 		}
--- a/edge/leaving_test.go
+++ b/edge/leaving_test.go
@@ -11,18 +11,18 @@
 	"petrelstep/fleet"
 )
 
-// leftMost is how long after a box has passed on a worker's word that it leaves a caller
-// may send what still reaches it.
-const leftMost = 2 * time.Second
+// maxLeavingDelay is how long after a box has passed on an answer that announces a
+// worker's leaving requests may still reach the worker.
+const maxLeavingDelay = 2 * time.Second
 
-// late returns how many requests reached a worker that had said that it leaves: of those
-// that their callers sent later than leftMost after their own box had passed that on, and
-// after any box had.
-func (p *protocol) late(w *protocolWorker) (own, others int) {
+// lateRequests returns how many requests reached a leaving worker that were sent later
+// than maxLeavingDelay after the same box had passed on an announcement (own), and
+// after any box had (others).
+func (p *protocol) lateRequests(w *protocolWorker) (own, others int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	first := time.Time{}
-	for _, at := range p.told {
+	for _, at := range p.announced {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
@@ -30,19 +30,19 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.arrivals {
-		if told, ok := p.told[a.box+" seal-"+w.id]; ok && a.sent.After(told.Add(leftMost)) {
+		if announcedAt, ok := p.announced[a.box+" seal-"+w.id]; ok && a.sentAt.After(announcedAt.Add(maxLeavingDelay)) {
 			own++
 		}
-		if !first.IsZero() && a.sent.After(first.Add(leftMost)) {
+		if !first.IsZero() && a.sentAt.After(first.Add(maxLeavingDelay)) {
 			others++
 		}
 	}
 	return own, others
 }
 
-// TestLeavesByItsAnswers guards against sending to a worker whose answers say that it
-// leaves while its entry does not.
-func TestLeavesByItsAnswers(t *testing.T) {
+// TestLeavingHeader guards against sending requests to a worker whose answers announce
+// that it leaves while its entry doesn't.
+func TestLeavingHeader(t *testing.T) {
 	tests := map[string]struct {
 		boxes  int
 		demand float64
@@ -52,11 +52,11 @@
 		"6 boxes":   {boxes: 6, demand: 40},
 		"77 boxes":  {boxes: 77, demand: 100},
 		"300 boxes": {boxes: 300, demand: 300},
-		"the store is silent": {boxes: 6, demand: 40, path: "/open/", during: func(p *protocol, _ *protocolWorker) {
-			p.crowd.table.setSilent(true)
+		"store silent": {boxes: 6, demand: 40, path: "/open/", during: func(p *protocol, _ *protocolWorker) {
+			p.cluster.table.setSilent(true)
 		}},
-		"its entry is written anew": {boxes: 6, demand: 40, during: func(p *protocol, w *protocolWorker) {
-			p.enter(w, "ready")
+		"entry rewritten": {boxes: 6, demand: 40, during: func(p *protocol, w *protocolWorker) {
+			p.putEntry(w, "ready")
 		}},
 	}
 	for name, tt := range tests {
@@ -66,75 +66,76 @@
 				is := is.New(t)
 				ctx, end := context.WithCancel(t.Context())
 				p := newProtocol(ctx, t, tt.boxes, 4)
-				p.press(ctx, tt.path, tt.demand, 3*time.Second)
+				p.sendLoad(ctx, tt.path, tt.demand, 3*time.Second)
 				w := p.workers[0]
-				w.set(func(w *protocolWorker) { w.leaves = true })
-				p.press(ctx, tt.path, tt.demand, time.Second)
+				w.update(func(w *protocolWorker) { w.leaves = true })
+				p.sendLoad(ctx, tt.path, tt.demand, time.Second)
 				if tt.during != nil {
 					tt.during(p, w)
 				}
-				asked, served := p.press(ctx, tt.path, tt.demand, 8*time.Second)
-				own, others := p.late(w)
-				t.Log("reached it later than", leftMost, "after its word:", own, "by the same box,", others, "by any; served", served, "of", asked)
-				p.crowd.table.setSilent(false)
+				sent, served := p.sendLoad(ctx, tt.path, tt.demand, 8*time.Second)
+				own, others := p.lateRequests(w)
+				t.Log("requests later than", maxLeavingDelay, "after the announcement:", own, "by the same box,", others, "by any; served", served, "of", sent)
+				p.cluster.table.setSilent(false)
 				p.stop(end)
 				is.Equal(own, 0)
 				is.Equal(others, 0)
-				is.True(served*100 >= asked*99)
+				is.True(served*100 >= sent*99)
 			})
 		})
 	}
 }
 
-// TestAllLeave guards against callers that wait, or are sent to who has said that it leaves,
-// where all workers of a service say so within a second; new ones are taken as they come.
+// TestAllLeave guards against waiting, or sending requests to leaving workers, when all
+// workers of a service announce that they leave. New workers must be used as they
+// appear.
 func TestAllLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, end := context.WithCancel(t.Context())
 		p := newProtocol(ctx, t, 6, 3)
 		w3 := p.workers[2]
-		p.crowd.table.drop("servers", w3.id) // it comes in place of the others
-		p.press(ctx, "", 60, 3*time.Second)
+		p.cluster.table.remove("servers", w3.id) // added later to replace the others
+		p.sendLoad(ctx, "", 60, 3*time.Second)
 		for _, w := range p.workers[:2] {
-			w.set(func(w *protocolWorker) { w.leaves = true })
+			w.update(func(w *protocolWorker) { w.leaves = true })
 		}
-		p.press(ctx, "", 60, time.Second)
+		p.sendLoad(ctx, "", 60, time.Second)
 		p.mu.Lock()
-		p.worst, p.backs = 0, nil
+		p.slowestRefusal, p.retryAfters = 0, nil
 		p.mu.Unlock()
-		asked, served := p.press(ctx, "", 60, 3*time.Second)
+		sent, served := p.sendLoad(ctx, "", 60, 3*time.Second)
 		is.Equal(served, 0)
-		is.Equal(len(p.backs), asked)
-		is.True(p.worst <= 25*time.Millisecond) // a quarter of the aim
-		beside, besideServed := p.press(ctx, "/beside/", 60, time.Second)
-		is.Equal(besideServed, beside)
-		p.enter(w3, "ready")
-		p.press(ctx, "", 60, time.Second)
-		asked, served = p.press(ctx, "", 60, 3*time.Second)
-		own, others := p.late(p.workers[0])
+		is.Equal(len(p.retryAfters), sent)
+		is.True(p.slowestRefusal <= 25*time.Millisecond) // a quarter of the latency goal
+		otherSent, otherServed := p.sendLoad(ctx, "/beside/", 60, time.Second)
+		is.Equal(otherServed, otherSent)
+		p.putEntry(w3, "ready")
+		p.sendLoad(ctx, "", 60, time.Second)
+		sent, served = p.sendLoad(ctx, "", 60, 3*time.Second)
+		own, others := p.lateRequests(p.workers[0])
 		p.stop(end)
-		is.Equal(served, asked)
+		is.Equal(served, sent)
 		is.Equal(own+others, 0)
 	})
 }
 
-// TestLeavingIsTold shows how soon all boxes pass a worker by of which one box has heard
-// that it leaves, with all that may happen to some of them meanwhile.
-func TestLeavingIsTold(t *testing.T) {
-	nothing := func(context.Context, testing.TB, *crowd, *Edge) {}
+// TestLeavingReported checks how soon all boxes avoid a worker after one box learns
+// that it leaves, under faults.
+func TestLeavingReported(t *testing.T) {
+	nothing := func(context.Context, testing.TB, *cluster, *Edge) {}
 	tests := map[string]struct {
 		boxes     int
-		meanwhile func(ctx context.Context, t testing.TB, c *crowd, at *Edge)
+		meanwhile func(ctx context.Context, t testing.TB, c *cluster, at *Edge)
 	}{
-		"6 boxes":                       {6, nothing},
-		"77 boxes":                      {77, nothing},
-		"300 boxes":                     {300, nothing},
-		"the hubs of 77 boxes die":      {77, hubsDie},
-		"two hubs of 300 boxes die":     {300, hubsDie},
-		"a box of 6 starts":             {6, boxStarts},
-		"a box of 300 starts":           {300, boxStarts},
-		"a box of 6 is cut off a while": {6, boxIsCut},
+		"6 boxes":                           {6, nothing},
+		"77 boxes":                          {77, nothing},
+		"300 boxes":                         {300, nothing},
+		"two hubs of 77 boxes die":          {77, killTwoHubs},
+		"two hubs of 300 boxes die":         {300, killTwoHubs},
+		"a box of 6 starts":                 {6, startNewBox},
+		"a box of 300 starts":               {300, startNewBox},
+		"a box of 6 is cut off for a while": {6, isolateBox},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -142,11 +143,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, end := context.WithCancel(t.Context())
 				p := newProtocol(ctx, t, tt.boxes, 4)
-				c := p.crowd
+				c := p.cluster
 				at := c.all[len(c.all)-1]
 				at.fleet.Leaves(time.Now(), fleet.Departure{ID: "w0", Said: true}, "answer")
 				tt.meanwhile(ctx, t, c, at)
-				t.Log("all pass it by after", c.until(t, "passes it by", leftMost, func(e *Edge) bool { return !e.fleet.Takes("w0") }))
+				t.Log("all avoid it after", c.waitAll(t, "avoids the worker", maxLeavingDelay, func(e *Edge) bool { return !e.fleet.Takes("w0") }))
 				p.stop(end)
 			})
 		})
--- a/edge/limits_bench_test.go
+++ b/edge/limits_bench_test.go
@@ -11,32 +11,32 @@
 	"petrelstep/wire"
 )
 
-// BenchmarkLimitsTold is what gossip takes of a box and of its hub in a second before
-// 2,200 upstreams of 13 halls, while none names a limit, and while all name another
-// one each second, which one box each hears.
-func BenchmarkLimitsTold(b *testing.B) {
+// BenchmarkLimitGossip measures the cost of gossip per second for a box and its hub
+// with 2,200 upstreams in 13 halls, without limits and with limits that change every
+// second, each reported by one box.
+func BenchmarkLimitGossip(b *testing.B) {
 	for _, limited := range []int{0, 220, 2200} {
 		b.Run(fmt.Sprint("350 boxes, ", limited, " limits"), func(b *testing.B) {
-			c := newCrowd(b, 350, 13, 0)
-			named := map[string]*Edge{}
+			c := newCluster(b, 350, 13, 0)
+			byName := map[string]*Edge{}
 			var records []wire.BoxRecord
 			for _, e := range c.all {
-				named[e.Name()] = e
+				byName[e.Name()] = e
 				records = append(records, e.record)
 			}
 			for _, e := range c.all {
 				e.setBoxes(records)
 			}
-			change := c.limitsChange(limited)
-			for range 4 { // until all know all, and the changes are those of each second
+			change := c.newLimitChanger(limited)
+			for range 4 { // until only each second's changes are sent
 				change()
-				c.round(b, named, &second{}, &second{})
+				c.gossipRound(b, byName, &gossipCost{}, &gossipCost{})
 			}
-			var box, hub second
+			var box, hub gossipCost
 			rounds := 0
 			for b.Loop() {
 				change()
-				c.round(b, named, &box, &hub)
+				c.gossipRound(b, byName, &box, &hub)
 				rounds++
 			}
 			n := float64(rounds)
@@ -48,8 +48,9 @@
 	}
 }
 
-// limitsChange returns what lets some upstreams name another limit a second later.
-func (c *crowd) limitsChange(limited int) func() {
+// newLimitChanger returns a function that changes the limits of some upstreams, a
+// second later each time.
+func (c *cluster) newLimitChanger(limited int) func() {
 	random := rand.New(rand.NewPCG(1, 1))
 	now := time.Now()
 	return func() {
@@ -61,14 +62,14 @@
 	}
 }
 
-// BenchmarkAsk is what an ask for a limited upstream takes of its keeper beside the call,
-// and the bytes of it and its answer.
-func BenchmarkAsk(b *testing.B) {
-	e := newCrowd(b, 350, 13, 0).all[0]
+// BenchmarkAllow measures the owner's work for a limited request, without the call, and
+// the size of the request and its answer.
+func BenchmarkAllow(b *testing.B) {
+	e := newCluster(b, 350, 13, 0).all[0]
 	u := fleet.Upstream{ID: "i-04608fde89"}
 	e.limits.Heard(time.Now(), time.Now(), u, exchange.Limit{Said: exchange.LimitNamed, PerSecond: 16}, true)
 	ask := wire.AllowAsk{Box: "front-sighthill-2", Limit: e.limits.Word(time.Now(), u.ID), Urgency: 1}
-	size := encoded(b, ask) + encoded(b, wire.AllowAnswer{Granted: true, InMs: 20})
+	size := encodedSize(b, ask) + encodedSize(b, wire.AllowAnswer{Granted: true, InMs: 20})
 	for b.Loop() {
 		e.AllowFor(ask)
 	}
--- a/edge/limits_engines_test.go
+++ b/edge/limits_engines_test.go
@@ -15,13 +15,13 @@
 	"petrelstep/exchange"
 )
 
-// names lets the first engines name a limit in the heads of their answers from now on.
-func (w *engines) names(count int, perSecond float64) (ids []string) {
+// announceLimit makes the first engines announce a limit in their answers.
+func (w *engines) announceLimit(count int, perSecond float64) (ids []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, e := range w.lives {
+	for _, e := range w.running {
 		if e.number <= count {
-			e.said = exchange.Limit{Said: exchange.LimitNamed, PerSecond: perSecond}
+			e.limit = exchange.Limit{Said: exchange.LimitNamed, PerSecond: perSecond}
 			ids = append(ids, e.id)
 		}
 	}
@@ -29,8 +29,8 @@
 	return ids
 }
 
-// at returns when requests reached an engine.
-func (w *engines) at(id string) (list []time.Time) {
+// arrivalsAt returns when requests reached an engine.
+func (w *engines) arrivalsAt(id string) (list []time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.arrivals {
@@ -41,34 +41,32 @@
 	return list
 }
 
-// pressEvenly lets callers come for some time, each with something else, and returns how many
-// there were.
-func (w *engines) pressEvenly(ctx context.Context, perSecond float64, lasts time.Duration) (asked int) {
+// sendPoisson sends distinct requests at random intervals, and returns their number.
+func (w *engines) sendPoisson(ctx context.Context, perSecond float64, lasts time.Duration) (sent int) {
 	random := rand.New(rand.NewPCG(8, 8))
 	var all sync.WaitGroup
-	for until := time.Now().Add(lasts); time.Now().Before(until); asked++ {
-		at, name := w.any(random), fmt.Sprint("draft", asked, until.UnixMilli())
-		all.Go(func() { ask(ctx, at, "/check/", name) })
+	for until := time.Now().Add(lasts); time.Now().Before(until); sent++ {
+		at, name := w.randomBox(random), fmt.Sprint("draft", sent, until.UnixMilli())
+		all.Go(func() { sendRequest(ctx, at, "/check/", name) })
 		time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 	}
 	all.Wait()
-	return asked
+	return sent
 }
 
-// TestLimitedEngines lets two of three engines name how few requests a second they take:
-// the keeper of the queue, which gives room to all boxes' requests, holds to it, also when it
-// dies, and what the others have room for goes there.
+// TestLimitedEngines makes two of three engines announce a limit: the owner of the
+// queue must keep to it, also after it is killed.
 func TestLimitedEngines(t *testing.T) {
 	tests := map[string]struct {
 		boxes  int
 		limit  float64
-		strike func(ctx context.Context, w *engines)
+		inject func(ctx context.Context, w *engines)
 	}{
-		"6 boxes":               {6, 1.5, func(context.Context, *engines) {}},
-		"6 boxes, a low limit":  {6, 0.2, func(context.Context, *engines) {}},
-		"77 boxes":              {77, 1.5, func(context.Context, *engines) {}},
-		"the keeper dies":       {6, 1.5, killKeeper},
-		"an engine is lost too": {6, 1.5, func(_ context.Context, w *engines) { w.end(w.live()[2]) }},
+		"6 boxes":            {6, 1.5, func(context.Context, *engines) {}},
+		"6 boxes, low limit": {6, 0.2, func(context.Context, *engines) {}},
+		"77 boxes":           {77, 1.5, func(context.Context, *engines) {}},
+		"owner killed":       {6, 1.5, killOwner},
+		"engine crashes":     {6, 1.5, func(_ context.Context, w *engines) { w.crash(w.live()[2]) }},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -77,17 +75,17 @@
 				is := is.New(t)
 				ctx, end := context.WithCancel(t.Context())
 				w := newEngines(ctx, t, tt.boxes, 3)
-				w.pressEvenly(ctx, 10, 5*time.Second)
-				named := time.Now()
-				ids := w.names(2, tt.limit)
-				w.pressEvenly(ctx, 10, 8*time.Second)
-				go tt.strike(ctx, w)
-				w.pressEvenly(ctx, 10, 12*time.Second)
+				w.sendPoisson(ctx, 10, 5*time.Second)
+				announced := time.Now()
+				ids := w.announceLimit(2, tt.limit)
+				w.sendPoisson(ctx, 10, 8*time.Second)
+				go tt.inject(ctx, w)
+				w.sendPoisson(ctx, 10, 12*time.Second)
 				for _, id := range ids {
-					arrivals := after(w.at(id), named.Add(contact))
-					most, rate := worstOf(arrivals), float64(len(arrivals))/time.Since(named.Add(contact)).Seconds()
-					t.Logf("%s takes %g a second and got %.2f, at most %d in %v", id, tt.limit, rate, most, limitWindow)
-					is.True(float64(most) <= limitOver*tt.limit*limitWindow.Seconds()+limitSlack)
+					arrivals := arrivalsSince(w.arrivalsAt(id), announced.Add(propagationTime))
+					highest, rate := maxInWindowOf(arrivals), float64(len(arrivals))/time.Since(announced.Add(propagationTime)).Seconds()
+					t.Logf("%s: limit %g per second, got %.2f, at most %d in %v", id, tt.limit, rate, highest, limitWindow)
+					is.True(float64(highest) <= limitFactor*tt.limit*limitWindow.Seconds()+limitSlack)
 				}
 				w.stop(end)
 			})
@@ -95,9 +93,9 @@
 	}
 }
 
-// killKeeper kills the box that gives room on the engines.
-func killKeeper(_ context.Context, w *engines) {
-	all := w.crowd.running()
+// killOwner kills the owner of the engines' queue.
+func killOwner(_ context.Context, w *engines) {
+	all := w.cluster.running()
 	at := slices.IndexFunc(all, func(e *Edge) bool { return e.Name() == all[0].QueueOwner("llm") })
-	w.crowd.kill(all[at])
+	w.cluster.kill(all[at])
 }
--- a/edge/places_test.go
+++ b/edge/places_test.go
@@ -14,20 +14,19 @@
 	"petrelstep/wire"
 )
 
-// TestPlacesTold tells a box what the others are asked for of plain services, where
-// that is switched on.
-func TestPlacesTold(t *testing.T) {
-	asked := []wire.ServicePlaces{{Service: "plain", Asked: 1250}}
+// TestPlacesReported checks that hubs forward the demand for plain services if enabled.
+func TestPlacesReported(t *testing.T) {
+	demand := []wire.ServicePlaces{{Service: "plain", Asked: 1250}}
 	tests := map[string]struct {
 		balance []wire.EdgeBalanceElem
 		wants   wire.GossipScope
 		want    []wire.ServicePlaces
 	}{
-		"a box asks":     {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemPlaces}, wire.GossipScopeAll, asked},
-		"a hub asks":     {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemPlaces}, wire.GossipScopeOwn, []wire.ServicePlaces{}},
-		"switched off":   {nil, wire.GossipScopeAll, nil},
-		"another is on":  {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemShares}, wire.GossipScopeAll, nil},
-		"it has another": {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemPlaces}, wire.GossipScopeNone, nil},
+		"request of a box":      {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemPlaces}, wire.GossipScopeAll, demand},
+		"request of a hub":      {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemPlaces}, wire.GossipScopeOwn, []wire.ServicePlaces{}},
+		"disabled":              {nil, wire.GossipScopeAll, nil},
+		"other feature enabled": {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemShares}, wire.GossipScopeAll, nil},
+		"none requested":        {[]wire.EdgeBalanceElem{wire.EdgeBalanceElemPlaces}, wire.GossipScopeNone, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,8 +38,8 @@
 					Box: "hub", Hall: "leith", Listen: wire.Listen{Peers: "hub:1"},
 					Edge: &wire.Edge{KeyAgeMs: 5000, LeaveMs: 2000, RetryRatio: 0.2, RetrySlack: 50, MemoryMb: 512, Descriptors: 8192, Processors: 1, LinkMbit: 1000, Balance: tt.balance},
 				}}, logs.New(io.Discard, "info", "hub"), counts)
-				hub.Heard(wire.Gossip{Sender: record("b1", "leith", false), Places: asked})
-				a := hub.Heard(wire.Gossip{Sender: record("b2", "leith", false), Wants: tt.wants})
+				hub.Heard(wire.Gossip{Sender: boxRecord("b1", "leith", false), Places: demand})
+				a := hub.Heard(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: tt.wants})
 				is.Equal(a.Places, tt.want)
 			})
 		})
--- a/edge/protocol_test.go
+++ b/edge/protocol_test.go
@@ -19,7 +19,7 @@
 	"petrelstep/platform/upstream"
 )
 
-const protocolConfigured = `{"version":3,"routes":[
+const protocolConfiguration = `{"version":3,"routes":[
 {"name":"look","host":"h","path_prefix":"/look/","kind":"safe","timeout_ms":600,"latency_goal_ms":100,"service":"portal","max_attempts":2},
 {"name":"once","host":"h","path_prefix":"/once/","kind":"unsafe","timeout_ms":600,"latency_goal_ms":100,"service":"portal","max_attempts":2},
 {"name":"open","host":"h","path_prefix":"/open/","kind":"safe","timeout_ms":1000,"latency_goal_ms":1000,"service":"portal","max_attempts":2,"public":true},
@@ -27,86 +27,86 @@
 "services":[{"name":"portal","max_conns":100},{"name":"beside","max_conns":100}],
 "limits":{"max_body_bytes":4096},"tenants":[{"name":"council","api_keys":["key"]}]}`
 
-// protocolWorker is a plain worker that speaks the platform's protocol over connections in
-// memory.
+// protocolWorker is a plain worker that speaks the platform's protocol over in-memory
+// connections.
 type protocolWorker struct {
 	id, hall string
 	service  string
 	server   *http.Server
-	opened   chan net.Conn
+	conns    chan net.Conn
 
-	mu        sync.Mutex
-	arrivals  []arrived
-	refusals  []refused
-	leaves    bool          // its answers say so
-	rest      time.Duration // that it asks for as it turns all away; 0: it serves
-	restUntil time.Time     // it turns all away until then, and asks for that much rest
-	says      http.Header   // what its answers carry besides
+	mu           sync.Mutex
+	arrivals     []workerArrival
+	refusals     []backoffAnswer
+	leaves       bool          // its answers announce that it leaves
+	backoff      time.Duration // backoff asked for with each rejection; 0 to serve
+	backoffUntil time.Time     // rejects until then and asks for backoff for the remaining time
+	extraHeader  http.Header   // added to its answers
 }
 
-// arrived is a request that has reached a worker.
-type arrived struct {
-	at   time.Time
-	sent time.Time // by its caller
-	box  string
+// workerArrival is a request that has reached a worker.
+type workerArrival struct {
+	at     time.Time
+	sentAt time.Time // by the caller
+	box    string
 }
 
-// refused is an answer that asked a box for rest.
-type refused struct {
-	at   time.Time
-	box  string
-	rest time.Duration
+// backoffAnswer is an answer that asked a box to back off.
+type backoffAnswer struct {
+	at      time.Time
+	box     string
+	backoff time.Duration
 }
 
-// protocol are the plain workers of a crowd, of two services.
+// protocol is the plain workers of a cluster, of two services.
 type protocol struct {
-	crowd   *crowd
+	cluster *cluster
 	workers []*protocolWorker
 	byAddr  map[string]*protocolWorker
 
-	mu     sync.Mutex
-	sent   map[string]time.Time // by their callers, by request
-	told   map[string]time.Time // when each box first passed on an answer that says that its worker leaves, by box and worker
-	served int
-	asked  int
-	worst  time.Duration // until a request was refused
-	backs  []time.Duration
+	mu             sync.Mutex
+	sentAt         map[string]time.Time // by the caller, by request
+	announced      map[string]time.Time // when each box first passed on an announcement of leaving, by box and worker
+	served         int
+	sent           int
+	slowestRefusal time.Duration // longest time to a rejection
+	retryAfters    []time.Duration
 }
 
-// newProtocol starts boxes of three halls before some workers of a service, and one of
+// newProtocol starts boxes of three halls, some workers of a service and one of
 // another, and waits until they serve.
 func newProtocol(ctx context.Context, t testing.TB, boxes, count int) *protocol {
 	t.Helper()
-	c := newCrowd(t, boxes, 3, 0, balanced...)
-	p := &protocol{crowd: c, byAddr: map[string]*protocolWorker{}, sent: map[string]time.Time{}, told: map[string]time.Time{}}
-	c.table.put("op", "config", protocolConfigured)
+	c := newCluster(t, boxes, 3, 0, balanced...)
+	p := &protocol{cluster: c, byAddr: map[string]*protocolWorker{}, sentAt: map[string]time.Time{}, announced: map[string]time.Time{}}
+	c.table.put("op", "config", protocolConfiguration)
 	for i := range count + 1 {
-		w := &protocolWorker{id: fmt.Sprint("w", i), hall: fmt.Sprint("hall", i%3), service: "portal", opened: make(chan net.Conn)}
+		w := &protocolWorker{id: fmt.Sprint("w", i), hall: fmt.Sprint("hall", i%3), service: "portal", conns: make(chan net.Conn)}
 		if i == count {
 			w.service = "beside"
 		}
 		p.workers = append(p.workers, w)
 		p.byAddr[p.address(w)] = w
-		p.enter(w, "ready")
+		p.putEntry(w, "ready")
 		w.serve(p)
 	}
 	for _, e := range c.all {
 		p.connect(e)
 	}
 	c.startAll(ctx)
-	c.until(t, "serves", 5*time.Second, (*Edge).ready)
+	c.waitAll(t, "serves", 5*time.Second, (*Edge).ready)
 	time.Sleep(3 * time.Second)
 	return p
 }
 
 func (p *protocol) address(w *protocolWorker) string { return "10.3.0." + w.id[1:] + ":1" }
 
-// enter writes a worker's entry.
-func (p *protocol) enter(w *protocolWorker, state string) {
-	p.crowd.table.put("servers", w.id, fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"slots":6,"state":%q}`, w.service, p.address(w), w.hall, state))
+// putEntry stores a worker's row.
+func (p *protocol) putEntry(w *protocolWorker, state string) {
+	p.cluster.table.put("servers", w.id, fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"slots":6,"state":%q}`, w.service, p.address(w), w.hall, state))
 }
 
-// connect lets a box send to the workers by the platform's client.
+// connect makes a box send to the workers with the platform's client.
 func (p *protocol) connect(e *Edge) {
 	e.relay.Sender = upstream.NewDialing(func(ctx context.Context, _, address string) (net.Conn, error) {
 		w, ok := p.byAddr[address]
@@ -115,7 +115,7 @@
 		}
 		near, far := net.Pipe()
 		select {
-		case w.opened <- boxConn{far, e.Name()}:
+		case w.conns <- boxConn{far, e.Name()}:
 			return near, nil
 		case <-ctx.Done():
 			return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
@@ -133,7 +133,7 @@
 
 // Accept implements net.Listener.
 func (w *protocolWorker) Accept() (net.Conn, error) {
-	conn, ok := <-w.opened
+	conn, ok := <-w.conns
 	if !ok {
 		return nil, net.ErrClosed
 	}
@@ -160,44 +160,44 @@
 func (w *protocolWorker) answer(p *protocol, out http.ResponseWriter, r *http.Request) {
 	box, id := r.Context().Value(boxKey{}).(string), r.Header.Get("Request-Id")
 	p.mu.Lock()
-	sent := p.sent[id]
+	sentAt := p.sentAt[id]
 	p.mu.Unlock()
 	w.mu.Lock()
-	w.arrivals = append(w.arrivals, arrived{time.Now(), sent, box})
-	leaves, rest, says := w.leaves, cmp.Or(w.rest, max(time.Until(w.restUntil), 0)), w.says.Clone()
+	w.arrivals = append(w.arrivals, workerArrival{time.Now(), sentAt, box})
+	leaves, backoff, extra := w.leaves, cmp.Or(w.backoff, max(time.Until(w.backoffUntil), 0)), w.extraHeader.Clone()
 	w.mu.Unlock()
 	h := out.Header()
 	h.Set("Request-Id", id)
-	for name, values := range says {
+	for name, values := range extra {
 		h[name] = values
 	}
 	if leaves {
 		h.Set("Server-Leaving", "1")
 	}
-	if rest > 0 {
+	if backoff > 0 {
 		h.Set("Not-Executed", "1")
-		h.Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+		h.Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 		w.mu.Lock()
-		w.refusals = append(w.refusals, refused{time.Now(), box, rest})
+		w.refusals = append(w.refusals, backoffAnswer{time.Now(), box, backoff})
 		w.mu.Unlock()
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	time.Sleep(portalWork)
+	time.Sleep(workTime)
 	h.Set("Response-Seal", "seal-"+w.id)
 	_, _ = io.WriteString(out, w.id)
 }
 
-// set changes what a worker's answers say.
-func (w *protocolWorker) set(f func(*protocolWorker)) {
+// update changes a worker's behaviour.
+func (w *protocolWorker) update(f func(*protocolWorker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(w)
 }
 
-// protocolCaller notes which answers were passed on.
+// protocolCaller records which answers announced that a worker leaves.
 type protocolCaller struct {
-	asker
+	memCaller
 	*protocol
 	box string
 }
@@ -207,20 +207,20 @@
 	if h, ok := a.Message.(http.Header); ok && h.Get("Server-Leaving") != "" {
 		c.mu.Lock()
 		key := c.box + " " + h.Get("Response-Seal")
-		if _, ok := c.told[key]; !ok {
-			c.told[key] = time.Now()
+		if _, ok := c.announced[key]; !ok {
+			c.announced[key] = time.Now()
 		}
 		c.mu.Unlock()
 	}
-	return c.asker.Answer(a, length)
+	return c.memCaller.Answer(a, length)
 }
 
-// ask sends one request to a box and returns what its caller is told.
-func (p *protocol) ask(ctx context.Context, e *Edge, path string) *protocolCaller {
+// send sends one request to a box and returns its caller with the answer.
+func (p *protocol) send(ctx context.Context, e *Edge, path string) *protocolCaller {
 	p.mu.Lock()
-	p.asked++
-	id := fmt.Sprint("q", p.asked)
-	p.sent[id] = time.Now()
+	p.sent++
+	id := fmt.Sprint("q", p.sent)
+	p.sentAt[id] = time.Now()
 	p.mu.Unlock()
 	c := &protocolCaller{protocol: p, box: e.Name()}
 	began := time.Now()
@@ -234,39 +234,39 @@
 	case c.status == http.StatusOK:
 		p.served++
 	default:
-		p.worst = max(p.worst, time.Since(began))
-		p.backs = append(p.backs, c.refused.RetryAfter())
+		p.slowestRefusal = max(p.slowestRefusal, time.Since(began))
+		p.retryAfters = append(p.retryAfters, c.refused.RetryAfter())
 	}
 	return c
 }
 
-// press lets callers come for some time, at any box, and returns how many there were and
-// how many were served.
-func (p *protocol) press(ctx context.Context, path string, perSecond float64, lasts time.Duration) (asked, served int) {
+// sendLoad sends requests to random boxes for some time, and returns how many were sent
+// and served.
+func (p *protocol) sendLoad(ctx context.Context, path string, perSecond float64, lasts time.Duration) (sent, served int) {
 	random := rand.New(rand.NewPCG(4, 4))
 	p.mu.Lock()
-	askedBefore, servedBefore := p.asked, p.served
+	sentBefore, servedBefore := p.sent, p.served
 	p.mu.Unlock()
 	var all sync.WaitGroup
 	for until := time.Now().Add(lasts); time.Now().Before(until); {
-		boxes := p.crowd.running()
+		boxes := p.cluster.running()
 		at := boxes[random.IntN(len(boxes))]
-		all.Go(func() { p.ask(ctx, at, cmp.Or(path, "/look/")) })
+		all.Go(func() { p.send(ctx, at, cmp.Or(path, "/look/")) })
 		time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 	}
 	all.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked - askedBefore, p.served - servedBefore
+	return p.sent - sentBefore, p.served - servedBefore
 }
 
-// stop ends the boxes and the workers, and waits for all that is under way.
+// stop ends the boxes and the workers, and waits for pending calls.
 func (p *protocol) stop(end func()) {
 	end()
 	for _, w := range p.workers {
-		close(w.opened)
+		close(w.conns)
 		_ = w.server.Close()
 	}
-	time.Sleep(waitLong)
+	time.Sleep(maxWait)
 	synctest.Wait()
 }
--- a/edge/speeds_test.go
+++ b/edge/speeds_test.go
@@ -16,8 +16,8 @@
 	"petrelstep/wire"
 )
 
-// withSpeeds returns a strong box of a hall that does not run; it knows one engine.
-func withSpeeds(t *testing.T, name string, on bool) *Edge {
+// newSpeedsBox returns a hub-eligible box that isn't running and knows one engine.
+func newSpeedsBox(t *testing.T, name string, on bool) *Edge {
 	t.Helper()
 	counts, err := metrics.New()
 	is.New(t).NoErr(err)
@@ -30,20 +30,20 @@
 	return e
 }
 
-// TestSpeedsTold shows that a hub is told how fast engines are, and tells it on, once a
-// second; a box where the part is off neither tells nor asks, and takes no harm.
-func TestSpeedsTold(t *testing.T) {
-	tests := map[string]struct{ hub, box, asker bool }{
-		"all have it":            {hub: true, box: true, asker: true},
-		"the hub has it not":     {box: true, asker: true},
-		"the asker has it not":   {hub: true, box: true},
-		"who streams has it not": {hub: true, asker: true},
+// TestSpeedsExchanged checks that engine speeds are reported to a hub and forwarded
+// once a second, and that boxes with the feature disabled do neither.
+func TestSpeedsExchanged(t *testing.T) {
+	tests := map[string]struct{ hub, box, caller bool }{
+		"all enabled":                   {hub: true, box: true, caller: true},
+		"disabled at the hub":           {box: true, caller: true},
+		"disabled at the caller":        {hub: true, box: true},
+		"disabled at the streaming box": {hub: true, caller: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				hub, box, asker := withSpeeds(t, "hub", tt.hub), withSpeeds(t, "box", tt.box), withSpeeds(t, "asker", tt.asker)
+				hub, box, caller := newSpeedsBox(t, "hub", tt.hub), newSpeedsBox(t, "box", tt.box), newSpeedsBox(t, "asker", tt.caller)
 				engine := fleet.Upstream{ID: "e1", Service: "llm"}
 				stream := box.speeds.Stream(engine)
 				for range 60 {
@@ -51,17 +51,17 @@
 					stream.Event(time.Now(), false)
 				}
 				to := members.Box{Name: "hub", Hall: "leith", Address: "hub:1"}
-				said := box.Say(to)
-				is.Equal(said.WantsSpeeds, tt.box)
-				is.Equal(box.Say(to).WantsSpeeds, false) // told just now
+				report := box.Say(to)
+				is.Equal(report.WantsSpeeds, tt.box)
+				is.Equal(box.Say(to).WantsSpeeds, false) // sent just now
 				time.Sleep(speedsInterval)
 				is.Equal(box.Say(to).WantsSpeeds, tt.box)
-				hub.Heard(said)
-				asked := asker.Say(to)
-				asked.Wants = wire.GossipScopeAll
-				asker.Hear(hub.Heard(asked), time.Now())
-				known := asker.speeds.Of(time.Now(), engine).Alone() > 0
-				is.Equal(known, tt.hub && tt.box && tt.asker)
+				hub.Heard(report)
+				request := caller.Say(to)
+				request.Wants = wire.GossipScopeAll
+				caller.Hear(hub.Heard(request), time.Now())
+				known := caller.speeds.Of(time.Now(), engine).Alone() > 0
+				is.Equal(known, tt.hub && tt.box && tt.caller)
 			})
 		})
 	}
--- a/edge/stop_test.go
+++ b/edge/stop_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 )
 
-// TestNewStop shows that a stopping box cuts off what is left before it is ended
-// by force.
+// TestNewStop checks that a stopping box aborts its remaining requests before it is
+// killed.
 func TestNewStop(t *testing.T) {
 	tests := map[string]struct{ drain, want time.Duration }{
-		"a stop of 8 s":  {8 * time.Second, 7700 * time.Millisecond},
-		"no time at all": {100 * time.Millisecond, 0},
+		"8 s":                    {8 * time.Second, 7700 * time.Millisecond},
+		"shorter than closeTime": {100 * time.Millisecond, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -13,28 +13,30 @@
 	"petrelstep/refusal"
 )
 
-// machine is a clock that can be suspended.
-type machine struct {
+// suspendableClock is a clock that includes suspend time.
+type suspendableClock struct {
 	began time.Time
 	slept atomic.Int64 // ns
 }
 
-func (m *machine) clock() time.Duration { return time.Since(m.began) + time.Duration(m.slept.Load()) }
+func (m *suspendableClock) clock() time.Duration {
+	return time.Since(m.began) + time.Duration(m.slept.Load())
+}
 
-// TestSuspended shows what a box does whose machine was suspended, as its steady clock
-// says, for no time at all. Its callers' requests come first.
+// TestSuspended checks what a box does after its machine was suspended, which the
+// monotonic clock doesn't show, when a caller's request is the first event.
 func TestSuspended(t *testing.T) {
 	tests := map[string]struct {
 		slept   time.Duration
-		confirm bool // by an answer of the store to a call of before
+		confirm bool // by a late answer of the store to a call before the suspension
 		want    refusal.Reason
 	}{
-		"not at all":                            {0, false, ""},
-		"for a moment":                          {2 * time.Second, false, ""},
-		"for longer than a key is served":       {6 * time.Second, false, refusal.StaleConfiguration},
-		"and the store's last answer is read":   {6 * time.Second, true, refusal.StaleConfiguration},
-		"for a moment, and that answer is read": {2 * time.Second, true, ""},
-		"for an hour":                           {time.Hour, true, refusal.StaleConfiguration},
+		"not suspended":           {0, false, ""},
+		"short":                   {2 * time.Second, false, ""},
+		"longer than the key age": {6 * time.Second, false, refusal.StaleConfiguration},
+		"longer than the key age, late answer of the store": {6 * time.Second, true, refusal.StaleConfiguration},
+		"short, late answer of the store":                   {2 * time.Second, true, ""},
+		"an hour":                                           {time.Hour, true, refusal.StaleConfiguration},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -42,8 +44,8 @@
 				is := is.New(t)
 				ctx, end := context.WithCancel(t.Context())
 				w := newEngines(ctx, t, 6, 9)
-				e, hub := w.crowd.boxAndHub()
-				m := &machine{began: time.Now()}
+				e, hub := w.cluster.boxAndHub()
+				m := &suspendableClock{began: time.Now()}
 				e.OnClock(m.clock)
 				sent := time.Now()
 				m.slept.Add(int64(tt.slept))
@@ -53,9 +55,9 @@
 					e.routes.Confirm(sent)
 				}
 				is.Equal(e.isReachable(hub.Name()), tt.slept == 0)
-				is.Equal(ask(ctx, e, "/check/", "a").refused.Reason(), tt.want)
-				time.Sleep(contact)
-				is.Equal(ask(ctx, e, "/check/", "a").status, http.StatusOK) // once it has been told again
+				is.Equal(sendRequest(ctx, e, "/check/", "a").refused.Reason(), tt.want)
+				time.Sleep(propagationTime)
+				is.Equal(sendRequest(ctx, e, "/check/", "a").status, http.StatusOK) // after new reports
 				w.stop(end)
 			})
 		})
@@ -63,7 +65,7 @@
 }
 
 // boxAndHub returns a box and a hub that it calls.
-func (c *crowd) boxAndHub() (box, hub *Edge) {
+func (c *cluster) boxAndHub() (box, hub *Edge) {
 	hub = c.hubs()[0]
 	for _, e := range c.all {
 		if !e.IsHub() {
