--- a/edge/answers.go
+++ b/edge/answers.go
@@ -20,7 +20,7 @@
 	// maxGossipDelay bounds how old a gossip request is on arrival: a call may be
 	// retried within its 0.5 s.
 	maxGossipDelay = 600 * time.Millisecond
-	// neverAge stands for an unknown age; it exceeds every limit.
+	// neverAge is the age of what was never received; it exceeds every limit.
 	neverAge = time.Hour
 	// fleetLinkFraction is the fraction of the box's link used for full fleet
 	// transfers: many boxes request them at once, and each is held in memory until it
@@ -46,8 +46,8 @@
 	a := wire.GossipAnswer{Sender: e.record, Leaving: e.draining.Load(), Tells: e.loadScope(now, from.Wants), StoreSilentMs: e.storeAge(now)}
 	switch a.Tells {
 	case wire.GossipScopeOwn:
-		w, coverage := e.aggregatedReport(now, from.WantsSpeeds)
-		w.fillAnswer(&a)
+		r, coverage := e.aggregatedReport(now, from.WantsSpeeds)
+		r.fillAnswer(&a)
 		a.Covers, a.CoversNear, a.Hubs = coverage.Boxes, coverage.Near, e.hubRecords(now)
 	case wire.GossipScopeAll:
 		e.reportWithout(now, from.Sender.Box, from.WantsSpeeds).fillAnswer(&a)
@@ -120,7 +120,7 @@
 	a.Halls = e.evacuations(now)
 }
 
-// evacuations returns the known state of halls.
+// evacuations returns the known evacuation state of halls.
 func (e *Edge) evacuations(now time.Time) []wire.HallWord {
 	list := []wire.HallWord{}
 	for _, w := range e.halls.All() {
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -80,7 +80,7 @@
 	// reservedDescriptors are kept for files, peers, the store and the box's own calls.
 	requestDescriptors  = 2
 	reservedDescriptors = 400
-	// closeTime is the end of the stop time that is reserved for closing connections
+	// closeTime is the part of the stop time reserved for closing connections
 	// and writing the last log lines (at most 0.2 s). Requests still in flight then are
 	// aborted properly, so that callers and engines notice.
 	closeTime = 300 * time.Millisecond
@@ -226,14 +226,14 @@
 	s := e.config.Edge
 	e.retryBudget = retry.NewBudget(retryRatioFraction*s.RetryRatio, e.retrySlack(assumedBoxes))
 	e.buffers = e.newBuffers()
-	reading := prefill.New()
+	prefillRate := prefill.New()
 	if e.config.Balances(wire.EdgeBalanceElemSpeeds) {
 		e.speeds = speeds.New(e.fleet, e.metrics, e.log)
 	}
 	warm := warmup.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 5)))
 	e.fleet.OnRestart(e.onRestart(warm))
 	chooser := picker.New(picker.Parts{
-		Fleet: e.fleet, Tally: e.loads, Reliability: e.reliability, Reading: reading, Hall: e.config.Hall, Speeds: e.speeds,
+		Fleet: e.fleet, Tally: e.loads, Reliability: e.reliability, Reading: prefillRate, Hall: e.config.Hall, Speeds: e.speeds,
 		Warmup: warm, Part: e.coldShare, Limits: e.limiter, Rest: e.backoff, Regions: s.Regions,
 		Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 1)),
 	})
@@ -244,11 +244,11 @@
 		})
 	}
 	e.sharing = newSharing(e.config.Balances(wire.EdgeBalanceElemShares))
-	e.admission = admission.New(chooser, e.loads, reading, e.sharing.queueShares(), rand.New(rand.NewPCG(uint64(e.record.Incarnation), 3)), e.log)
+	e.admission = admission.New(chooser, e.loads, prefillRate, e.sharing.queueShares(), rand.New(rand.NewPCG(uint64(e.record.Incarnation), 3)), e.log)
 	e.relay = relay.New(relay.Parts{
 		Belief: e.routes, Fleet: e.fleet, Chooser: chooser, Admitter: e, Places: e.places, Tally: e.loads, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
 		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Rest: e.backoff, Budget: e.retryBudget,
-		Runs: e.runs, Lengths: outputlen.New(), Prefill: reading, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, Silent: e.fleetStoreSilence, Log: e.log,
+		Runs: e.runs, Lengths: outputlen.New(), Prefill: prefillRate, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, Silent: e.fleetStoreSilence, Log: e.log,
 	})
 	e.callers = callers.New(e.relay, e.maxBodySize, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Parts{
--- a/edge/join.go
+++ b/edge/join.go
@@ -48,26 +48,26 @@
 	if !e.config.Edge.ColdStart && !e.record.Strong && e.joinLargeFleet(ctx) {
 		return
 	}
-	var before []wire.BoxRecord
+	var previous []wire.BoxRecord
 	if !e.config.Edge.ColdStart {
-		list := func(ctx context.Context) (err error) { before, err = e.boxes.List(ctx); return err }
+		list := func(ctx context.Context) (err error) { previous, err = e.boxes.List(ctx); return err }
 		if !e.retry(ctx, list) {
 			return
 		}
-		e.setPreviousBoxes(before)
+		e.setPreviousBoxes(previous)
 	}
 	if e.config.Edge.ColdStart && !e.record.Strong {
 		e.timer.Sleep(ctx, hubHeadStart+rand.N(hubHeadStart))
 	}
-	switch at := slices.IndexFunc(before, e.isSelf); {
+	switch at := slices.IndexFunc(previous, e.isSelf); {
 	case at < 0:
 		if !e.writeAndList(ctx) {
 			return
 		}
-	case !sameRow(before[at], e.record) && !e.retry(ctx, e.writeOwnRow):
+	case !sameRow(previous[at], e.record) && !e.retry(ctx, e.writeOwnRow):
 		return
 	default:
-		e.setBoxes(before)
+		e.setBoxes(previous)
 	}
 	if !e.config.Edge.ColdStart {
 		e.joined.Store(true)
@@ -193,9 +193,9 @@
 // fleet is used at once, so that its boxes don't all read the store. Fewer boxes are
 // used only after joining: hubs that restart with this box would be called before they
 // are up and then skipped for 3 s.
-func (e *Edge) setPreviousBoxes(before []wire.BoxRecord) {
-	if len(before) > members.StarMost {
-		e.setBoxes(before)
+func (e *Edge) setPreviousBoxes(previous []wire.BoxRecord) {
+	if len(previous) > members.StarMost {
+		e.setBoxes(previous)
 	}
 	e.peersListed.Store(true)
 }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -295,15 +295,15 @@
 // sendLimits adds the limits that the hub doesn't have yet.
 func (e *Edge) sendLimits(now time.Time, hub string, g *wire.Gossip) {
 	e.mu.Lock()
-	m := e.hubStates[hub]
+	state := e.hubStates[hub]
 	e.mu.Unlock()
-	list, last := e.limits.Since(now, m.limits.sent, true)
-	g.Limits, g.LimitsAfter = list, m.limits.received
+	list, last := e.limits.Since(now, state.limits.sent, true)
+	g.Limits, g.LimitsAfter = list, state.limits.received
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m = e.hubStates[hub]
-	m.limits.sending = last
-	e.hubStates[hub] = m
+	state = e.hubStates[hub]
+	state.limits.sending = last
+	e.hubStates[hub] = state
 }
 
 // answerLimits adds the limits that the caller doesn't have.
@@ -320,7 +320,7 @@
 	e.limits.Told(now, a.Limits, true)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.hubStates[a.Sender.Box]
-	m.limits.received = a.LimitsAt
-	e.hubStates[a.Sender.Box] = m
+	state := e.hubStates[a.Sender.Box]
+	state.limits.received = a.LimitsAt
+	e.hubStates[a.Sender.Box] = state
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -37,9 +37,9 @@
 // hubState is the progress of synchronizing the fleet and other changes with a hub.
 type hubState struct {
 	incarnation int
-	received    int
+	received    int       // the hub's last fleet change received
 	whole       bool      // all changes up to received are known
-	from        time.Time // unless whole, this hub has sent only later changes
+	since       time.Time // unless whole, this hub has sent only changes since then
 	sending     int       // this box's last fleet change in the call under way
 	sent        int       // this box's last fleet change that the hub has acknowledged
 	speedsSent  time.Time // when engine speeds were last sent
@@ -55,12 +55,12 @@
 		version = table.Version()
 	}
 	whole := e.wantsFleet(now, hub)
-	m := e.hubState(now, hub.Name, whole)
-	departing, last := e.departures(now, m.sent)
+	state := e.hubState(now, hub.Name, whole)
+	departing, last := e.departures(now, state.sent)
 	e.recordSending(hub.Name, last)
 	g := wire.Gossip{
 		Sender: e.record, Leaving: e.draining.Load(), Wants: e.wantedScope(now, hub), Version: version,
-		Departing: departing, Unpacks: true, WholeFleet: whole, FleetOf: m.incarnation, FleetAfter: m.received,
+		Departing: departing, Unpacks: true, WholeFleet: whole, FleetOf: state.incarnation, FleetAfter: state.received,
 	}
 	g.Unlisted = e.unlisted.Load() && e.members.Nearest(now).Name == hub.Name
 	if age, known := e.fleet.Age(now); known {
@@ -78,8 +78,8 @@
 func (e *Edge) sendLoads(now time.Time, hub members.Box, g *wire.Gossip) {
 	switch {
 	case e.IsHub():
-		w, coverage := e.aggregatedReport(now, e.speedsDue(now, hub.Name))
-		w.fillGossip(g)
+		r, coverage := e.aggregatedReport(now, e.speedsDue(now, hub.Name))
+		r.fillGossip(g)
 		g.Covers, g.CoversNear = coverage.Boxes, coverage.Near
 		return
 	case e.members.Crowd(now) == nil:
@@ -95,14 +95,14 @@
 // cursor there. The primary hub should, and any other while the primary is unreachable.
 // Hubs get it from each other; in a large fleet only from those that read the store.
 func (e *Edge) wantsFleet(now time.Time, hub members.Box) bool {
-	nearest := e.members.Nearest(now).Name
+	primary := e.members.Nearest(now).Name
 	switch {
 	case e.IsHub() && e.members.Crowd(now) != nil:
 		return !e.Reads() && e.members.Reader(now, hub.Name)
-	case e.IsHub(), nearest == hub.Name:
+	case e.IsHub(), primary == hub.Name:
 		return true
 	}
-	return !e.HubHeard().IsZero() && !e.isReachable(nearest)
+	return !e.HubHeard().IsZero() && !e.isReachable(primary)
 }
 
 // hubState returns the synchronization state of a hub. A hub that should send the full
@@ -112,31 +112,31 @@
 func (e *Edge) hubState(now time.Time, hub string, whole bool) hubState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.updateComplete(now, e.hubStates[hub])
-	if whole && !m.whole {
-		m.received = 0
+	state := e.updateComplete(now, e.hubStates[hub])
+	if whole && !state.whole {
+		state.received = 0
 	}
-	e.hubStates[hub] = m
-	return m
+	e.hubStates[hub] = state
+	return state
 }
 
-// updateComplete marks a hub's fleet as complete once newer data from other hubs coverage
+// updateComplete marks a hub's fleet as complete once newer data from other hubs covers
 // what the hub knew at its first answer.
-func (e *Edge) updateComplete(now time.Time, m hubState) hubState {
+func (e *Edge) updateComplete(now time.Time, state hubState) hubState {
 	age, known := e.fleet.Age(now)
-	if !m.from.IsZero() && known && !now.Add(-age).Before(m.from) {
-		m.whole = true
+	if !state.since.IsZero() && known && !now.Add(-age).Before(state.since) {
+		state.whole = true
 	}
-	return m
+	return state
 }
 
 // recordSending records the last fleet change in the call to a hub.
 func (e *Edge) recordSending(hub string, change int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.hubStates[hub]
-	m.sending = change
-	e.hubStates[hub] = m
+	state := e.hubStates[hub]
+	state.sending = change
+	e.hubStates[hub] = state
 }
 
 // wantedScope returns the loads to request from a hub. The sums of all boxes are
@@ -206,13 +206,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.hubLastSeen = now
-	m := e.hubStates[hub.Box]
-	if m.incarnation == hub.Incarnation {
-		m.sent, m.ends.sent, m.limits.sent = m.sending, m.ends.sending, m.limits.sending
+	state := e.hubStates[hub.Box]
+	if state.incarnation == hub.Incarnation {
+		state.sent, state.ends.sent, state.limits.sent = state.sending, state.ends.sending, state.limits.sending
 	} else {
-		m = hubState{incarnation: hub.Incarnation}
+		state = hubState{incarnation: hub.Incarnation}
 	}
-	e.hubStates[hub.Box] = m
+	e.hubStates[hub.Box] = state
 }
 
 // receiveFleet applies a hub's fleet changes. If its data is old because the hubs have
@@ -247,15 +247,15 @@
 		return
 	}
 	e.mu.Lock()
-	m := e.updateComplete(now, e.hubStates[a.Sender.Box])
-	m.whole = m.whole || m.received == 0 && !a.FleetFromNow
-	m.received = a.FleetAt
-	if a.FleetFromNow && !m.whole {
-		m.from = now
+	state := e.updateComplete(now, e.hubStates[a.Sender.Box])
+	state.whole = state.whole || state.received == 0 && !a.FleetFromNow
+	state.received = a.FleetAt
+	if a.FleetFromNow && !state.whole {
+		state.since = now
 	}
-	e.hubStates[a.Sender.Box] = m
+	e.hubStates[a.Sender.Box] = state
 	e.mu.Unlock()
-	if m.whole {
+	if state.whole {
 		e.fleet.Confirm(sent.Add(-age))
 	}
 }
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -28,22 +28,22 @@
 	sent     int // this box's last change that the hub has acknowledged
 }
 
-// sendEnds adds the upstream failures, with the requests they ran, that the hub doesn't
+// sendEnds adds the upstream crashes, with the requests they ran, that the hub doesn't
 // have yet.
 func (e *Edge) sendEnds(now time.Time, hub string, g *wire.Gossip) {
 	e.mu.Lock()
-	m := e.hubStates[hub]
+	state := e.hubStates[hub]
 	e.mu.Unlock()
-	list, last := e.quarantine.Since(now, m.ends.sent)
-	g.Ends, g.EndsOf, g.EndsAfter = list, m.incarnation, m.ends.received
+	list, last := e.quarantine.Since(now, state.ends.sent)
+	g.Ends, g.EndsOf, g.EndsAfter = list, state.incarnation, state.ends.received
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m = e.hubStates[hub]
-	m.ends.sending = last
-	e.hubStates[hub] = m
+	state = e.hubStates[hub]
+	state.ends.sending = last
+	e.hubStates[hub] = state
 }
 
-// answerEnds adds the failures that the caller doesn't have: all of them if it has just
+// answerEnds adds the crashes that the caller doesn't have: all of them if it has just
 // started or knew an earlier incarnation of this box.
 func (e *Edge) answerEnds(now time.Time, from wire.Gossip, a *wire.GossipAnswer) {
 	after := 0
@@ -53,14 +53,14 @@
 	a.Ends, a.EndsAt = e.quarantine.Since(now, after)
 }
 
-// receiveEnds records the failures reported by a hub.
+// receiveEnds records the crashes reported by a hub.
 func (e *Edge) receiveEnds(a wire.GossipAnswer, sent time.Time) {
 	e.quarantine.Told(sent, a.Ends)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.hubStates[a.Sender.Box]
-	m.ends.received = a.EndsAt
-	e.hubStates[a.Sender.Box] = m
+	state := e.hubStates[a.Sender.Box]
+	state.ends.received = a.EndsAt
+	e.hubStates[a.Sender.Box] = state
 }
 
 // serveRelease lets an operator release a request from quarantine on all boxes.
@@ -71,7 +71,7 @@
 		return
 	}
 	if !e.quarantine.Release(time.Now(), fp) {
-		http.Error(w, "no upstream is known to have failed while running it", http.StatusNotFound)
+		http.Error(w, "no upstream is known to have crashed while running it", http.StatusNotFound)
 	}
 }
 
--- a/edge/sharing.go
+++ b/edge/sharing.go
@@ -62,9 +62,9 @@
 	defer s.mu.Unlock()
 	if now.Sub(s.pruned) > refusalRetention {
 		s.pruned = now
-		for m, at := range s.refused {
+		for key, at := range s.refused {
 			if now.Sub(at) > refusalRetention {
-				delete(s.refused, m)
+				delete(s.refused, key)
 			}
 		}
 	}
@@ -81,7 +81,8 @@
 	return s.shares.Own(now)
 }
 
-// aggregated returns the same for this box and those that report only to it.
+// aggregated returns the capacity granted and refused at this box and those that report
+// only to it.
 func (s *sharing) aggregated(now time.Time) []wire.OrganisationUse {
 	if s.shares == nil {
 		return nil
@@ -97,7 +98,7 @@
 	}
 }
 
-// without returns the same for all boxes but one.
+// without returns the capacity granted and refused at all boxes but one.
 func (s *sharing) without(now time.Time, box string) []wire.OrganisationUse {
 	if s.shares == nil {
 		return nil
--- a/edge/speeds.go
+++ b/edge/speeds.go
@@ -32,11 +32,11 @@
 func (e *Edge) recordSpeedsSent(now time.Time, hub string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	m := e.hubStates[hub]
-	if now.Sub(m.speedsSent) < speedsInterval {
+	state := e.hubStates[hub]
+	if now.Sub(state.speedsSent) < speedsInterval {
 		return false
 	}
-	m.speedsSent = now
-	e.hubStates[hub] = m
+	state.speedsSent = now
+	e.hubStates[hub] = state
 	return true
 }
--- a/edge/trials.go
+++ b/edge/trials.go
@@ -13,15 +13,15 @@
 	// maxTrialTime is how long a request may hold its turn: enough to read a prompt and
 	// produce a first event. If its box dies, the next try waits that long.
 	maxTrialTime = 3 * time.Second
-	// trialReportDelay is how long a turn is held after an upstream failure, until the
+	// trialReportDelay is how long a turn is held after an upstream crash, until the
 	// other boxes have its report: two gossip periods and a lost packet.
 	trialReportDelay = 800 * time.Millisecond
 	trialKeyPrefix   = "trial/"
 )
 
-// trials implements relay.Trials: a request under which an upstream has failed is tried
+// trials implements relay.Trials: a request under which an upstream has crashed is tried
 // by one box at a time. Concurrent tries would take down two upstreams before either
-// failure is known.
+// crash is known.
 type trials struct{ *Edge }
 
 func (e *Edge) newTrials() trials { return trials{e} }
@@ -29,7 +29,7 @@
 // Take implements relay.Trials: it takes a turn first among this box's own requests,
 // then among all boxes at the first hub of the fingerprint's rendezvous order. If that
 // hub is unreachable, the request runs without a turn.
-func (t trials) Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (release func(ended bool), ok bool) {
+func (t trials) Take(ctx context.Context, fp fingerprint.Fingerprint, request string) (release func(crashed bool), ok bool) {
 	key := trialKeyPrefix + fp.String()
 	_, ok = t.localTrials.Take(ctx, moveturns.Ask{Box: request, Source: key, Targets: []string{key}, Most: maxTrialTime})
 	if !ok {
@@ -41,12 +41,12 @@
 		releaseLocal()
 		return nil, false
 	}
-	return func(ended bool) {
+	return func(crashed bool) {
 		releaseAll := func() {
 			releaseFleet()
 			releaseLocal()
 		}
-		if ended {
+		if crashed {
 			time.AfterFunc(trialReportDelay, releaseAll)
 			return
 		}
--- a/edge/view.go
+++ b/edge/view.go
@@ -96,6 +96,6 @@
 		return
 	}
 	e.role = role
-	_, tells := e.loads.Part(now)
-	e.log.WithFields(role).WithFields(logrus.Fields{"boxes": e.members.Count(now), "tells": tells, "loads_age_ms": min(e.loads.SumAge(now), neverAge).Milliseconds()}).Info("role")
+	_, aggregated := e.loads.Part(now)
+	e.log.WithFields(role).WithFields(logrus.Fields{"boxes": e.members.Count(now), "tells": aggregated, "loads_age_ms": min(e.loads.SumAge(now), neverAge).Milliseconds()}).Info("role")
 }
