--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -321,11 +321,11 @@
 // fixedShares gives organisations fixed standings.
 type fixedShares map[string]shares.Standing
 
-func (fixedShares) Assigned(time.Time, shares.Party, float64) {}
-func (fixedShares) Refused(time.Time, shares.Party, float64) {}
-func (fixedShares) Waited(time.Time) {}
+func (fixedShares) Assigned(time.Time, shares.Party, float64)     {}
+func (fixedShares) Refused(time.Time, shares.Party, float64)      {}
+func (fixedShares) Waited(time.Time)                              {}
 func (fixedShares) Recompute(time.Time, map[shares.Party]float64) {}
-func (f fixedShares) Standing(p shares.Party) shares.Standing { return f[p.Organisation] }
+func (f fixedShares) Standing(p shares.Party) shares.Standing     { return f[p.Organisation] }
 
 // TestFairOrder lets requests of two organisations wait for a full engine and then ends
 // its runs.
--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -415,7 +415,9 @@
 
 // SetCoverage records whether a box reports only to this one. It is called before
 // Update.
-func (p *Places) SetCoverage(box string, only bool) { p.others.SetCoverage(box, only, peerstate.Coverage{}) }
+func (p *Places) SetCoverage(box string, only bool) {
+	p.others.SetCoverage(box, only, peerstate.Coverage{})
+}
 
 // Update stores a report of another box.
 func (p *Places) Update(now time.Time, box string, list []wire.ServicePlaces) {
--- a/balance/shares/shares.go
+++ b/balance/shares/shares.go
@@ -323,7 +323,9 @@
 
 // SetCoverage records whether a box reports only to this one. It is called before
 // Update.
-func (s *Shares) SetCoverage(box string, only bool) { s.others.SetCoverage(box, only, peerstate.Coverage{}) }
+func (s *Shares) SetCoverage(box string, only bool) {
+	s.others.SetCoverage(box, only, peerstate.Coverage{})
+}
 
 // toWire returns the parties with the most work.
 func toWire(usages map[string]usage) []wire.OrganisationUse {
--- a/edge/reports.go
+++ b/edge/reports.go
@@ -37,10 +37,10 @@
 func (e *Edge) aggregatedReport(now time.Time, withSpeeds bool) (r report, coverage peerstate.Coverage) {
 	tallies, boxes := e.loads.Exclusive(now)
 	r = report{
-		tallies: e.loadsWithStart(tallies),
-		failures: e.failuresWithStart(e.reliability.PartialSum(now)),
-		uses: e.sharing.aggregated(now),
-		places: e.aggregatedPlaces(now),
+		tallies:    e.loadsWithStart(tallies),
+		failures:   e.failuresWithStart(e.reliability.PartialSum(now)),
+		uses:       e.sharing.aggregated(now),
+		places:     e.aggregatedPlaces(now),
 		withSpeeds: withSpeeds,
 	}
 	if withSpeeds {
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -116,7 +116,7 @@
 type Choice struct {
 	Upstream fleet.Upstream
 	Running  upstreamload.Load
-	Load float64 // share of the capacity in use
+	Load     float64 // share of the capacity in use
 	speeds.Evaluation
 	Held bool // cold or limited, and at its limit for now
 }
--- a/relay/quarantine_test.go
+++ b/relay/quarantine_test.go
@@ -28,9 +28,9 @@
 // discardRecords discards the quarantine's metrics and stored records.
 type discardRecords struct{}
 
-func (discardRecords) Quarantined(string) {}
+func (discardRecords) Quarantined(string)                     {}
 func (discardRecords) Save(fingerprint.Fingerprint, []string) {}
-func (discardRecords) Delete(fingerprint.Fingerprint) {}
+func (discardRecords) Delete(fingerprint.Fingerprint)         {}
 
 // newQuarantine returns a quarantine and the fingerprint of the requests in this test.
 func newQuarantine() (*quarantine.Quarantine, fingerprint.Fingerprint) {
@@ -59,19 +59,19 @@
 		found liveness.Finding
 		want  int // ends counted
 	}{
-		"a whole answer, upstream ended": {"/once/", broken, liveness.Ended, 1},
-		"reset, upstream alive": {"/once/", broken, liveness.Alive, 0},
-		"upstream state unknown": {"/once/", broken, liveness.Unknown, 0},
-		"upstream leaving": {"/once/", broken, liveness.Leaving, 0},
-		"nothing was sent": {"/once/", reply{err: errReset, notSent: true}, liveness.Ended, 0},
+		"a whole answer, upstream ended":      {"/once/", broken, liveness.Ended, 1},
+		"reset, upstream alive":               {"/once/", broken, liveness.Alive, 0},
+		"upstream state unknown":              {"/once/", broken, liveness.Unknown, 0},
+		"upstream leaving":                    {"/once/", broken, liveness.Leaving, 0},
+		"nothing was sent":                    {"/once/", reply{err: errReset, notSent: true}, liveness.Ended, 0},
 		"a repeatable request, two upstreams": {"/safe/", broken, liveness.Ended, 2},
-		"a stream before its first event": {"/draft/", broken, liveness.Ended, 1},
+		"a stream before its first event":     {"/draft/", broken, liveness.Ended, 1},
 		"a stream just after its first event": {"/draft/", early, liveness.Ended, 1},
-		"a stream that has run for a while": {"/draft/", late, liveness.Ended, 0},
-		"a resumed stream, two upstreams": {"/check/", early, liveness.Ended, 2},
-		"the prompt may not have been read": {"/draft/", reply{err: errReset, delay: 20 * time.Millisecond}, liveness.Ended, 1},
-		"an invalid answer": {"/once/", reply{body: "x", unsealed: true}, liveness.Ended, 0},
-		"the caller disconnected": {"/once/", reply{hang: true}, liveness.Ended, 0},
+		"a stream that has run for a while":   {"/draft/", late, liveness.Ended, 0},
+		"a resumed stream, two upstreams":     {"/check/", early, liveness.Ended, 2},
+		"the prompt may not have been read":   {"/draft/", reply{err: errReset, delay: 20 * time.Millisecond}, liveness.Ended, 1},
+		"an invalid answer":                   {"/once/", reply{body: "x", unsealed: true}, liveness.Ended, 0},
+		"the caller disconnected":             {"/once/", reply{hang: true}, liveness.Ended, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -59,32 +59,32 @@
 
 // Components are the dependencies of a relay.
 type Components struct {
-	Routes *routecache.Cache
-	Fleet *fleet.Fleet
-	Picker *picker.Picker
-	Admitter Admitter // nil: requests go directly to the least loaded engine
-	Places *places.Places // nil: requests go directly to the least loaded plain upstream
-	UpstreamLoad *upstreamload.Tracker
-	Reliability *reliability.Reliability
-	Speeds *speeds.Speeds // nil if disabled
-	Sender exchange.Sender
-	Liveness LivenessChecker // nil: broken connections are not examined
-	Quarantine *quarantine.Quarantine // nil: requests are never quarantined
-	Trials Trials // serializes tries of suspected requests; nil: no serialization
-	Limits *upstreamlimits.Tracker // rate limits announced by upstreams
-	Limiter Limiter // enforces these limits; nil: they are not enforced
-	Backoff *backoff.Tracker // backoffs requested by upstreams; nil: they are ignored
-	Budget *retry.Budget
-	Runs *runs.Runs
+	Routes        *routecache.Cache
+	Fleet         *fleet.Fleet
+	Picker        *picker.Picker
+	Admitter      Admitter       // nil: requests go directly to the least loaded engine
+	Places        *places.Places // nil: requests go directly to the least loaded plain upstream
+	UpstreamLoad  *upstreamload.Tracker
+	Reliability   *reliability.Reliability
+	Speeds        *speeds.Speeds // nil if disabled
+	Sender        exchange.Sender
+	Liveness      LivenessChecker         // nil: broken connections are not examined
+	Quarantine    *quarantine.Quarantine  // nil: requests are never quarantined
+	Trials        Trials                  // serializes tries of suspected requests; nil: no serialization
+	Limits        *upstreamlimits.Tracker // rate limits announced by upstreams
+	Limiter       Limiter                 // enforces these limits; nil: they are not enforced
+	Backoff       *backoff.Tracker        // backoffs requested by upstreams; nil: they are ignored
+	Budget        *retry.Budget
+	Runs          *runs.Runs
 	OutputLengths *outputlen.Estimator // of answers, in tokens
-	Prefill *prefill.Prefill
-	Metrics *metrics.Metrics
-	Stopping func() (Stop, bool) // false unless this box is being stopped
-	Full func() bool // reports whether this box has reached its limit of requests
-	Buffers *buffers.Buffers // between upstreams and callers; nil: each event is written before the next is read
-	ServeStale bool // serve with a stale configuration, whatever its age
-	StoreSilence func() time.Duration // since the store last answered any box that reports to this one; 0 if none does; nil: not tracked
-	Log *logrus.Entry
+	Prefill       *prefill.Prefill
+	Metrics       *metrics.Metrics
+	Stopping      func() (Stop, bool)  // false unless this box is being stopped
+	Full          func() bool          // reports whether this box has reached its limit of requests
+	Buffers       *buffers.Buffers     // between upstreams and callers; nil: each event is written before the next is read
+	ServeStale    bool                 // serve with a stale configuration, whatever its age
+	StoreSilence  func() time.Duration // since the store last answered any box that reports to this one; 0 if none does; nil: not tracked
+	Log           *logrus.Entry
 }
 
 // Admitter queues requests until an engine has capacity for them.
@@ -102,24 +102,24 @@
 
 // job is a request that is being served.
 type job struct {
-	req *exchange.Request
-	route route.Route
-	table *route.Table
-	organisation string
-	urgency int
-	deadline time.Time
-	service route.Service
-	tried []string // upstreams to which the request was sent
-	unreached []string // upstreams that could not be reached
-	log *logrus.Entry
-	timeToFirst time.Duration // time to the first event or to the whole answer
-	waited time.Duration // for capacity
-	lengths *outputlen.Estimator
-	print fingerprint.Fingerprint // identifies repeated requests in the quarantine
-	mayHaveRun atomic.Bool // an upstream may have run it
-	upstreamEnded atomic.Bool // an upstream ended while it ran the last try
-	noWait bool // the next try is sent at once or not at all
-	releaseTrial func(ended bool) // releases the trial turn; nil without one
+	req           *exchange.Request
+	route         route.Route
+	table         *route.Table
+	organisation  string
+	urgency       int
+	deadline      time.Time
+	service       route.Service
+	tried         []string // upstreams to which the request was sent
+	unreached     []string // upstreams that could not be reached
+	log           *logrus.Entry
+	timeToFirst   time.Duration // time to the first event or to the whole answer
+	waited        time.Duration // for capacity
+	lengths       *outputlen.Estimator
+	print         fingerprint.Fingerprint // identifies repeated requests in the quarantine
+	mayHaveRun    atomic.Bool             // an upstream may have run it
+	upstreamEnded atomic.Bool             // an upstream ended while it ran the last try
+	noWait        bool                    // the next try is sent at once or not at all
+	releaseTrial  func(ended bool)        // releases the trial turn; nil without one
 }
 
 // lengthKey returns the key of the length statistics that apply to the request.
