--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -14,13 +14,13 @@
 // Refusal is the error that ends a request without an upstream's answer. Values are
 // immutable.
 type Refusal struct {
-	reason  Reason
-	outcome Outcome
-	detail  string
-	places  []string
-	after   time.Duration
-	request string
-	version int
+	reason     Reason
+	outcome    Outcome
+	detail     string
+	places     []string
+	retryAfter time.Duration
+	request    string
+	version    int
 }
 
 // New returns the refusal for a reason, with its default outcome.
@@ -36,7 +36,7 @@
 func (r Refusal) WithOutcome(o Outcome) Refusal { r.outcome = o; return r }
 
 // WithRetryAfter returns a copy with a Retry-After.
-func (r Refusal) WithRetryAfter(d time.Duration) Refusal { r.after = d; return r }
+func (r Refusal) WithRetryAfter(d time.Duration) Refusal { r.retryAfter = d; return r }
 
 // WithPlaces returns a copy with the paths of the invalid fields.
 func (r Refusal) WithPlaces(places []string) Refusal { r.places = places; return r }
@@ -54,7 +54,7 @@
 func (r Refusal) Outcome() Outcome { return r.outcome }
 
 // RetryAfter returns when the caller may retry; 0 if unspecified.
-func (r Refusal) RetryAfter() time.Duration { return r.after }
+func (r Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
 // Error implements error.
 func (r Refusal) Error() string { return string(r.outcome) + "/" + string(r.reason) + ": " + r.detail }
@@ -74,7 +74,7 @@
 		Reason:       string(r.reason),
 		Detail:       r.detail,
 		Places:       r.places,
-		RetryAfterMs: int(r.after.Milliseconds()),
+		RetryAfterMs: int(r.retryAfter.Milliseconds()),
 		Request:      r.request,
 		Version:      r.version,
 	}
@@ -83,9 +83,9 @@
 // Write writes the refusal as an HTTP response.
 func (r Refusal) Write(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
-	if r.after > 0 {
+	if r.retryAfter > 0 {
 		// Retry-After is in whole seconds; round up, so that no caller retries early.
-		seconds := int64((r.after + time.Second - 1) / time.Second)
+		seconds := int64((r.retryAfter + time.Second - 1) / time.Second)
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	w.WriteHeader(r.Status())
