--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange holds what callers, the relay and the clients of upstreams
-// hand to each other: requests, sends and answers, without any protocol's names.
+// Package exchange defines the types that callers, the relay and the clients of upstreams
+// exchange: requests, sends and answers, independent of the protocol on either side.
 package exchange
 
 import (
@@ -9,117 +9,118 @@
 	"petrelstep/fingerprint"
 )
 
-// Segment is one part of a prompt, in order. Parts are shared between requests;
-// the last is a request's own.
+// Segment is one segment of a prompt, in order. Requests may share segments; the last
+// belongs to one request alone.
 type Segment struct {
 	ID     string
 	Tokens int
 }
 
-// Request is one try of a caller. Values are immutable.
+// Request is a caller's request. Values are immutable.
 type Request struct {
 	ID        string
 	Arrived   time.Time
 	Host      string
 	Path      string
-	Key       string // of the caller's organisation; empty without one
-	Wait      time.Duration
+	Key       string        // API key of the caller's organisation; empty without one
+	Wait      time.Duration // how long the caller waits for the answer
 	Model     string
-	Prompt    int // tokens
-	MaxTokens int // most tokens of the answer; 0 where it is not told
-	Hint      int // the caller's guess of the answer's tokens; 0 for none
+	Prompt    int // tokens of the prompt
+	MaxTokens int // maximum number of tokens of the answer; 0 if not given
+	Hint      int // the caller's estimate of the answer's tokens; 0 if not given
 	Segments  []Segment
-	After     int                     // last event that the caller has of an earlier try; NoEvent for none
-	Regions   []string                // where it may be served; none for anywhere
-	Content   fingerprint.Fingerprint // of its method, target and whole body
-	Message   any                     // what only the adapters of callers and upstreams read
+	After     int                     // id of the last event that the caller has from an earlier request; NoEvent for none
+	Regions   []string                // where it may be served; empty for anywhere
+	Content   fingerprint.Fingerprint // of the method, target and whole body
+	Message   any                     // for the adapters of callers and upstreams only
 }
 
-// NoEvent stands for the time before a stream's first event.
+// NoEvent is the event id before the first event of a stream.
 const NoEvent = -1
 
-// Copy names the memory of a run that an upstream holds.
+// Copy identifies a copy of a run's memory (its KV cache) at an upstream.
 type Copy struct {
-	Holder string // address of the upstream that made it
+	Holder string // address of the upstream that made the copy
 	ID     string
 }
 
-// Send is one dispatch of a request to an upstream. Values are immutable.
+// Send is one send of a request to an upstream. Values are immutable.
 type Send struct {
 	Request      *Request
-	Upstream     string // its lifetime's id; any other refuses
+	Upstream     string // expected id; an upstream with another id rejects the request
 	Address      string
-	Left         time.Duration
+	Left         time.Duration // until the deadline
 	Organisation string
 	Urgency      int   // 0 goes first
-	After        int   // last event delivered; NoEvent from the start
-	From         *Copy // memory to go on from
+	After        int   // id of the last event delivered; NoEvent to start from the beginning
+	From         *Copy // copy to continue from; nil for none
 }
 
-// Answer is an upstream's answer from its head on. Close must be called.
+// Answer is an upstream's answer with its head already read. The body must be closed.
 type Answer struct {
 	Status  int
 	NotRun  bool // the upstream states that it did not run the request
-	Sealed  bool // it carries the upstream's seal
-	Framed  bool // its end is told apart from a broken connection
+	Sealed  bool // the answer carries the upstream's seal
+	Framed  bool // the end of the body is distinguishable from a broken connection
 	Limit   Limit
-	Leaving bool          // the upstream says that it leaves
-	Backoff time.Duration // for so long it wants nothing from this box; 0 if it does not say so
-	Message any           // what only the adapters read
+	Leaving bool          // the upstream announces that it is leaving
+	Backoff time.Duration // how long this box should send nothing; 0 for no backoff
+	Message any           // for the adapters only
 	Body    Body
 }
 
-// Limit is what an upstream says in an answer of how many requests it takes.
+// Limit is the rate limit that an upstream announces in an answer.
 type Limit struct {
 	Kind      LimitKind
-	PerSecond float64 // from all boxes together, where it names a limit; 0 or more
+	PerSecond float64 // for all boxes together, if Kind is LimitAnnounced; 0 or more
 }
 
-// LimitKind tells what an answer says of a limit.
+// LimitKind says whether an answer announces a limit.
 type LimitKind int
 
-// What an answer says of a limit.
+// The kinds of limit.
 const (
-	NoLimit        LimitKind = iota // nothing
-	LimitAnnounced                  // how many requests a second
-	LimitInvalid                    // something that is no limit
+	NoLimit        LimitKind = iota // no limit
+	LimitAnnounced                  // a number of requests per second
+	LimitInvalid                    // a value that is not a limit
 )
 
-// Body reads what follows an answer's head.
+// Body is the body of an answer.
 type Body interface {
 	// Next returns the next whole event of a stream; io.EOF after the last.
 	Next() (Event, error)
-	// All returns a body that is no stream, if it is no longer than most bytes;
-	// more tells that there is more to Read.
-	All(most int) (body []byte, more bool, err error)
-	// Read goes on after All.
+	// All returns the body of an answer that is not a stream, up to maxSize bytes; more
+	// reports whether the rest must be read by Read.
+	All(maxSize int) (body []byte, more bool, err error)
+	// Read reads the part of the body that All has not returned.
 	Read(p []byte) (int, error)
 	Close()
 }
 
-// Event is one event of a stream as it came.
+// Event is one event of a stream, unparsed.
 type Event struct {
-	ID  int // NoEvent where it has none
+	ID  int // NoEvent if it has none
 	Raw []byte
 }
 
-// Caller takes the answer to a request. One answer is written, by one of
-// Answer, Refuse and Abort, and then what follows the head.
+// Caller receives the answer to a request. Exactly one of Answer, Refuse and Abort is
+// called first; Write and Abort may follow Answer.
 type Caller interface {
-	// Answer sends an upstream's head; length is that of the body, or negative.
+	// Answer writes the head of an upstream's answer; length is that of the body, or
+	// negative if unknown.
 	Answer(a *Answer, length int) error
-	// Write sends a part of the body at once.
+	// Write writes and flushes a chunk of the body.
 	Write(p []byte) error
-	// Refuse ends the request with the system's own answer.
+	// Refuse ends the request with a refusal.
 	Refuse(err error)
-	// Abort breaks the answer off, so that it cannot look complete.
+	// Abort breaks off the answer, so that it cannot be taken for complete.
 	Abort()
 }
 
-// FailedError says that a send has no answer.
+// FailedError says that a send got no answer.
 type FailedError struct {
-	NotSent bool // certain that nothing reached the upstream
-	Refused bool // nothing listens at its address
+	NotSent bool // certainly nothing reached the upstream
+	Refused bool // the connection was refused
 	Err     error
 }
 
