--- a/runs/runs.go
+++ b/runs/runs.go
@@ -1,5 +1,5 @@
-// Package runs keeps the streams that this box passes on, so that they can be
-// moved from an upstream that leaves.
+// Package runs tracks the streams that this box forwards, so that they can be moved from
+// an upstream that is leaving.
 package runs
 
 import (
@@ -14,38 +14,38 @@
 	"petrelstep/fleet"
 )
 
-// Handoff says where a run goes on.
+// Handoff says where a moved run continues.
 type Handoff struct {
 	Copy   exchange.Copy
 	Target fleet.Upstream
-	Source fleet.Upstream // it can go on there too, should the target refuse
-	OK     bool           // false: the run was not stopped
+	Source fleet.Upstream // where the run continues if the target rejects it
+	OK     bool           // false if the run was not stopped
 }
 
-// Run is one stream that is passed on. It is safe for use by several goroutines.
+// Run is a stream that is being forwarded. It is safe for use by several goroutines.
 type Run struct {
 	Request   *exchange.Request
 	StartedAt time.Time
-	MaxGap    time.Duration // longest pause in time; 0 for any. Set before it is added
+	MaxGap    time.Duration // longest gap between events that is in time; 0 for no limit. Set before Add
 
-	mu        sync.Mutex
-	upstream  fleet.Upstream
-	events    int
-	tokens    int // of memory
-	perEvent  int
-	remaining func(made int) int // expected tokens to come
-	pending   chan Handoff
-	copied    *Handoff
-	ended     bool
+	mu          sync.Mutex
+	upstream    fleet.Upstream
+	events      int
+	tokens      int // held in the upstream's memory
+	eventTokens int
+	remaining   func(made int) int // expected tokens still to come
+	pending     chan Handoff
+	copied      *Handoff
+	ended       bool
 }
 
-// NewRun returns a run at an upstream; an event holds so many tokens, and left
-// tells how many are expected to come once so many were made.
-func NewRun(r *exchange.Request, u fleet.Upstream, perEvent int, left func(made int) int, now time.Time) *Run {
-	return &Run{Request: r, StartedAt: now, upstream: u, tokens: r.Prompt, perEvent: max(perEvent, 1), remaining: left}
+// NewRun returns a run at an upstream. An event holds eventTokens tokens; remaining
+// returns the expected number of tokens still to come after made tokens.
+func NewRun(r *exchange.Request, u fleet.Upstream, eventTokens int, remaining func(made int) int, now time.Time) *Run {
+	return &Run{Request: r, StartedAt: now, upstream: u, tokens: r.Prompt, eventTokens: max(eventTokens, 1), remaining: remaining}
 }
 
-// Upstream returns where it runs.
+// Upstream returns the upstream that runs it.
 func (r *Run) Upstream() fleet.Upstream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,43 +57,44 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events++
-	r.tokens += r.perEvent
+	r.tokens += r.eventTokens
 }
 
-// Events returns how many events were passed on.
+// Events returns the number of events forwarded.
 func (r *Run) Events() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.events
 }
 
-// Tokens returns the memory that it holds.
+// Tokens returns the number of tokens held in the upstream's memory.
 func (r *Run) Tokens() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tokens
 }
 
-// RemainingTokens returns the expected tokens to come.
+// RemainingTokens returns the expected number of tokens still to come.
 func (r *Run) RemainingTokens() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.remaining(r.events * r.perEvent)
+	return r.remaining(r.events * r.eventTokens)
 }
 
-// RemainingEvents returns the expected events to come.
-func (r *Run) RemainingEvents() int { return max(r.RemainingTokens()/r.perEvent, 1) }
+// RemainingEvents returns the expected number of events still to come; at least 1.
+func (r *Run) RemainingEvents() int { return max(r.RemainingTokens()/r.eventTokens, 1) }
 
-// SetCopy notes a copy made while it runs: should its upstream be lost, it goes
-// on from there.
+// SetCopy records a copy made while the run goes on: it continues from there if its
+// upstream is lost.
 func (r *Run) SetCopy(h Handoff) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.copied = &h
 }
 
-// BeginStop notes that it is being stopped, so that its stream's end is not
-// taken for the end of the answer. It reports false if it has ended.
+// BeginStop records that the run is being stopped, so that the end of its stream is not
+// taken for the end of the answer. It reports false if the run has ended or is being
+// stopped already.
 func (r *Run) BeginStop() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,7 +105,7 @@
 	return true
 }
 
-// ResolveStop tells how the stop that Stopping announced went. The first word counts.
+// ResolveStop sets the result of the stop begun by BeginStop. Only the first call counts.
 func (r *Run) ResolveStop(h Handoff) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,8 +122,8 @@
 	}
 }
 
-// upstreamRestarted forgets a copy at an upstream that has started again, and ends a stop
-// that it can no longer answer. It reports whether a copy was forgotten.
+// upstreamRestarted drops a copy at an upstream that has restarted, and resolves a stop
+// that the restarted upstream can no longer answer. It reports whether a copy was dropped.
 func (r *Run) upstreamRestarted(u fleet.Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,8 +137,8 @@
 	return true
 }
 
-// CancelStop notes that the stop that Stopping announced came to nothing: the run may
-// be stopped again.
+// CancelStop records that the stop begun by BeginStop failed: the run may be stopped
+// again.
 func (r *Run) CancelStop() {
 	r.ResolveStop(Handoff{})
 	r.mu.Lock()
@@ -145,22 +146,22 @@
 	r.pending = nil
 }
 
-// Ended tells whether its answer has ended.
+// Ended reports whether the answer has ended.
 func (r *Run) Ended() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
 }
 
-// IsStopping tells whether it is being stopped.
+// IsStopping reports whether the run is being stopped.
 func (r *Run) IsStopping() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pending != nil
 }
 
-// AwaitHandoff returns where it goes on after its stream has closed: as its stop
-// tells, or from a copy made before. It reports false if there is no such place.
+// AwaitHandoff returns where the run continues after its stream has closed: as the stop
+// resolves, or from an earlier copy. It reports false if it cannot continue.
 func (r *Run) AwaitHandoff(ctx context.Context) (Handoff, bool) {
 	r.mu.Lock()
 	pending, copied := r.pending, r.copied
@@ -180,30 +181,31 @@
 	return *copied, true
 }
 
-// MovedTo notes that it goes on elsewhere.
+// MovedTo records that the run continues at another upstream.
 func (r *Run) MovedTo(u fleet.Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.upstream, r.pending, r.copied = u, nil, nil
 }
 
-// Runs is safe for use by several goroutines.
+// Runs is the registry of a box's runs and sends. It is safe for use by several
+// goroutines.
 type Runs struct {
-	mu   sync.Mutex
-	all  map[*Run]struct{}
-	sent map[*send]struct{}
+	mu    sync.Mutex
+	all   map[*Run]struct{}
+	sends map[*trackedSend]struct{}
 }
 
-// send is a request that is at an upstream, answered or not.
-type send struct {
+// trackedSend is a request at an upstream, whether answered or not.
+type trackedSend struct {
 	upstream fleet.Upstream
-	cut      func()
+	cancel   func()
 }
 
 // New returns an empty registry.
-func New() *Runs { return &Runs{all: map[*Run]struct{}{}, sent: map[*send]struct{}{}} }
+func New() *Runs { return &Runs{all: map[*Run]struct{}{}, sends: map[*trackedSend]struct{}{}} }
 
-// Add adds a run; the returned function takes it out.
+// Add adds a run; the returned function removes it.
 func (s *Runs) Add(r *Run) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,46 +220,44 @@
 	}
 }
 
-// TrackSend notes a request at an upstream until end is called; cut breaks it off if that
-// upstream starts again meanwhile.
-func (s *Runs) TrackSend(u fleet.Upstream, cut func()) (end func()) {
+// TrackSend tracks a request at an upstream until end is called. If the upstream restarts
+// before, cancel is called.
+func (s *Runs) TrackSend(u fleet.Upstream, cancel func()) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := &send{u, cut}
-	s.sent[at] = struct{}{}
+	sent := &trackedSend{u, cancel}
+	s.sends[sent] = struct{}{}
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.sent, at)
+		delete(s.sends, sent)
 	}
 }
 
-// UpstreamRestarted takes the news that an upstream has started again: what was sent to an
-// earlier incarnation is broken off, and copies there are forgotten. It returns how
-// many of each there were.
-func (s *Runs) UpstreamRestarted(u fleet.Upstream) (cut, copies int) {
+// UpstreamRestarted cancels the requests sent to earlier incarnations of a restarted
+// upstream and drops the copies held there. It returns the number of each.
+func (s *Runs) UpstreamRestarted(u fleet.Upstream) (cancelled, copies int) {
 	s.mu.Lock()
-	var lost []*send
-	for at := range s.sent {
-		if at.upstream.ID == u.ID && at.upstream.Born < u.Born {
-			lost = append(lost, at)
+	var lost []*trackedSend
+	for sent := range s.sends {
+		if sent.upstream.ID == u.ID && sent.upstream.Born < u.Born {
+			lost = append(lost, sent)
 		}
 	}
 	runs := slices.Collect(maps.Keys(s.all))
 	s.mu.Unlock()
-	for _, r := range runs { // before the streams break, which ask for copies then
+	for _, r := range runs { // before the streams break, as they look for copies then
 		if r.upstreamRestarted(u) {
 			copies++
 		}
 	}
-	for _, at := range lost {
-		at.cut()
+	for _, sent := range lost {
+		sent.cancel()
 	}
 	return len(lost), copies
 }
 
-// At returns the runs at an upstream, the one with the least memory first: it
-// leaves the soonest.
+// At returns the runs at an upstream, in order of memory: the smallest move fastest.
 func (s *Runs) At(upstream string) []*Run {
 	s.mu.Lock()
 	var list []*Run
@@ -276,7 +276,7 @@
 	return list
 }
 
-// Upstreams returns the ids of upstreams that have runs.
+// Upstreams returns the upstreams that have runs, by id.
 func (s *Runs) Upstreams() map[string]fleet.Upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +288,7 @@
 	return found
 }
 
-// Len returns how many there are.
+// Len returns the number of runs.
 func (s *Runs) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
