--- a/sse/sse.go
+++ b/sse/sse.go
@@ -1,6 +1,6 @@
 // Package sse reads and writes server-sent events
-// (https://html.spec.whatwg.org/multipage/server-sent-events.html), as far as
-// token streams need them: single-line data, numeric ids.
+// (https://html.spec.whatwg.org/multipage/server-sent-events.html), limited to what token
+// streams use: single-line data and numeric ids.
 package sse
 
 import (
@@ -10,61 +10,61 @@
 	"strconv"
 )
 
-// lineMost bounds a line, in bytes; an engine's token is far smaller.
-const lineMost = 64 << 10
+// maxLineSize bounds a line, in bytes; tokens are far smaller.
+const maxLineSize = 64 << 10
 
-// Event is one event. Data is valid until the next call of Next.
+// Event is a server-sent event. Data is valid until the next call of Next.
 type Event struct {
-	Name string // empty for a token
-	ID   int    // offset of the token; -1 where there is none
+	Name string // event type; empty for a token
+	ID   int    // offset of the token; -1 if there is none
 	Data []byte
 }
 
-// FormatError says that a peer sent what is no event stream.
+// FormatError reports an invalid event stream.
 type FormatError struct{ Detail string }
 
 // Error implements error.
 func (e *FormatError) Error() string { return "event stream: " + e.Detail }
 
-// Reader reads a stream of events.
+// Reader reads events from a stream.
 type Reader struct {
 	in  *bufio.Reader
 	buf []byte
 }
 
-// New returns a reader on a stream.
-func New(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, lineMost)} }
+// New returns a reader of a stream.
+func New(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, maxLineSize)} }
 
-// Buffered tells whether more has already arrived.
+// Buffered reports whether more of the stream has already arrived.
 func (r *Reader) Buffered() bool { return r.in.Buffered() > 0 }
 
-// Next returns the next event; io.EOF at the stream's end, and
-// io.ErrUnexpectedEOF within an event.
+// Next returns the next event. It returns io.EOF at the end of the stream, and
+// io.ErrUnexpectedEOF if the stream ends within an event.
 func (r *Reader) Next() (Event, error) {
 	e := Event{ID: -1}
-	some := false
+	inEvent := false
 	r.buf = r.buf[:0]
 	for {
 		line, err := r.in.ReadSlice('\n')
 		if err != nil {
-			return Event{}, r.failure(err, some || len(line) > 0)
+			return Event{}, r.readError(err, inEvent || len(line) > 0)
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			if !some {
+			if !inEvent {
 				continue
 			}
 			e.Data = r.buf
 			return e, nil
 		}
-		some = true
-		if err := r.field(&e, line); err != nil {
+		inEvent = true
+		if err := r.parseField(&e, line); err != nil {
 			return Event{}, err
 		}
 	}
 }
 
-func (r *Reader) failure(err error, within bool) error {
+func (r *Reader) readError(err error, within bool) error {
 	if err == bufio.ErrBufferFull {
 		return &FormatError{Detail: "line too long"}
 	}
@@ -74,16 +74,16 @@
 	return err
 }
 
-func (r *Reader) field(e *Event, line []byte) error {
+func (r *Reader) parseField(e *Event, line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
 	case "event":
-		e.Name = nameOf(value)
+		e.Name = internName(value)
 	case "id":
-		id, ok := number(value)
+		id, ok := parseOffset(value)
 		if !ok {
-			return &FormatError{Detail: "id is no offset"}
+			return &FormatError{Detail: "id is not a number"}
 		}
 		e.ID = id
 	case "data":
@@ -92,14 +92,14 @@
 	return nil
 }
 
-// Names of events on the streams of engines and of boxes.
+// Event types on the streams of engines and boxes.
 const (
 	Start = "start"
 	End   = "end"
 )
 
-// nameOf saves an allocation for the names that are usual.
-func nameOf(value []byte) string {
+// internName returns the name as a string, without allocating for the usual ones.
+func internName(value []byte) string {
 	switch string(value) {
 	case Start:
 		return Start
@@ -109,10 +109,10 @@
 	return string(value)
 }
 
-// number reads a count without the allocation of a string.
-func number(b []byte) (int, bool) {
-	const digitsMost = 15
-	if len(b) == 0 || len(b) > digitsMost {
+// parseOffset parses a decimal number without allocating a string.
+func parseOffset(b []byte) (int, bool) {
+	const maxDigits = 15
+	if len(b) == 0 || len(b) > maxDigits {
 		return 0, false
 	}
 	n := 0
--- a/sse/sse_test.go
+++ b/sse/sse_test.go
@@ -45,10 +45,10 @@
 
 func TestBadFormat(t *testing.T) {
 	tests := map[string]string{
-		"id is a word":  "id: x\n\n",
-		"id negative":   "id: -1\n\n",
-		"id huge":       "id: 99999999999999999999\n\n",
-		"line too long": "data: " + strings.Repeat("x", 70_000) + "\n\n",
+		"id is not a number": "id: x\n\n",
+		"id negative":        "id: -1\n\n",
+		"id huge":            "id: 99999999999999999999\n\n",
+		"line too long":      "data: " + strings.Repeat("x", 70_000) + "\n\n",
 	}
 	for name, in := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,8 @@
 	}
 }
 
-// FuzzNext reads anything: no panic, and what is read can be written again.
+// FuzzNext guards against panics on invalid input, and checks that events survive being
+// written and read again.
 func FuzzNext(f *testing.F) {
 	f.Add([]byte("event: start\ndata: {}\n\nid: 0\ndata: \"a\"\n\n"))
 	f.Add([]byte("id: 1\r\ndata: x\r\n\r\n: c\n\n"))
