--- a/relay/stream.go
+++ b/relay/stream.go
@@ -38,19 +38,19 @@
 
 // forwarder is the state of a stream that is being forwarded.
 type forwarder struct {
-	job         *job
-	caller      exchange.Caller
-	run         *runs.Run
-	resp        *response
-	headSent    bool // the head has been written to the caller
-	lastEvent   int  // id of the last event forwarded
-	count       int
-	lastEventAt time.Time     // when the last event was forwarded
-	maxGap      time.Duration // the longest gap between two events
-	maxGapEnd   time.Time     // when the longest gap ended
-	moved       bool          // the run has moved since the last event
-	moves       int
-	maxGapMoved bool // the run moved during the longest gap
+	job             *job
+	caller          exchange.Caller
+	run             *runs.Run
+	resp            *response
+	headSent        bool // the head has been written to the caller
+	lastEvent       int  // id of the last event forwarded
+	count           int
+	lastEventAt     time.Time     // when the last event was forwarded
+	longestGap      time.Duration // the longest gap between two events
+	longestGapEnd   time.Time     // when the longest gap ended
+	moved           bool          // the run has moved since the last event
+	moves           int
+	longestGapMoved bool // the run moved during the longest gap
 }
 
 // serveStream serves a request whose answer is a stream.
@@ -253,8 +253,8 @@
 
 // recordGap records the time between two events.
 func (f *forwarder) recordGap(pause time.Duration) {
-	if pause > f.maxGap {
-		f.maxGap, f.maxGapEnd, f.maxGapMoved = pause, f.lastEventAt.Add(pause), f.moved
+	if pause > f.longestGap {
+		f.longestGap, f.longestGapEnd, f.longestGapMoved = pause, f.lastEventAt.Add(pause), f.moved
 	}
 	f.moved = false
 }
@@ -336,11 +336,11 @@
 
 // finishStream records the outcome of a stream and ends the answer.
 func (r *Relay) finishStream(ctx context.Context, f *forwarder, err error) {
-	r.Metrics.Streamed(f.count, f.job.timeToFirst.Seconds(), f.maxGap.Seconds(), max(f.maxGap-f.job.route.Gap, 0).Seconds())
+	r.Metrics.Streamed(f.count, f.job.timeToFirst.Seconds(), f.longestGap.Seconds(), max(f.longestGap-f.job.route.Gap, 0).Seconds())
 	f.job.lengths.End(f.job.lengthKey(), f.count*f.job.eventTokens(), err != nil)
 	log := f.job.log.WithFields(logrus.Fields{
-		"upstream": f.resp.upstream.ID, "events": f.count, "first_ms": f.job.timeToFirst.Milliseconds(), "gap_ms": f.maxGap.Milliseconds(),
-		"waited_ms": f.job.waited.Milliseconds(), "gap_after_ms": max(f.maxGapEnd.Sub(f.job.req.Arrived), 0).Milliseconds(), "gap_moved": f.maxGapMoved, "moves": f.moves, "hall": f.resp.upstream.Hall,
+		"upstream": f.resp.upstream.ID, "events": f.count, "first_ms": f.job.timeToFirst.Milliseconds(), "gap_ms": f.longestGap.Milliseconds(),
+		"waited_ms": f.job.waited.Milliseconds(), "gap_after_ms": max(f.longestGapEnd.Sub(f.job.req.Arrived), 0).Milliseconds(), "gap_moved": f.longestGapMoved, "moves": f.moves, "hall": f.resp.upstream.Hall,
 		"aim_ms": f.job.route.Aim.Milliseconds(), "gap_aim_ms": f.job.route.Gap.Milliseconds(), "took_ms": time.Since(f.job.req.Arrived).Milliseconds(),
 	})
 	switch {
