--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -26,8 +26,8 @@
 	whole   = 6
 )
 
-// body is what an engine sends on one connection. A frozen one says nothing
-// more, and does not end.
+// body is the body of one connection to an engine. A frozen one blocks at its end until it
+// is closed.
 type body struct {
 	io.Reader
 	frozen bool
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// stream writes an engine's stream.
+// stream builds the stream of an engine.
 type stream struct {
 	strings.Builder
 	frozen bool
@@ -83,12 +83,12 @@
 	return b
 }
 
-// engines sends one scripted stream after another, then streams that are sound
-// from the offset asked for, or says that it holds nothing.
+// engines is a client that returns the scripted streams in order, and after them complete
+// streams from the requested offset, or the error that the generation is gone.
 type engines struct {
 	scripts []*stream
 	gone    bool
-	resumes []int // offsets asked for
+	resumes []int // offsets requested
 }
 
 func (e *engines) Generate(context.Context, string, wire.EngineJob) (*engine.Stream, error) {
@@ -109,11 +109,11 @@
 	if e.gone {
 		return nil, &engine.Error{Kind: engine.Gone, Err: &engine.StatusError{Status: 404}}
 	}
-	sound := new(stream).start(attempt).tokens(attempt, from, whole).end(attempt, whole, wire.EngineEndWhyDone)
-	return engine.NewStream(newBody(sound.String(), false)), nil
+	complete := new(stream).start(attempt).tokens(attempt, from, whole).end(attempt, whole, wire.EngineEndWhyDone)
+	return engine.NewStream(newBody(complete.String(), false)), nil
 }
 
-// read takes a generation to its end and returns the text received.
+// read reads a generation to its end and returns its tokens and hash.
 func read(e *engines) (got []string, hash string, err error) {
 	ctx := context.Background()
 	g, err := generation.New(ctx, e, "", wire.EngineJob{Attempt: attempt}, func() {})
@@ -132,39 +132,40 @@
 	}
 }
 
-// TestNext is the fault matrix of a generation's life, fault x step: the
-// caller gets each token once, in order, all of one attempt, or is told.
+// TestNext covers each fault at each step of a generation. It guards against missing,
+// repeated and reordered tokens, tokens of another attempt, and an end that is not
+// reported.
 func TestNext(t *testing.T) {
 	type s = stream
 	tests := map[string]struct {
 		scripts []*stream
 		gone    bool
-		lost    int // tokens read before it was told lost, -1 for none
+		lost    int // tokens read before a LostError; -1 for none
 		cancel  bool
 		resumes []int
 	}{
-		"sound x whole":          {lost: -1},
-		"cut x before start":     {scripts: []*s{new(s)}, lost: -1, resumes: []int{0}},
-		"cut x after start":      {scripts: []*s{new(s).start(attempt)}, lost: -1, resumes: []int{0}},
-		"cut x middle":           {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3)}, lost: -1, resumes: []int{3}},
-		"cut x before the end":   {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, whole)}, lost: -1, resumes: []int{whole}},
-		"cut x twice":            {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 2), new(s).start(attempt).tokens(attempt, 2, 4)}, lost: -1, resumes: []int{2, 4}},
-		"freeze x before start":  {scripts: []*s{new(s).freeze()}, lost: -1, resumes: []int{0}},
-		"freeze x middle":        {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).freeze()}, lost: -1, resumes: []int{3}},
-		"freeze, then cut":       {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).freeze(), new(s)}, lost: -1, resumes: []int{3, 3}},
-		"repeat x middle":        {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 4).tokens(attempt, 1, whole).end(attempt, whole, wire.EngineEndWhyDone)}, lost: -1},
-		"gap x middle":           {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 2).tokens(attempt, 3, whole)}, lost: -1, resumes: []int{2}},
-		"crossed x start":        {scripts: []*s{new(s).start("a2").tokens("a2", 0, whole).end("a2", whole, wire.EngineEndWhyDone)}, lost: -1, resumes: []int{0}},
-		"crossed x taking up":    {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3), new(s).start("a2").tokens("a2", 3, whole)}, lost: -1, resumes: []int{3, 3}},
-		"crossed x end":          {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end("a2", 3, wire.EngineEndWhyDone)}, lost: -1, resumes: []int{3}},
-		"late x no start":        {scripts: []*s{new(s).tokens("a2", 0, whole)}, lost: -1, resumes: []int{0}},
-		"short end x middle":     {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end(attempt, whole, wire.EngineEndWhyDone)}, lost: -1, resumes: []int{3}},
-		"kill x before first":    {scripts: []*s{new(s).start(attempt)}, gone: true, lost: 0, resumes: []int{0}},
-		"kill x middle":          {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3)}, gone: true, lost: 3, resumes: []int{3}},
-		"cut, then kill":         {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 1), new(s).start(attempt).tokens(attempt, 1, 4)}, gone: true, lost: 4, resumes: []int{1, 4}},
-		"reclaim x lost at end":  {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end(attempt, 3, wire.EngineEndWhyLost)}, gone: true, lost: 3, resumes: []int{3}},
-		"cancel x middle":        {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end(attempt, 3, wire.EngineEndWhyCancelled)}, cancel: true, lost: -1},
-		"wrong for ever x start": {scripts: []*s{new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x")}, lost: 0, resumes: []int{0, 0, 0, 0, 0}},
+		"no fault":                     {lost: -1},
+		"cut x before start":           {scripts: []*s{new(s)}, lost: -1, resumes: []int{0}},
+		"cut x after start":            {scripts: []*s{new(s).start(attempt)}, lost: -1, resumes: []int{0}},
+		"cut x middle":                 {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3)}, lost: -1, resumes: []int{3}},
+		"cut x before the end":         {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, whole)}, lost: -1, resumes: []int{whole}},
+		"cut x twice":                  {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 2), new(s).start(attempt).tokens(attempt, 2, 4)}, lost: -1, resumes: []int{2, 4}},
+		"freeze x before start":        {scripts: []*s{new(s).freeze()}, lost: -1, resumes: []int{0}},
+		"freeze x middle":              {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).freeze()}, lost: -1, resumes: []int{3}},
+		"freeze, then cut":             {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).freeze(), new(s)}, lost: -1, resumes: []int{3, 3}},
+		"repeat x middle":              {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 4).tokens(attempt, 1, whole).end(attempt, whole, wire.EngineEndWhyDone)}, lost: -1},
+		"gap x middle":                 {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 2).tokens(attempt, 3, whole)}, lost: -1, resumes: []int{2}},
+		"other attempt x start":        {scripts: []*s{new(s).start("a2").tokens("a2", 0, whole).end("a2", whole, wire.EngineEndWhyDone)}, lost: -1, resumes: []int{0}},
+		"other attempt x resume":       {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3), new(s).start("a2").tokens("a2", 3, whole)}, lost: -1, resumes: []int{3, 3}},
+		"other attempt x end":          {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end("a2", 3, wire.EngineEndWhyDone)}, lost: -1, resumes: []int{3}},
+		"no start x other attempt":     {scripts: []*s{new(s).tokens("a2", 0, whole)}, lost: -1, resumes: []int{0}},
+		"early end x middle":           {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end(attempt, whole, wire.EngineEndWhyDone)}, lost: -1, resumes: []int{3}},
+		"kill x before first":          {scripts: []*s{new(s).start(attempt)}, gone: true, lost: 0, resumes: []int{0}},
+		"kill x middle":                {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3)}, gone: true, lost: 3, resumes: []int{3}},
+		"cut, then kill":               {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 1), new(s).start(attempt).tokens(attempt, 1, 4)}, gone: true, lost: 4, resumes: []int{1, 4}},
+		"reclaim x lost at the end":    {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end(attempt, 3, wire.EngineEndWhyLost)}, gone: true, lost: 3, resumes: []int{3}},
+		"cancel x middle":              {scripts: []*s{new(s).start(attempt).tokens(attempt, 0, 3).end(attempt, 3, wire.EngineEndWhyCancelled)}, cancel: true, lost: -1},
+		"always other attempt x start": {scripts: []*s{new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x"), new(s).start("x")}, lost: 0, resumes: []int{0, 0, 0, 0, 0}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -173,7 +174,7 @@
 				e := &engines{scripts: tt.scripts, gone: tt.gone}
 				began := time.Now()
 				got, hash, err := read(e)
-				is.True(time.Since(began) < time.Minute) // of virtual time: silence is noticed
+				is.True(time.Since(began) < time.Minute) // in virtual time: silence is detected
 				var lost *generation.LostError
 				switch {
 				case tt.lost >= 0:
@@ -195,8 +196,8 @@
 	}
 }
 
-// TestNextRandom sends random streams, each with random faults: whatever comes,
-// the tokens passed on are a beginning of the one generation, each once.
+// TestNextRandom reads random streams with random faults: the tokens must be a prefix of
+// the generation, each once.
 func TestNextRandom(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		e := &engines{gone: rapid.Bool().Draw(rt, "gone")}
@@ -207,11 +208,11 @@
 		var err error
 		synctest.Test(t, func(*testing.T) { got, _, err = read(e) })
 		if err == io.EOF && len(got) != whole {
-			rt.Fatalf("whole after %d tokens", len(got))
+			rt.Fatalf("generation ended after %d tokens", len(got))
 		}
 		for i := range got {
 			if got[i] != text.Token(attempt, i) {
-				rt.Fatalf("token %d is of another generation or place", i)
+				rt.Fatalf("token %d is of another generation or offset", i)
 			}
 		}
 	})
@@ -228,8 +229,8 @@
 		s.tokens(of, from, rapid.IntRange(from, whole).Draw(rt, "to"))
 	}
 	if rapid.Bool().Draw(rt, "end") {
-		// An engine that says done before the end of its own generation cannot
-		// be found out by anybody: it is not among the faults.
+		// An engine that reports the end of its own generation too early cannot be
+		// detected, so it is not among the faults.
 		s.end(of, whole, rapid.SampledFrom([]wire.EngineEndWhy{wire.EngineEndWhyDone, wire.EngineEndWhyLost}).Draw(rt, "why"))
 	}
 	if rapid.IntRange(0, 4).Draw(rt, "frozen") == 0 {
