--- a/relay/limited.go
+++ b/relay/limited.go
@@ -42,8 +42,8 @@
 	Limit(upstream string) (perSecond float64, limited bool)
 	// UsedUp returns how long the upstream's limit is known to be used up.
 	UsedUp(now time.Time, upstream string) time.Duration
-	// Take reserves a time to send a request to an upstream, if one is free within a.Wait.
-	Take(ctx context.Context, a LimitRequest) ratelimit.Turn
+	// Take reserves a time to send a request to an upstream, if one is free within req.Wait.
+	Take(ctx context.Context, req LimitRequest) ratelimit.Turn
 }
 
 // placeLimited picks a plain upstream for a request, whatever the kind of try. A limit
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -198,7 +198,7 @@
 	load        *upstreamload.Tracker
 	reliability *reliability.Reliability
 	relay       *relay.Relay
-	leaves      time.Duration // time until the box exits; 0 if it is not stopping
+	exitsIn     time.Duration // time until the box exits; 0 if it is not stopping
 	mostBoxes   bool          // most boxes are stopping
 	full        bool
 }
@@ -244,16 +244,16 @@
 		Picker: picker.New(picker.Parts{Fleet: w.fleet, Tally: w.load, Reliability: w.reliability, Reading: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
 		Full: func() bool { return w.full },
 		Stopping: func() (relay.Stop, bool) {
-			return relay.Stop{Since: grace - w.leaves, Remaining: w.leaves, MostBoxes: w.mostBoxes}, w.leaves > 0
+			return relay.Stop{Since: grace - w.exitsIn, Remaining: w.exitsIn, MostBoxes: w.mostBoxes}, w.exitsIn > 0
 		}, Log: logs.New(io.Discard, "info", "b"),
 	})
 	return w
 }
 
 // learnLengths records a hundred answers of each length.
-func (w *world) learnLengths(k outputlen.Key, like []int) {
+func (w *world) learnLengths(k outputlen.Key, lengths []int) {
 	for range 100 {
-		for _, tokens := range like {
+		for _, tokens := range lengths {
 			w.relay.OutputLengths.Progress(k, 0, tokens)
 			w.relay.OutputLengths.End(k, tokens, false)
 		}
@@ -278,50 +278,50 @@
 // TestAdmit checks requests against the box's configuration.
 func TestAdmit(t *testing.T) {
 	tests := map[string]struct {
-		path   string
-		key    string
-		age    time.Duration
-		none   bool
-		full   bool // the box is full
-		open   bool // serve with a stale configuration
-		leaves time.Duration
-		want   refusal.Reason // empty if served
-		again  bool           // the refusal has a Retry-After
+		path       string
+		key        string
+		age        time.Duration
+		noConfig   bool
+		full       bool // the box is full
+		serveStale bool // serve with a stale configuration
+		exitsIn    time.Duration
+		want       refusal.Reason // empty if served
+		retryAfter bool           // the refusal has a Retry-After
 	}{
 		"served":                                {path: "/safe/", key: "key"},
-		"no configuration yet":                  {path: "/safe/", key: "key", none: true, want: refusal.NotReady, again: true},
+		"no configuration yet":                  {path: "/safe/", key: "key", noConfig: true, want: refusal.NotReady, retryAfter: true},
 		"no key":                                {path: "/safe/", want: refusal.NoKey},
 		"unknown key":                           {path: "/safe/", key: "other", want: refusal.WrongKey},
 		"unknown route":                         {path: "/other/", key: "key", want: refusal.UnknownRoute},
 		"public without a key":                  {path: "/public/"},
-		"a service without upstreams":           {path: "/nowhere/", key: "key", want: refusal.NoUpstream, again: true},
-		"stale, a known key":                    {path: "/safe/", key: "key", age: 4700 * time.Millisecond, want: refusal.StaleConfiguration, again: true},
-		"stale, an unknown key":                 {path: "/safe/", key: "other", age: 5 * time.Second, want: refusal.StaleConfiguration, again: true},
-		"stale, an unknown route":               {path: "/other/", key: "key", age: 5 * time.Second, want: refusal.StaleConfiguration, again: true},
+		"a service without upstreams":           {path: "/nowhere/", key: "key", want: refusal.NoUpstream, retryAfter: true},
+		"stale, a known key":                    {path: "/safe/", key: "key", age: 4700 * time.Millisecond, want: refusal.StaleConfiguration, retryAfter: true},
+		"stale, an unknown key":                 {path: "/safe/", key: "other", age: 5 * time.Second, want: refusal.StaleConfiguration, retryAfter: true},
+		"stale, an unknown route":               {path: "/other/", key: "key", age: 5 * time.Second, want: refusal.StaleConfiguration, retryAfter: true},
 		"stale, public":                         {path: "/public/", age: time.Minute},
-		"stale, served":                         {path: "/safe/", key: "key", age: time.Minute, open: true},
-		"stale, served, an unknown key":         {path: "/safe/", key: "other", age: time.Minute, open: true, want: refusal.StaleConfiguration, again: true},
-		"stale, served, an unknown route":       {path: "/other/", key: "key", age: time.Minute, open: true, want: refusal.StaleConfiguration, again: true},
-		"fresh, an unknown key":                 {path: "/safe/", key: "other", open: true, want: refusal.WrongKey},
-		"stale is served, no configuration yet": {path: "/safe/", key: "key", open: true, none: true, want: refusal.NotReady, again: true},
-		"the box is full":                       {path: "/safe/", key: "key", full: true, want: refusal.BoxFull, again: true},
-		"stopping, a short request":             {path: "/safe/", key: "key", leaves: 8 * time.Second},
-		"stopping soon, a short request":        {path: "/safe/", key: "key", leaves: time.Second, want: refusal.Draining, again: true},
-		"stopping, a check":                     {path: "/check/", key: "key", leaves: 8 * time.Second},
-		"stopping soon, a check":                {path: "/check/", key: "key", leaves: 5 * time.Second, want: refusal.Draining, again: true},
-		"stopping soon, a draft":                {path: "/draft/", key: "key", leaves: 5 * time.Second, want: refusal.Draining, again: true},
+		"stale, served":                         {path: "/safe/", key: "key", age: time.Minute, serveStale: true},
+		"stale, served, an unknown key":         {path: "/safe/", key: "other", age: time.Minute, serveStale: true, want: refusal.StaleConfiguration, retryAfter: true},
+		"stale, served, an unknown route":       {path: "/other/", key: "key", age: time.Minute, serveStale: true, want: refusal.StaleConfiguration, retryAfter: true},
+		"fresh, an unknown key":                 {path: "/safe/", key: "other", serveStale: true, want: refusal.WrongKey},
+		"stale is served, no configuration yet": {path: "/safe/", key: "key", serveStale: true, noConfig: true, want: refusal.NotReady, retryAfter: true},
+		"the box is full":                       {path: "/safe/", key: "key", full: true, want: refusal.BoxFull, retryAfter: true},
+		"stopping, a short request":             {path: "/safe/", key: "key", exitsIn: 8 * time.Second},
+		"stopping soon, a short request":        {path: "/safe/", key: "key", exitsIn: time.Second, want: refusal.Draining, retryAfter: true},
+		"stopping, a check":                     {path: "/check/", key: "key", exitsIn: 8 * time.Second},
+		"stopping soon, a check":                {path: "/check/", key: "key", exitsIn: 5 * time.Second, want: refusal.Draining, retryAfter: true},
+		"stopping soon, a draft":                {path: "/draft/", key: "key", exitsIn: 5 * time.Second, want: refusal.Draining, retryAfter: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, reply{body: "ok", events: []int{0}})
-				if tt.none {
+				if tt.noConfig {
 					w.routes = routecache.New(time.Second)
 					w.relay.Routes = w.routes
 				}
-				w.leaves = tt.leaves
-				w.relay.ServeStale, w.full = tt.open, tt.full
+				w.exitsIn = tt.exitsIn
+				w.relay.ServeStale, w.full = tt.serveStale, tt.full
 				time.Sleep(tt.age)
 				req := request(tt.path)
 				req.Key = tt.key
@@ -335,7 +335,7 @@
 				is.Equal(c.refused.Reason(), tt.want)
 				is.Equal(c.refused.Outcome(), refusal.NotRun)
 				is.Equal(len(w.sender.sends), 0) // "not run" is true
-				is.Equal(c.refused.RetryAfter() > 0, tt.again)
+				is.Equal(c.refused.RetryAfter() > 0, tt.retryAfter)
 			})
 		})
 	}
@@ -504,12 +504,12 @@
 		is := is.New(t)
 		w := newWorld(t, reply{hang: true})
 		w.sharePlaces()
-		const leaves = 70 * time.Millisecond
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(leaves, leave)
+		const disconnectAfter = 70 * time.Millisecond
+		ctx, disconnect := context.WithCancel(t.Context())
+		time.AfterFunc(disconnectAfter, disconnect)
 		began := time.Now()
 		c := w.serve(ctx, "/safe/")
-		is.Equal(time.Since(began), leaves)
+		is.Equal(time.Since(began), disconnectAfter)
 		is.Equal(len(w.sender.sends), 2)
 		is.Equal(c.refused.Reason(), refusal.CallerGone)
 		is.Equal(len(w.load.Own()), 0)
@@ -752,35 +752,35 @@
 // TestStop checks which drafts a stopping box accepts, and the Retry-After of the others.
 func TestStop(t *testing.T) {
 	tests := map[string]struct {
-		like  []int // lengths of earlier answers, in tokens
-		left  time.Duration
-		most  bool
-		taken bool
-		again time.Duration
+		lengths    []int // lengths of earlier answers, in tokens
+		remaining  time.Duration
+		mostBoxes  bool
+		accepted   bool
+		retryAfter time.Duration
 	}{
-		"similar answers fit":                     {like: []int{320}, left: 8 * time.Second, taken: true},
-		"half of similar answers fit":             {like: []int{320, 2000}, left: 8 * time.Second, again: 50 * time.Millisecond},
-		"two thirds fit, most boxes stop":         {like: []int{320, 320, 2000}, left: 8 * time.Second, most: true, taken: true},
-		"no similar answer fits":                  {like: []int{2000}, left: 8 * time.Second, again: 50 * time.Millisecond},
-		"no similar answer fits, most boxes stop": {like: []int{2000}, left: 8 * time.Second, most: true, again: 3 * time.Second},
-		"short answers fit in the time left":      {like: []int{100}, left: 6 * time.Second, taken: true},
-		"short answers fit, but late in the stop": {like: []int{10}, left: 5 * time.Second, again: 50 * time.Millisecond},
-		"no known lengths":                        {left: 8 * time.Second, again: 50 * time.Millisecond},
+		"similar answers fit":                     {lengths: []int{320}, remaining: 8 * time.Second, accepted: true},
+		"half of similar answers fit":             {lengths: []int{320, 2000}, remaining: 8 * time.Second, retryAfter: 50 * time.Millisecond},
+		"two thirds fit, most boxes stop":         {lengths: []int{320, 320, 2000}, remaining: 8 * time.Second, mostBoxes: true, accepted: true},
+		"no similar answer fits":                  {lengths: []int{2000}, remaining: 8 * time.Second, retryAfter: 50 * time.Millisecond},
+		"no similar answer fits, most boxes stop": {lengths: []int{2000}, remaining: 8 * time.Second, mostBoxes: true, retryAfter: 3 * time.Second},
+		"short answers fit in the time left":      {lengths: []int{100}, remaining: 6 * time.Second, accepted: true},
+		"short answers fit, but late in the stop": {lengths: []int{10}, remaining: 5 * time.Second, retryAfter: 50 * time.Millisecond},
+		"no known lengths":                        {remaining: 8 * time.Second, retryAfter: 50 * time.Millisecond},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, reply{events: []int{0}})
-				w.leaves, w.mostBoxes = tt.left, tt.most
+				w.exitsIn, w.mostBoxes = tt.remaining, tt.mostBoxes
 				req := request("/draft/")
-				w.learnLengths(outputlen.Key{Organisation: "council", Class: "draft"}, tt.like)
+				w.learnLengths(outputlen.Key{Organisation: "council", Class: "draft"}, tt.lengths)
 				c := &caller{}
 				w.relay.Serve(t.Context(), req, c)
-				is.Equal(c.refused == nil, tt.taken)
-				if !tt.taken {
+				is.Equal(c.refused == nil, tt.accepted)
+				if !tt.accepted {
 					is.Equal(c.refused.Reason(), refusal.Draining)
-					is.Equal(c.refused.RetryAfter(), tt.again)
+					is.Equal(c.refused.RetryAfter(), tt.retryAfter)
 					is.Equal(len(w.sender.sends), 0)
 				}
 			})
@@ -791,19 +791,19 @@
 // TestFailuresReported checks which failures of upstreams are reported to other boxes.
 func TestFailuresReported(t *testing.T) {
 	tests := map[string]struct {
-		path  string
-		reply reply
-		leave time.Duration // when the caller disconnects; 0 for never
-		told  bool
+		path       string
+		reply      reply
+		disconnect time.Duration // when the caller disconnects; 0 for never
+		reported   bool
 	}{
 		"an answer":                           {path: "/once/", reply: reply{body: "x"}},
-		"internal error":                      {path: "/once/", reply: reply{status: 500}, told: true},
-		"full":                                {path: "/once/", reply: reply{status: 503, notRun: true}, told: true},
-		"reset":                               {path: "/once/", reply: reply{err: errReset}, told: true},
+		"internal error":                      {path: "/once/", reply: reply{status: 500}, reported: true},
+		"full":                                {path: "/once/", reply: reply{status: 503, notRun: true}, reported: true},
+		"reset":                               {path: "/once/", reply: reply{err: errReset}, reported: true},
 		"a stream":                            {path: "/draft/", reply: reply{events: []int{0, 1}}},
-		"no stream":                           {path: "/draft/", reply: reply{status: 500}, told: true},
-		"hangs, the caller disconnects late":  {path: "/draft/", reply: reply{hang: true}, leave: 4 * time.Second, told: true},
-		"hangs, the caller disconnects early": {path: "/draft/", reply: reply{hang: true}, leave: time.Second},
+		"no stream":                           {path: "/draft/", reply: reply{status: 500}, reported: true},
+		"hangs, the caller disconnects late":  {path: "/draft/", reply: reply{hang: true}, disconnect: 4 * time.Second, reported: true},
+		"hangs, the caller disconnects early": {path: "/draft/", reply: reply{hang: true}, disconnect: time.Second},
 		"a slow stream":                       {path: "/draft/", reply: reply{events: []int{0, 1}, pause: 1900 * time.Millisecond}},
 	}
 	for name, tt := range tests {
@@ -812,11 +812,11 @@
 				w := newWorld(t, tt.reply)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				if tt.leave > 0 {
-					time.AfterFunc(tt.leave, cancel)
+				if tt.disconnect > 0 {
+					time.AfterFunc(tt.disconnect, cancel)
 				}
 				w.serve(ctx, tt.path)
-				is.New(t).Equal(len(w.reliability.Own(time.Now())) > 0, tt.told)
+				is.New(t).Equal(len(w.reliability.Own(time.Now())) > 0, tt.reported)
 			})
 		})
 	}
@@ -965,12 +965,12 @@
 	calls   int
 }
 
-func (p *sequentialAdmitter) Admit(context.Context, admission.Ask) (admission.Grant, error) {
-	id := fmt.Sprint("llm", p.calls)
-	p.calls++
-	u, _ := p.fleet.Get(id)
-	if p.calls == 1 {
-		p.onFirst(u)
+func (a *sequentialAdmitter) Admit(context.Context, admission.Ask) (admission.Grant, error) {
+	id := fmt.Sprint("llm", a.calls)
+	a.calls++
+	u, _ := a.fleet.Get(id)
+	if a.calls == 1 {
+		a.onFirst(u)
 	}
 	return admission.Grant{Upstream: u}, nil
 }
@@ -985,7 +985,7 @@
 		},
 		"hall evacuated": func(w *world, u fleet.Upstream) { w.fleet.CloseHall(time.Now(), u.Hall) },
 	}
-	for name, news := range tests {
+	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -995,7 +995,7 @@
 					u.Born, u.Hall, u.Version = 100, fmt.Sprint("hall", i), u.Version+1
 					w.fleet.Put(time.Now(), u)
 				}
-				w.relay.Admitter = &sequentialAdmitter{fleet: w.fleet, onFirst: func(u fleet.Upstream) { news(w, u) }}
+				w.relay.Admitter = &sequentialAdmitter{fleet: w.fleet, onFirst: func(u fleet.Upstream) { change(w, u) }}
 				c := w.serve(t.Context(), "/draft/")
 				is.Equal(c.body.String(), "0;")
 				is.Equal(len(w.sender.sends), 1)
