--- a/prefill/prefill.go
+++ b/prefill/prefill.go
@@ -1,5 +1,4 @@
-// Package prefill learns how fast engines read prompts, from how long requests
-// wait for their first events.
+// Package prefill estimates the prefill rate of engines from the times to first events.
 package prefill
 
 import (
@@ -8,43 +7,41 @@
 )
 
 const (
-	// guess is what an engine is taken to read in a second until some have been
-	// seen to: the mean of the first model engines that were measured.
-	guess = 7000.0
-	// guessWeight is how many prompts' worth of time the guess counts for.
-	guessWeight = time.Second
-	// kept is the part of what was seen that is kept with each prompt: some 30 of
-	// them count.
-	kept = 0.97
+	// initialRate is the rate assumed without observations, in tokens per second.
+	initialRate = 7000.0
+	// initialWeight is the prefill time that the initial rate counts for.
+	initialWeight = time.Second
+	// decay is the factor on the weight of earlier prompts with each new one, so that
+	// about 30 count.
+	decay = 0.97
 )
 
-// Prefill is safe for use by several goroutines.
+// Prefill is an estimate of the prefill rate. It is safe for concurrent use.
 type Prefill struct {
-	mu     sync.Mutex
-	tokens float64
-	took   float64 // seconds
+	mu      sync.Mutex
+	tokens  float64
+	seconds float64
 }
 
-// New returns a rate that is a guess.
+// New returns an estimate with the initial rate.
 func New() *Prefill {
-	return &Prefill{tokens: guess * guessWeight.Seconds(), took: guessWeight.Seconds()}
+	return &Prefill{tokens: initialRate * initialWeight.Seconds(), seconds: initialWeight.Seconds()}
 }
 
-// Observe notes that so many tokens, a prompt's and those before it, were read in a
-// time.
+// Observe records how long a prompt and those queued before it took, tokens in all.
 func (p *Prefill) Observe(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokens = kept*p.tokens + float64(tokens)
-	p.took = kept*p.took + took.Seconds()
+	p.tokens = decay*p.tokens + float64(tokens)
+	p.seconds = decay*p.seconds + took.Seconds()
 }
 
-// Time returns how long an engine takes to read so many tokens.
+// Time returns the expected time to prefill a number of tokens.
 func (p *Prefill) Time(tokens int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(float64(tokens) * p.took / p.tokens * float64(time.Second))
+	return time.Duration(float64(tokens) * p.seconds / p.tokens * float64(time.Second))
 }
--- a/prefill/prefill_test.go
+++ b/prefill/prefill_test.go
@@ -9,18 +9,19 @@
 	"petrelstep/prefill"
 )
 
-// TestPrefill follows engines of other speeds than was guessed.
+// TestPrefill checks that the estimate follows engines that are faster or slower than
+// the initial rate.
 func TestPrefill(t *testing.T) {
 	tests := map[string]struct {
 		tokens int
 		took   time.Duration
 		want   time.Duration // for 1,000 tokens
 	}{
-		"slow":        {tokens: 1000, took: time.Second, want: time.Second},
-		"fast":        {tokens: 4000, took: 100 * time.Millisecond, want: 25 * time.Millisecond},
-		"no tokens":   {took: time.Second, want: time.Second / 7},
-		"in no time":  {tokens: 1000, want: time.Second / 7},
-		"as expected": {tokens: 7000, took: time.Second, want: time.Second / 7},
+		"slow":         {tokens: 1000, took: time.Second, want: time.Second},
+		"fast":         {tokens: 4000, took: 100 * time.Millisecond, want: 25 * time.Millisecond},
+		"zero tokens":  {took: time.Second, want: time.Second / 7},
+		"zero time":    {tokens: 1000, want: time.Second / 7},
+		"initial rate": {tokens: 7000, took: time.Second, want: time.Second / 7},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
