--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -20,24 +20,24 @@
 	"petrelstep/wire"
 )
 
-// network answers calls to boxes, by address, unless they are struck.
+// network answers calls to boxes, by address, unless a fault is injected.
 type network struct {
 	mu     sync.Mutex
-	struck map[string]string // how: refused or silent
+	faults map[string]string // by address: refused, silent, lossy or another
 	calls  map[string][]time.Time
 	forgot map[string]int
-	random *rand.Rand // draws which calls are lost of those that are struck lossy
+	random *rand.Rand // selects the lost calls of lossy boxes
 }
 
 func (n *network) Repeat(ctx context.Context, address, method string, _, reply any) error {
 	n.mu.Lock()
 	n.calls[address] = append(n.calls[address], time.Now())
-	how := n.struck[address]
-	if how == "lossy" && n.random.IntN(3) == 0 {
-		how = "silent"
+	fault := n.faults[address]
+	if fault == "lossy" && n.random.IntN(3) == 0 {
+		fault = "silent"
 	}
 	n.mu.Unlock()
-	switch how {
+	switch fault {
 	case "refused":
 		return &peer.Error{Address: address, Method: method, Refused: true, Err: io.EOF}
 	case "silent":
@@ -45,8 +45,8 @@
 		return &peer.Error{Address: address, Method: method, Err: ctx.Err()}
 	}
 	reply.(*wire.GossipAnswer).Sender.Box = address
-	if how == "another" {
-		reply.(*wire.GossipAnswer).Sender.Box = "stranger"
+	if fault == "another" {
+		reply.(*wire.GossipAnswer).Sender.Box = "other box"
 	}
 	return nil
 }
@@ -57,20 +57,20 @@
 	n.forgot[address]++
 }
 
-func (n *network) strike(address, how string) {
+func (n *network) inject(address, fault string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.struck[address] = how
+	n.faults[address] = fault
 }
 
-// called returns how many boxes were called.
+// called returns the number of boxes that were called.
 func (n *network) called() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.calls)
 }
 
-// since returns how often an address was called after a time.
+// since returns the number of calls to an address after a time.
 func (n *network) since(address string, at time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,7 +83,7 @@
 	return count
 }
 
-// lines is a log.
+// lines collects log lines.
 type lines struct {
 	mu  sync.Mutex
 	all []string
@@ -96,7 +96,7 @@
 	return len(line), nil
 }
 
-// count returns how many lines tell of an event at a peer.
+// count returns the number of lines about an event at a peer.
 func (l *lines) count(event, peer string) int {
 	count := 0
 	for _, line := range l.all {
@@ -108,8 +108,8 @@
 }
 
 type box struct {
-	mu    sync.Mutex
-	heard map[string]time.Time
+	mu      sync.Mutex
+	answers map[string]time.Time // by hub
 }
 
 func (*box) ReportFor(members.Box) wire.Gossip { return wire.Gossip{} }
@@ -117,21 +117,22 @@
 func (b *box) HandleAnswer(a wire.GossipAnswer, _ time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.heard[a.Sender.Box] = time.Now()
+	b.answers[a.Sender.Box] = time.Now()
 }
 
-// last returns how long ago any hub was heard.
+// last returns the time since any hub answered.
 func (b *box) last() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	least := time.Hour
-	for _, at := range b.heard {
-		least = min(least, time.Since(at))
+	last := time.Hour
+	for _, at := range b.answers {
+		last = min(last, time.Since(at))
 	}
-	return least
+	return last
 }
 
-// fleet returns a membership of many boxes in four halls; this one is weak.
+// fleet returns a membership of boxes in four halls; the box itself is not
+// hub-eligible.
 func fleet(boxes int) *members.Members {
 	m := members.New(members.Box{Name: "self", Hall: "leith", Address: "self", State: members.Live})
 	var list []wire.Member
@@ -143,8 +144,8 @@
 	return m
 }
 
-// oftenCalled tells whether all these boxes were called three times or more in
-// the last second.
+// oftenCalled reports whether each of the boxes was called at least three times in the
+// last second.
 func (n *network) oftenCalled(boxes []members.Box) bool {
 	for _, b := range boxes {
 		if n.since(b.Address, time.Now().Add(-time.Second)) < 3 {
@@ -154,19 +155,19 @@
 	return true
 }
 
-func (n *network) strikeAll(boxes []members.Box, how string) {
+func (n *network) injectAll(boxes []members.Box, fault string) {
 	for _, b := range boxes {
-		n.strike(b.Address, how)
+		n.inject(b.Address, fault)
 	}
 }
 
-// replaced strikes all hubs at once: others are heard soon, and when the first
-// are back they are called again.
-func replaced(t *testing.T, how string) {
+// replaced injects a fault at all hubs at once, and checks that other hubs are called
+// soon and the first ones again after the fault.
+func replaced(t *testing.T, fault string) {
 	is := is.New(t)
 	m := fleet(50)
-	n := &network{struck: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
-	b := &box{heard: map[string]time.Time{}}
+	n := &network{faults: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
+	b := &box{answers: map[string]time.Time{}}
 	var log lines
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -179,12 +180,12 @@
 	is.Equal(len(hubs), 4)
 	is.Equal(n.called(), 4) // only hubs are called
 	is.True(n.oftenCalled(hubs))
-	n.strikeAll(hubs, how)
-	for struck := time.Now(); time.Since(struck) < 10*time.Second; {
+	n.injectAll(hubs, fault)
+	for injected := time.Now(); time.Since(injected) < 10*time.Second; {
 		time.Sleep(50 * time.Millisecond)
-		is.True(b.last() <= 2*time.Second) // never longer without any hub
+		is.True(b.last() <= 2*time.Second) // the longest time without an answer
 	}
-	n.strikeAll(hubs, "")
+	n.injectAll(hubs, "")
 	time.Sleep(5 * time.Second)
 	is.Equal(m.Hubs(time.Now())[0].Address, hubs[0].Address)
 	is.True(b.last() <= 300*time.Millisecond)
@@ -192,30 +193,29 @@
 	<-done
 	for _, hub := range hubs {
 		is.True(n.forgot[hub.Address] >= 1) // the old connection may never answer
-		// Its task ends and begins anew all the while; that it is lost and regained
-		// is said once.
+		// The task is restarted several times, but the loss is logged once.
 		is.Equal(log.count("event=peer_lost ", hub.Name), 1)
 		is.Equal(log.count("event=peer_regained ", hub.Name), 1)
 	}
 }
 
 func TestHubsAreReplaced(t *testing.T) {
-	for name, how := range map[string]string{"killed": "refused", "frozen or cut off": "silent"} {
+	for name, fault := range map[string]string{"killed": "refused", "frozen or cut off": "silent"} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { replaced(t, how) })
+			synctest.Test(t, func(t *testing.T) { replaced(t, fault) })
 		})
 	}
 }
 
-// TestLoss loses a third of all calls: a box is never long without a hub's word,
-// and a hub that is passed by is asked again.
+// TestLoss checks that some hub answers at least once a second while a third of all
+// calls is lost.
 func TestLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := fleet(50)
-		n := &network{struck: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}, random: rand.New(rand.NewPCG(1, 1))}
-		n.strikeAll(m.Peers(time.Now()), "lossy")
-		b := &box{heard: map[string]time.Time{}}
+		n := &network{faults: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}, random: rand.New(rand.NewPCG(1, 1))}
+		n.injectAll(m.Peers(time.Now()), "lossy")
+		b := &box{answers: map[string]time.Time{}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		done := make(chan struct{})
@@ -232,15 +232,16 @@
 	})
 }
 
-// TestFewTellHubs shows that few boxes call their hubs, one a hall, and often.
-func TestFewTellHubs(t *testing.T) {
+// TestSmallFleet checks that each box of a small fleet calls all hubs, and no other
+// box, at full rate.
+func TestSmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := &network{struck: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
+		n := &network{faults: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
 		m := fleet(6)
-		gossip.New(m, n, &box{heard: map[string]time.Time{}}, timer.New(), logs.New(io.Discard, "info", "self")).Run(ctx)
+		gossip.New(m, n, &box{answers: map[string]time.Time{}}, timer.New(), logs.New(io.Discard, "info", "self")).Run(ctx)
 		hubs := 0
 		for _, h := range m.Hubs(time.Now()) {
 			if h.Name != m.Self().Name {
@@ -255,42 +256,42 @@
 	})
 }
 
-// TestStranger lets another box answer at the address of a hub that is gone: it is not
-// listened to, and another hub is called in its place.
-func TestStranger(t *testing.T) {
+// TestWrongBox checks that the answer of another box at a hub's address is not used,
+// and that another hub is called instead.
+func TestWrongBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := fleet(50)
-		n := &network{struck: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
-		b := &box{heard: map[string]time.Time{}}
-		gone := m.Hubs(time.Now())[0]
-		n.strike(gone.Address, "another")
+		n := &network{faults: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
+		b := &box{answers: map[string]time.Time{}}
+		first := m.Hubs(time.Now())[0]
+		n.inject(first.Address, "another")
 		var log lines
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		gossip.New(m, n, b, timer.New(), logs.New(&log, "info", "self")).Run(ctx)
-		is.True(b.heard["stranger"].IsZero())
-		is.True(m.Hubs(time.Now())[0].Name != gone.Name)
-		is.Equal(len(b.heard), 4) // another of its hall in its place
-		is.Equal(log.count("event=peer_lost ", gone.Name), 1)
+		is.True(b.answers["other box"].IsZero())
+		is.True(m.Hubs(time.Now())[0].Name != first.Name)
+		is.Equal(len(b.answers), 4) // another hub of the same hall is called instead
+		is.Equal(log.count("event=peer_lost ", first.Name), 1)
 	})
 }
 
-// TestCrowd shows whom a box of a crowd calls: its nearest hub often and a spare one
-// now and then, and others within two seconds when neither answers any more.
-func TestCrowd(t *testing.T) {
-	for name, how := range map[string]string{"killed": "refused", "frozen or cut off": "silent"} {
+// TestLargeFleet checks that a box of a large fleet calls its primary hub often and its
+// backup rarely, and others within two seconds if neither answers.
+func TestLargeFleet(t *testing.T) {
+	for name, fault := range map[string]string{"killed": "refused", "frozen or cut off": "silent"} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { crowdReplaced(t, how) })
+			synctest.Test(t, func(t *testing.T) { bothReplaced(t, fault) })
 		})
 	}
 }
 
-func crowdReplaced(t *testing.T, how string) {
+func bothReplaced(t *testing.T, fault string) {
 	is := is.New(t)
 	m := fleet(300)
-	n := &network{struck: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
-	b := &box{heard: map[string]time.Time{}}
+	n := &network{faults: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
+	b := &box{answers: map[string]time.Time{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -298,18 +299,18 @@
 		gossip.New(m, n, b, timer.New(), logs.New(io.Discard, "info", "self")).Run(ctx)
 	}()
 	time.Sleep(6 * time.Second)
-	asks := m.HubsToCall(time.Now())
-	is.Equal(len(asks), 2)
+	hubs := m.HubsToCall(time.Now())
+	is.Equal(len(hubs), 2)
 	is.Equal(n.called(), 2)
 	second := time.Now().Add(-time.Second)
-	is.True(n.since(asks[0].Address, second) >= 3)
-	is.True(n.since(asks[1].Address, second) <= 1)
-	is.True(n.since(asks[1].Address, second.Add(-time.Second)) >= 1)
-	for _, hub := range asks {
+	is.True(n.since(hubs[0].Address, second) >= 3)
+	is.True(n.since(hubs[1].Address, second) <= 1)
+	is.True(n.since(hubs[1].Address, second.Add(-time.Second)) >= 1)
+	for _, hub := range hubs {
 		m.MarkSeen(time.Now(), hub)
 	}
-	n.strikeAll(asks, how)
-	for struck := time.Now(); time.Since(struck) < 10*time.Second; {
+	n.injectAll(hubs, fault)
+	for injected := time.Now(); time.Since(injected) < 10*time.Second; {
 		time.Sleep(50 * time.Millisecond)
 		is.True(b.last() <= 2*time.Second)
 	}
@@ -317,14 +318,14 @@
 	<-done
 }
 
-// TestSpareInPlaceOfNearest guards against a box of a crowd hearing its spare hub so seldom,
-// while the nearest does not answer, that it reads the store for what it could be told.
-func TestSpareInPlaceOfNearest(t *testing.T) {
+// TestBackupReplacesPrimary guards against calling the backup hub so rarely, while the
+// primary does not answer, that the box reads the store instead.
+func TestBackupReplacesPrimary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := fleet(300)
-		n := &network{struck: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
-		b := &box{heard: map[string]time.Time{}}
+		n := &network{faults: map[string]string{}, calls: map[string][]time.Time{}, forgot: map[string]int{}}
+		b := &box{answers: map[string]time.Time{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -332,13 +333,13 @@
 			gossip.New(m, n, b, timer.New(), logs.New(io.Discard, "info", "self")).Run(ctx)
 		}()
 		time.Sleep(6 * time.Second)
-		nearest, spare := m.HubsToCall(time.Now())[0], m.HubsToCall(time.Now())[1]
-		n.strike(nearest.Address, "silent")
-		struck := time.Now()
-		time.Sleep(1250 * time.Millisecond) // two calls that are not answered, and what was left of a pause
-		calls := n.since(spare.Address, struck)
+		primary, backup := m.HubsToCall(time.Now())[0], m.HubsToCall(time.Now())[1]
+		n.inject(primary.Address, "silent")
+		injected := time.Now()
+		time.Sleep(1250 * time.Millisecond) // two unanswered calls, and the rest of a period
+		calls := n.since(backup.Address, injected)
 		cancel()
 		<-done
-		is.True(calls >= 3) // one each quarter of a second from the first of them on
+		is.True(calls >= 3) // one per period after the first unanswered call
 	})
 }
