--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -10,26 +10,26 @@
 	"petrelstep/wire"
 )
 
-// Status says what may be done with a request. Values are immutable.
+// Status says how a request is treated. Values are immutable.
 type Status struct {
 	Kind  Kind
-	Ends  int           // lives of upstreams that ended under it
-	Age   time.Duration // of the last
-	Until time.Time     // of those that are refused or not judged yet
+	Ends  int           // incarnations that ended under it
+	Age   time.Duration // of the last end
+	Until time.Time     // end of the refusal or of the wait
 }
 
-// Kind is how a request stands.
+// Kind is the kind of a request's status.
 type Kind string
 
-// The kinds.
+// The kinds of status.
 const (
 	Free    Kind = "free"
-	Suspect Kind = "suspect" // it is tried once at a time, over all boxes
-	Pending Kind = "open"    // it may be refused once the other boxes' word is in: it waits
+	Suspect Kind = "suspect" // it runs once at a time, over all boxes
+	Pending Kind = "open"    // it waits until the other boxes have reported
 	Refused Kind = "refused"
 )
 
-// Status returns how a request stands.
+// Status returns the status of a request.
 func (q *Quarantine) Status(now time.Time, fp fingerprint.Fingerprint) Status {
 	if q == nil {
 		return Status{Kind: Free}
@@ -42,132 +42,133 @@
 	}
 	st := Status{Kind: Suspect, Ends: s.count(now), Age: now.Sub(s.newest)}
 	switch {
-	case q.blamed(fp, s, now.Add(-settle)):
-		if st.Until = s.newest.Add(closedFor); now.Before(st.Until) {
+	case q.isBlamed(fp, s, now.Add(-settleTime)):
+		if st.Until = s.newest.Add(refusalTime); now.Before(st.Until) {
 			st.Kind = Refused
 		}
-	case st.Age < settle && q.blamed(fp, s, now):
-		st.Kind, st.Until = Pending, s.newest.Add(settle)
+	case st.Age < settleTime && q.isBlamed(fp, s, now):
+		st.Kind, st.Until = Pending, s.newest.Add(settleTime)
 	}
 	return st
 }
 
-// blamed tells whether a request is held to end the upstreams that run it, by the ends
-// until a time.
-func (q *Quarantine) blamed(fp fingerprint.Fingerprint, s *suspect, until time.Time) bool {
+// isBlamed reports whether a request is the cause of its ends, judged by the ends up to
+// a time.
+func (q *Quarantine) isBlamed(fp fingerprint.Fingerprint, s *suspect, until time.Time) bool {
 	ends := s.count(until)
-	if ends < endsMost {
+	if ends < minEnds {
 		return false
 	}
-	alone, blame := 0, 0.0
-	for of, at := range s.ends {
-		if at.After(until) || s.newest.Sub(at) > countFor {
+	unshared, blame := 0, 0.0
+	for inc, at := range s.ends {
+		if at.After(until) || s.newest.Sub(at) > countWindow {
 			continue
 		}
-		blame += 1 / float64(q.lives[of].met*q.with(of))
-		if !q.shared(fp, of, ends) {
-			alone++
+		blame += 1 / float64(q.ended[inc].present*q.simultaneousEnds(inc))
+		if !q.isShared(fp, inc, ends) {
+			unshared++
 		}
 	}
-	return alone >= aloneLeast && (blame >= blameLeast || ends >= endsSure)
+	return unshared >= minUnshared && (blame >= minBlame || ends >= certainEnds)
 }
 
-// shared tells whether another request that met so many ends was at a life.
-func (q *Quarantine) shared(fp fingerprint.Fingerprint, of life, ends int) bool {
-	return slices.ContainsFunc(q.lives[of].fps, func(p fingerprint.Fingerprint) bool {
+// isShared reports whether another request with at least as many ends was present at an
+// end.
+func (q *Quarantine) isShared(fp fingerprint.Fingerprint, inc incarnation, ends int) bool {
+	return slices.ContainsFunc(q.ended[inc].fps, func(p fingerprint.Fingerprint) bool {
 		return p != fp && q.suspects[p].count(q.suspects[p].newest) >= ends
 	})
 }
 
-// with returns how many lives ended together with one, itself included.
-func (q *Quarantine) with(of life) int {
-	n, at := 0, q.lives[of].at
-	for _, e := range q.lives {
-		if e.at.Sub(at).Abs() <= together {
+// simultaneousEnds returns the number of incarnations that ended simultaneously with
+// one, itself included.
+func (q *Quarantine) simultaneousEnds(inc incarnation) int {
+	n, at := 0, q.ended[inc].at
+	for _, e := range q.ended {
+		if e.at.Sub(at).Abs() <= simultaneous {
 			n++
 		}
 	}
 	return n
 }
 
-// Tick notes which requests are refused from now on, and breaks off those of them that
-// are on their way.
+// Tick updates which requests are refused, and cancels the attempts of those that are.
 func (q *Quarantine) Tick(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.forget(now)
+	q.expire(now)
 	for fp, s := range q.suspects {
-		if !s.closed && len(s.ends) < endsMost {
+		if !s.refused && len(s.ends) < minEnds {
 			continue
 		}
-		closed := now.Before(s.newest.Add(closedFor)) && q.blamed(fp, s, now.Add(-settle))
-		if closed {
-			q.cut(fp)
+		refused := now.Before(s.newest.Add(refusalTime)) && q.isBlamed(fp, s, now.Add(-settleTime))
+		if refused {
+			q.cancelAttempts(fp)
 		}
-		if closed == s.closed {
+		if refused == s.refused {
 			continue
 		}
-		s.closed = closed
-		q.turned(now, fp, s)
+		s.refused = refused
+		q.setRefused(now, fp, s)
 	}
 }
 
-// forget drops the ends of lives that nobody is under suspicion for any more. It looks
-// at all of them once in a while.
-func (q *Quarantine) forget(now time.Time) {
-	if now.Sub(q.forgot) < livesFor/10 {
+// expire removes ended incarnations past their retention at which no suspect was
+// present. It scans them all, and so runs at intervals.
+func (q *Quarantine) expire(now time.Time) {
+	if now.Sub(q.lastExpiry) < incarnationRetention/10 {
 		return
 	}
-	q.forgot = now
-	for of, e := range q.lives {
-		if len(e.fps) == 0 && now.Sub(e.at) > livesFor {
-			delete(q.lives, of)
+	q.lastExpiry = now
+	for inc, e := range q.ended {
+		if len(e.fps) == 0 && now.Sub(e.at) > incarnationRetention {
+			delete(q.ended, inc)
 		}
 	}
 }
 
-// cut breaks off what is on its way. It runs on goroutines of its own, as who is cut
-// may call back.
-func (q *Quarantine) cut(fp fingerprint.Fingerprint) {
-	for at := range q.sent[fp] {
-		go at.cut()
+// cancelAttempts cancels the attempts of a request, on separate goroutines, as cancel
+// may call the quarantine.
+func (q *Quarantine) cancelAttempts(fp fingerprint.Fingerprint) {
+	for a := range q.attempts[fp] {
+		go a.cancel()
 	}
 }
 
-// turned says that a request is refused from now on, or no longer.
-func (q *Quarantine) turned(now time.Time, fp fingerprint.Fingerprint, s *suspect) {
+// setRefused counts, logs and stores a change of whether a request is refused.
+func (q *Quarantine) setRefused(now time.Time, fp fingerprint.Fingerprint, s *suspect) {
 	var upstreams []string
-	for of := range s.ends {
-		upstreams = append(upstreams, of.upstream)
+	for inc := range s.ends {
+		upstreams = append(upstreams, inc.upstream)
 	}
 	slices.Sort(upstreams)
 	log := q.log.WithFields(logrus.Fields{
-		"fingerprint": fp, "ends": s.count(now), "last_ms": now.Sub(s.newest).Milliseconds(), "own": s.own, "upstreams": upstreams, "cut": len(q.sent[fp]),
+		"fingerprint": fp, "ends": s.count(now), "last_ms": now.Sub(s.newest).Milliseconds(), "own": s.own, "upstreams": upstreams, "cut": len(q.attempts[fp]),
 	})
-	if !s.closed {
+	if !s.refused {
 		q.counter.Quarantined(LetIn)
 		log.Info("quarantine_over")
 		if s.own {
-			q.keeper.Delete(fp)
+			q.store.Delete(fp)
 		}
 		return
 	}
 	q.counter.Quarantined(Closed)
 	log.Warn("quarantined")
 	if s.own {
-		q.keeper.Save(fp, upstreams)
+		q.store.Save(fp, upstreams)
 	}
 }
 
-// View returns the requests that are refused.
+// View returns the refused requests.
 func (q *Quarantine) View(now time.Time) []wire.Quarantined {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	list := []wire.Quarantined{}
 	for fp, s := range q.suspects {
-		if s.closed {
+		if s.refused {
 			list = append(list, wire.Quarantined{
-				Fingerprint: fp.String(), Ends: s.count(now), LastMs: int(now.Sub(s.newest).Milliseconds()), LeftMs: int(s.newest.Add(closedFor).Sub(now).Milliseconds()),
+				Fingerprint: fp.String(), Ends: s.count(now), LastMs: int(now.Sub(s.newest).Milliseconds()), LeftMs: int(s.newest.Add(refusalTime).Sub(now).Milliseconds()),
 			})
 		}
 	}
--- a/quarantine/peers.go
+++ b/quarantine/peers.go
@@ -9,78 +9,77 @@
 	"petrelstep/wire"
 )
 
-// tellMost bounds the ends of one message: 100 bytes each. What is left follows with the
-// next call.
-const tellMost = 500
+// maxMessageEnds bounds the ends in one message. The others follow with the next call.
+const maxMessageEnds = 500
 
-// Since returns what is known that changed after a change, and the last change that it
-// holds.
+// Since returns the ends and clearances that changed after a change number, and the
+// number of the last change that is included.
 func (q *Quarantine) Since(now time.Time, change int) (list []wire.RequestEnd, last int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if change == q.changes {
 		return nil, change
 	}
-	for _, n := range q.newer(change) {
-		if n.life != nil {
-			list = append(list, wire.RequestEnd{Upstream: n.of.upstream, Born: int(n.of.born), AgeMs: int(now.Sub(n.life.at).Milliseconds())})
+	for _, n := range q.changesAfter(change) {
+		if n.ended != nil {
+			list = append(list, wire.RequestEnd{Upstream: n.inc.upstream, Born: int(n.inc.startedAt), AgeMs: int(now.Sub(n.ended.at).Milliseconds())})
 		} else {
-			list = q.tell(now, n.fp, list)
+			list = q.appendEnds(now, n.fp, list)
 		}
-		if len(list) >= tellMost {
+		if len(list) >= maxMessageEnds {
 			return list, n.changed
 		}
 	}
 	return list, q.changes
 }
 
-// news is a life or a request that changed.
-type news struct {
+// changeEntry is a change of an ended incarnation or of a request.
+type changeEntry struct {
 	changed int
-	of      life
-	life    *ended // nil for a request
+	inc     incarnation
+	ended   *endedIncarnation // nil for a request
 	fp      fingerprint.Fingerprint
 }
 
-// newer returns what changed after a change, in order. Lives of which a request tells
-// need no line of their own.
-func (q *Quarantine) newer(change int) []news {
-	var list []news
+// changesAfter returns the changes after a change number, in order. An incarnation at
+// which a suspect was present is reported with that request.
+func (q *Quarantine) changesAfter(change int) []changeEntry {
+	var list []changeEntry
 	for fp, s := range q.suspects {
 		if s.changed > change {
-			list = append(list, news{changed: s.changed, fp: fp})
+			list = append(list, changeEntry{changed: s.changed, fp: fp})
 		}
 	}
-	for of, e := range q.lives {
+	for inc, e := range q.ended {
 		if e.changed > change && len(e.fps) == 0 {
-			list = append(list, news{changed: e.changed, of: of, life: e})
+			list = append(list, changeEntry{changed: e.changed, inc: inc, ended: e})
 		}
 	}
-	slices.SortFunc(list, func(a, b news) int { return cmp.Compare(a.changed, b.changed) })
+	slices.SortFunc(list, func(a, b changeEntry) int { return cmp.Compare(a.changed, b.changed) })
 	return list
 }
 
-// tell adds what is known of a request to a list.
-func (q *Quarantine) tell(now time.Time, fp fingerprint.Fingerprint, list []wire.RequestEnd) []wire.RequestEnd {
+// appendEnds appends the ends and the clearance of a request to a list.
+func (q *Quarantine) appendEnds(now time.Time, fp fingerprint.Fingerprint, list []wire.RequestEnd) []wire.RequestEnd {
 	s := q.suspects[fp]
 	if !s.cleared.IsZero() {
 		list = append(list, wire.RequestEnd{Fingerprint: fp.String(), AgeMs: int(now.Sub(s.cleared).Milliseconds())})
 	}
-	for of, at := range s.ends {
-		list = append(list, wire.RequestEnd{Fingerprint: fp.String(), Upstream: of.upstream, Born: int(of.born), AgeMs: int(now.Sub(at).Milliseconds()), Met: q.lives[of].met})
+	for inc, at := range s.ends {
+		list = append(list, wire.RequestEnd{Fingerprint: fp.String(), Upstream: inc.upstream, Born: int(inc.startedAt), AgeMs: int(now.Sub(at).Milliseconds()), Met: q.ended[inc].present})
 	}
 	return list
 }
 
-// Update takes another box's word, with ages as of a time.
+// Update handles another box's report, whose ages are as of now.
 func (q *Quarantine) Update(now time.Time, list []wire.RequestEnd) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range list {
 		at := now.Add(-time.Duration(r.AgeMs) * time.Millisecond)
-		of := life{r.Upstream, int64(r.Born)}
+		inc := incarnation{r.Upstream, int64(r.Born)}
 		if r.Fingerprint == "" {
-			q.gone(at, of)
+			q.recordEnd(at, inc)
 			continue
 		}
 		fp, err := fingerprint.Parse(r.Fingerprint)
@@ -89,53 +88,53 @@
 			continue
 		}
 		if r.Upstream == "" {
-			q.toldCleared(at, fp)
+			q.updateClearance(at, fp)
 			continue
 		}
-		q.toldEnd(at, fp, of)
-		if e := q.lives[of]; e != nil {
-			e.met = max(e.met, r.Met)
+		q.updateEnd(at, fp, inc)
+		if e := q.ended[inc]; e != nil {
+			e.present = max(e.present, r.Met)
 		}
 	}
 }
 
-// toldEnd takes an end that another box met. A request that ran to a good end here
-// about then is cleared for all.
-func (q *Quarantine) toldEnd(at time.Time, fp fingerprint.Fingerprint, of life) {
-	if !q.add(at, fp, of) {
+// updateEnd adds an end that another box reports. A request that succeeded on this box
+// at about that time is cleared.
+func (q *Quarantine) updateEnd(at time.Time, fp fingerprint.Fingerprint, inc incarnation) {
+	if !q.addEnd(at, fp, inc) {
 		return
 	}
-	good, ok := q.good.at(fp)
-	if !ok || at.Sub(good) > goodFor {
+	success, ok := q.successes.at(fp)
+	if !ok || at.Sub(success) > successWindow {
 		return
 	}
-	if good.Before(at) {
-		good = at
+	if success.Before(at) {
+		success = at
 	}
-	q.clear(good, fp, Cleared)
+	q.clear(success, fp, Cleared)
 }
 
-// toldCleared takes the word that a request was cleared, also of one that this box has
-// not heard of yet: its ends may come later, by another way.
-func (q *Quarantine) toldCleared(at time.Time, fp fingerprint.Fingerprint) {
+// updateClearance applies a reported clearance. It is recorded for unknown requests
+// too, as their ends may be reported later by another box.
+func (q *Quarantine) updateClearance(at time.Time, fp fingerprint.Fingerprint) {
 	s, ok := q.suspects[fp]
 	switch {
 	case !ok:
 		q.evict()
-		s = &suspect{ends: map[life]time.Time{}, cleared: at}
+		s = &suspect{ends: map[incarnation]time.Time{}, cleared: at}
 		q.suspects[fp] = s
-	case s.hasUntil(at):
-		q.forgive(at, fp, s)
+	case s.hasEndBefore(at):
+		q.dropEnds(at, fp, s)
 	case at.After(s.cleared.Add(clearSlack)):
 		s.cleared = at
 	default:
 		return
 	}
-	q.changed(s)
+	q.recordChange(s)
 }
 
-// hasUntil tells whether there are ends until a time.
-func (s *suspect) hasUntil(at time.Time) bool {
+// hasEndBefore reports whether there are ends up to a time.
+func (s *suspect) hasEndBefore(at time.Time) bool {
 	for _, end := range s.ends {
 		if !end.After(at) {
 			return true
@@ -144,19 +143,19 @@
 	return false
 }
 
-// clearSlack is by how much the same clearance may seem to differ in time, as it is
-// told with an age in ms by ways of different lengths. Boxes would remind each other of
-// it for good.
+// clearSlack is the difference up to which two times of a clearance are the same one.
+// Reports carry ages, so that the times differ with the delay of each report, and boxes
+// would otherwise send the clearance back and forth forever.
 const clearSlack = 2 * time.Second
 
-// Restore takes a quarantine that was kept in the platform's store.
+// Restore adds a quarantine that was read from the store.
 func (q *Quarantine) Restore(now time.Time, fp fingerprint.Fingerprint, upstreams []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, u := range upstreams {
-		at := now.Add(-settle - time.Duration(i)*2*together) // when it was, and who else was there, is not known any more
-		if q.add(at, fp, life{upstream: u}) {
-			q.suspects[fp].own = true // its row is this box's to drop
+		at := now.Add(-settleTime - time.Duration(i)*2*simultaneous) // the times and the other requests are not stored
+		if q.addEnd(at, fp, incarnation{upstream: u}) {
+			q.suspects[fp].own = true // this box deletes it from the store
 		}
 	}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,6 +1,7 @@
-// Package quarantine knows the requests under which upstreams end, by what was met
-// here and what other boxes told. It counts by what is asked and not by who carries
-// it: a request that comes again, at another box, with another id, is the same.
+// Package quarantine finds the requests that end the upstreams that run them, from the
+// ends seen on this box and those that other boxes report. Requests are identified by
+// fingerprint, so that a request that is sent again, with another id or to another box,
+// counts as the same.
 package quarantine
 
 import (
@@ -15,290 +16,289 @@
 )
 
 const (
-	// endsMost is how many lives of upstreams may end under a request before it is
-	// quarantined: each costs callers all that runs on an engine.
-	endsMost = 3
-	// aloneLeast is how many of them must have had no other request that met as many
-	// ends: what is not to blame shares its ends with others.
-	aloneLeast = 2
-	// blameLeast is how much of the blame for its ends a request must have: that for each
-	// end is shared alike among all that were there and all lives that ended with it.
-	// What is not to blame is lost with many, or where three engines go at once (a third
-	// of each end, one in all); one that shares each of three ends with one other is still
-	// found by them, one that shares them with more by later ones. Who is cleared later
-	// keeps its share: it would else fall to one that was there by chance.
-	blameLeast = 1.05
-	// endsSure is how many ends need no part of the blame: on busy engines, where ten have
-	// just begun each time, a request that ends them would else go on for ten. Others met
-	// as many only where they are always there too, and are told apart by that.
-	endsSure = 5
-	// together is within how long lives end that a rack or a release has ended: their
-	// connections break in the same moment. Tries of one request follow each other by
-	// more.
-	together = 50 * time.Millisecond
-	// livesKept bounds the ends of lives that are remembered, and livesFor how long one
-	// is that nobody is under suspicion for.
-	livesKept = 8192
-	livesFor  = 10 * time.Minute
-	// settle is how long after an end the other boxes have told who else was there:
-	// their calls come within 0.25 s, a hub passes them on within 0.5 s more.
-	settle = time.Second
-	// closedFor is how long after its last end a request is refused; then one try is
-	// let through, alone. A caller that never stops ends six engines an hour.
-	closedFor = 10 * time.Minute
-	// countFor is how long before the newest an end counts.
-	countFor = time.Hour
-	// goodFor is how long before an end a run to a good end still speaks for a request:
-	// one that ends all that run it has had none.
-	goodFor = 5 * time.Second
-	// suspectsMost bounds the requests that are remembered: 100 engines with 40
-	// requests each may end in an hour.
-	suspectsMost = 4096
-	// livesMost bounds the ends that are kept of one request: more say no more.
-	livesMost = 16
+	// minEnds is the minimum number of upstream incarnations that must end under a
+	// request before it is quarantined.
+	minEnds = 3
+	// minUnshared is the minimum number of these ends at which no other request was
+	// present that is present at as many ends. Innocent requests share their ends with
+	// others.
+	minUnshared = 2
+	// minBlame is the minimum blame for a request's ends. The blame for an end is
+	// divided evenly among all requests that were present and all incarnations that
+	// ended simultaneously, so that many requests on one engine, or a lost rack of
+	// engines, do not quarantine anyone. Requests that are cleared later keep their
+	// share, as it would otherwise fall to one that was present by chance.
+	minBlame = 1.05
+	// certainEnds is the number of ends from which no minimum blame is needed, so that
+	// a request is found that shares busy engines with different requests each time.
+	certainEnds = 5
+	// simultaneous is the time within which ends have a common cause, such as the loss
+	// of a rack. Attempts of one request are further apart.
+	simultaneous = 50 * time.Millisecond
+	// maxIncarnations bounds the remembered ends of incarnations. incarnationRetention
+	// is how long one is remembered at which no suspect was present.
+	maxIncarnations      = 8192
+	incarnationRetention = 10 * time.Minute
+	// settleTime is the time after an end within which the other boxes report which
+	// requests were present.
+	settleTime = time.Second
+	// refusalTime is how long after its last end a request is refused. A single attempt
+	// is allowed then.
+	refusalTime = 10 * time.Minute
+	// countWindow is how long before the newest end an end counts.
+	countWindow = time.Hour
+	// successWindow is how long before an end a successful run excuses a request: one
+	// that ends all upstreams never succeeds.
+	successWindow = 5 * time.Second
+	// maxSuspects bounds the remembered requests.
+	maxSuspects = 4096
+	// maxEndsPerRequest bounds the remembered ends of one request.
+	maxEndsPerRequest = 16
 )
 
-// life is one of an upstream.
-type life struct {
-	upstream string
-	born     int64
+// incarnation identifies an incarnation of an upstream.
+type incarnation struct {
+	upstream  string
+	startedAt int64 // Unix milliseconds
 }
 
-// ended is a life that has ended.
-type ended struct {
+// endedIncarnation is an incarnation that ended without an announcement.
+type endedIncarnation struct {
 	at      time.Time
-	fps     []fingerprint.Fingerprint // who was there and is not cleared
-	met     int                       // who was there, cleared since or not
-	changed int                       // when it became known
+	fps     []fingerprint.Fingerprint // requests that were present and are not cleared
+	present int                       // number of requests that were present, cleared or not
+	changed int                       // number of the change that added it
 }
 
 // suspect is a request that was at an upstream when that ended.
 type suspect struct {
-	ends    map[life]time.Time
-	newest  time.Time // end
-	cleared time.Time // no end until then counts
+	ends    map[incarnation]time.Time
+	newest  time.Time // its last end
+	cleared time.Time // ends up to then do not count
 	changed int       // number of its last change
-	own     bool      // its newest end was met here
-	closed  bool      // as of the last tick
+	own     bool      // its newest end was seen on this box
+	refused bool      // as of the last Tick
 }
 
-// count returns how many ends count, as of a time.
+// count returns the number of ends up to a time that are within the window.
 func (s *suspect) count(until time.Time) int {
 	n := 0
 	for _, at := range s.ends {
-		if !at.After(until) && s.newest.Sub(at) <= countFor {
+		if !at.After(until) && s.newest.Sub(at) <= countWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// Counter counts what becomes of suspects.
+// Counter counts the changes of suspects.
 type Counter interface {
 	Quarantined(change string)
 }
 
-// The changes that are counted.
+// The counted changes.
 const (
 	Closed   = "closed"
-	LetIn    = "let_in" // its time is over, or others were told to have met as many ends
+	LetIn    = "let_in" // refusalTime has passed, or others are reported to share its ends
 	Cleared  = "cleared"
 	Released = "released" // by an operator
-	Excused  = "excused"  // an end that did not count, as it had run to a good end just before
+	Excused  = "excused"  // an end did not count because of a recent success
 )
 
-// Changes lists every change, for counters.
+// Changes returns all changes, for counters.
 func Changes() []string { return []string{Closed, LetIn, Cleared, Released, Excused} }
 
-// Store keeps quarantines beyond the lives of all boxes.
+// Store persists quarantines, so that they survive a restart of all boxes.
 type Store interface {
-	// Save is told of a request and the ids of the upstreams that ended under it.
+	// Save stores a quarantined request and the ids of the upstreams that ended under
+	// it.
 	Save(fp fingerprint.Fingerprint, upstreams []string)
-	// Delete is told that one is quarantined no longer.
+	// Delete removes a request that is no longer quarantined.
 	Delete(fp fingerprint.Fingerprint)
 }
 
-// Quarantine is one box's. It is safe for use by several goroutines; a nil one knows
-// of nothing.
+// Quarantine is safe for concurrent use. A nil Quarantine treats all requests as free.
 type Quarantine struct {
 	counter Counter
-	keeper  Store
+	store   Store
 	log     *logrus.Entry
 
-	mu       sync.Mutex
-	suspects map[fingerprint.Fingerprint]*suspect
-	lives    map[life]*ended
-	good     recent
-	sent     map[fingerprint.Fingerprint]map[*send]struct{}
-	changes  int
-	forgot   time.Time // lives were, last
+	mu         sync.Mutex
+	suspects   map[fingerprint.Fingerprint]*suspect
+	ended      map[incarnation]*endedIncarnation
+	successes  recentSuccesses
+	attempts   map[fingerprint.Fingerprint]map[*attempt]struct{}
+	changes    int
+	lastExpiry time.Time // of ended incarnations
 }
 
-// send is a request on its way or at an upstream.
-type send struct{ cut func() }
+// attempt is a request that is being sent to or running at an upstream.
+type attempt struct{ cancel func() }
 
-// New returns a quarantine that knows of nothing.
-func New(c Counter, k Store, log *logrus.Entry) *Quarantine {
+// New returns an empty quarantine.
+func New(c Counter, s Store, log *logrus.Entry) *Quarantine {
 	return &Quarantine{
-		counter: c, keeper: k, log: log, suspects: map[fingerprint.Fingerprint]*suspect{}, lives: map[life]*ended{},
-		sent: map[fingerprint.Fingerprint]map[*send]struct{}{},
+		counter: c, store: s, log: log, suspects: map[fingerprint.Fingerprint]*suspect{}, ended: map[incarnation]*endedIncarnation{},
+		attempts: map[fingerprint.Fingerprint]map[*attempt]struct{}{},
 	}
 }
 
-// RecordEnd notes that an upstream has ended unannounced, whoever was there.
+// RecordEnd records that an upstream ended without an announcement, whether or not a
+// request was present.
 func (q *Quarantine) RecordEnd(now time.Time, u fleet.Upstream) {
 	if q == nil {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gone(now, life{u.ID, u.StartedAt})
+	q.recordEnd(now, incarnation{u.ID, u.StartedAt})
 }
 
-// gone notes the end of a life; false if it is known, or too many are.
-func (q *Quarantine) gone(at time.Time, of life) bool {
-	if q.lives[of] != nil || len(q.lives) >= livesKept {
+// recordEnd adds an ended incarnation; false if it is known or the bound is reached.
+func (q *Quarantine) recordEnd(at time.Time, inc incarnation) bool {
+	if q.ended[inc] != nil || len(q.ended) >= maxIncarnations {
 		return false
 	}
 	q.changes++
-	q.lives[of] = &ended{at: at, changed: q.changes}
+	q.ended[inc] = &endedIncarnation{at: at, changed: q.changes}
 	return true
 }
 
-// RecordEndDuring notes that an upstream has ended unannounced while a request was there.
+// RecordEndDuring records that an upstream ended without an announcement while it ran a
+// request.
 func (q *Quarantine) RecordEndDuring(now time.Time, fp fingerprint.Fingerprint, u fleet.Upstream) {
 	if q == nil {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if at, ok := q.good.at(fp); ok && now.Sub(at) <= goodFor {
+	if at, ok := q.successes.at(fp); ok && now.Sub(at) <= successWindow {
 		q.counter.Quarantined(Excused)
 		return
 	}
-	if q.add(now, fp, life{u.ID, u.StartedAt}) {
+	if q.addEnd(now, fp, incarnation{u.ID, u.StartedAt}) {
 		s := q.suspects[fp]
 		s.own = true
 		q.log.WithFields(logrus.Fields{
-			"fingerprint": fp, "upstream": u.ID, "born": u.StartedAt, "ends": s.count(now), "beside": len(q.lives[life{u.ID, u.StartedAt}].fps) - 1,
+			"fingerprint": fp, "upstream": u.ID, "born": u.StartedAt, "ends": s.count(now), "beside": len(q.ended[incarnation{u.ID, u.StartedAt}].fps) - 1,
 		}).Info("ended_under")
 	}
 }
 
-// add takes an end; false if it is known or does not count.
-func (q *Quarantine) add(at time.Time, fp fingerprint.Fingerprint, of life) bool {
+// addEnd adds an end to a request; false if it is known or does not count.
+func (q *Quarantine) addEnd(at time.Time, fp fingerprint.Fingerprint, inc incarnation) bool {
 	s, ok := q.suspects[fp]
 	if !ok {
 		q.evict()
-		s = &suspect{ends: map[life]time.Time{}}
+		s = &suspect{ends: map[incarnation]time.Time{}}
 		q.suspects[fp] = s
 	}
-	q.gone(at, of)
-	if _, known := s.ends[of]; known || !at.After(s.cleared) || len(s.ends) >= livesMost || q.lives[of] == nil {
+	q.recordEnd(at, inc)
+	if _, known := s.ends[inc]; known || !at.After(s.cleared) || len(s.ends) >= maxEndsPerRequest || q.ended[inc] == nil {
 		return false
 	}
-	s.ends[of] = at
+	s.ends[inc] = at
 	if at.After(s.newest) {
 		s.newest, s.own = at, false
 	}
-	q.lives[of].fps = append(q.lives[of].fps, fp)
-	q.lives[of].met++
-	q.changed(s)
+	q.ended[inc].fps = append(q.ended[inc].fps, fp)
+	q.ended[inc].present++
+	q.recordChange(s)
 	return true
 }
 
-func (q *Quarantine) changed(s *suspect) {
+func (q *Quarantine) recordChange(s *suspect) {
 	q.changes++
 	s.changed = q.changes
 }
 
-// RecordSuccess notes that a request has run to a good end: it ends no upstream.
+// RecordSuccess records that a request ran successfully, and clears it.
 func (q *Quarantine) RecordSuccess(now time.Time, fp fingerprint.Fingerprint) {
 	if q == nil {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.good.note(now, fp)
+	q.successes.record(now, fp)
 	q.clear(now, fp, Cleared)
 }
 
-// Older makes all ends older: this box's machine was suspended, which the steady clock
-// leaves out.
+// Older adds the time for which this box's machine was suspended to all ages, as the
+// monotonic clock does not count it.
 func (q *Quarantine) Older(by time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, s := range q.suspects {
-		for of, at := range s.ends {
-			s.ends[of] = at.Add(-by)
+		for inc, at := range s.ends {
+			s.ends[inc] = at.Add(-by)
 		}
-		s.newest, s.cleared = older(s.newest, by), older(s.cleared, by)
+		s.newest, s.cleared = addAge(s.newest, by), addAge(s.cleared, by)
 	}
-	for _, e := range q.lives {
+	for _, e := range q.ended {
 		e.at = e.at.Add(-by)
 	}
-	q.good = recent{}
+	q.successes = recentSuccesses{}
 }
 
-func older(at time.Time, by time.Duration) time.Time {
+func addAge(at time.Time, by time.Duration) time.Time {
 	if at.IsZero() {
 		return at
 	}
 	return at.Add(-by)
 }
 
-// Release clears a request for an operator; false if it is not known.
+// Release clears a request on behalf of an operator; false if it is not known.
 func (q *Quarantine) Release(now time.Time, fp fingerprint.Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.clear(now, fp, Released)
 }
 
-// clear drops a request's ends; false if there are none.
+// clear removes a request's ends up to a time; false if there are none.
 func (q *Quarantine) clear(at time.Time, fp fingerprint.Fingerprint, change string) bool {
 	s, ok := q.suspects[fp]
 	if !ok || !at.After(s.cleared) || len(s.ends) == 0 {
 		return false
 	}
-	closed := s.closed
-	q.forgive(at, fp, s)
-	q.changed(s)
+	refused := s.refused
+	q.dropEnds(at, fp, s)
+	q.recordChange(s)
 	q.counter.Quarantined(change)
-	q.log.WithFields(logrus.Fields{"fingerprint": fp, "change": change, "was_closed": closed}).Info("request_cleared")
-	if closed {
-		q.keeper.Delete(fp)
+	q.log.WithFields(logrus.Fields{"fingerprint": fp, "change": change, "was_closed": refused}).Info("request_cleared")
+	if refused {
+		q.store.Delete(fp)
 	}
 	return true
 }
 
-// forgive drops the ends until a time.
-func (q *Quarantine) forgive(at time.Time, fp fingerprint.Fingerprint, s *suspect) {
+// dropEnds removes a request's ends up to a time.
+func (q *Quarantine) dropEnds(at time.Time, fp fingerprint.Fingerprint, s *suspect) {
 	s.cleared, s.newest = at, time.Time{}
-	for of, end := range s.ends {
+	for inc, end := range s.ends {
 		if !end.After(at) {
-			delete(s.ends, of)
-			q.leave(of, fp)
+			delete(s.ends, inc)
+			q.removeRequest(inc, fp)
 			continue
 		}
 		if end.After(s.newest) {
 			s.newest = end
 		}
 	}
-	if s.count(s.newest) < endsMost {
-		s.closed = false
+	if s.count(s.newest) < minEnds {
+		s.refused = false
 	}
 }
 
-// leave takes a request off those that were at a life.
-func (q *Quarantine) leave(of life, fp fingerprint.Fingerprint) {
-	e := q.lives[of]
+// removeRequest removes a request from those that were present at an end.
+func (q *Quarantine) removeRequest(inc incarnation, fp fingerprint.Fingerprint) {
+	e := q.ended[inc]
 	e.fps = slices.DeleteFunc(e.fps, func(p fingerprint.Fingerprint) bool { return p == fp })
 }
 
-// evict makes room for one more request: an eighth goes, those whose last end or
-// clearance is the oldest, and those that are refused after all others.
+// evict makes space for another request: it removes the eighth of the requests with the
+// oldest ends or clearances, refused ones last.
 func (q *Quarantine) evict() {
-	if len(q.suspects) < suspectsMost {
+	if len(q.suspects) < maxSuspects {
 		return
 	}
 	fps := make([]fingerprint.Fingerprint, 0, len(q.suspects))
@@ -307,23 +307,23 @@
 	}
 	slices.SortFunc(fps, func(a, b fingerprint.Fingerprint) int {
 		x, y := q.suspects[a], q.suspects[b]
-		if x.closed != y.closed {
-			if x.closed {
+		if x.refused != y.refused {
+			if x.refused {
 				return 1
 			}
 			return -1
 		}
 		return x.last().Compare(y.last())
 	})
-	for _, p := range fps[:suspectsMost/8] {
-		for of := range q.suspects[p].ends {
-			q.leave(of, p)
+	for _, p := range fps[:maxSuspects/8] {
+		for inc := range q.suspects[p].ends {
+			q.removeRequest(inc, p)
 		}
 		delete(q.suspects, p)
 	}
 }
 
-// last is when anything was last heard of a request.
+// last returns the time of the request's last end or clearance.
 func (s *suspect) last() time.Time {
 	if s.cleared.After(s.newest) {
 		return s.cleared
@@ -331,25 +331,25 @@
 	return s.newest
 }
 
-// Track notes that a request is on its way or at an upstream, until left is called; cut
-// breaks it off if it is quarantined meanwhile.
-func (q *Quarantine) Track(fp fingerprint.Fingerprint, cut func()) (left func()) {
+// Track registers an attempt of a request until done is called. cancel is called if the
+// request is quarantined meanwhile.
+func (q *Quarantine) Track(fp fingerprint.Fingerprint, cancel func()) (done func()) {
 	if q == nil {
 		return func() {}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	at := &send{cut}
-	if q.sent[fp] == nil {
-		q.sent[fp] = map[*send]struct{}{}
+	a := &attempt{cancel}
+	if q.attempts[fp] == nil {
+		q.attempts[fp] = map[*attempt]struct{}{}
 	}
-	q.sent[fp][at] = struct{}{}
+	q.attempts[fp][a] = struct{}{}
 	return func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		delete(q.sent[fp], at)
-		if len(q.sent[fp]) == 0 {
-			delete(q.sent, fp)
+		delete(q.attempts[fp], a)
+		if len(q.attempts[fp]) == 0 {
+			delete(q.attempts, fp)
 		}
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -18,35 +18,35 @@
 	"petrelstep/wire"
 )
 
-// counts keeps what is counted, and what is kept in the store.
+// counts records the counted changes and the stored quarantines.
 type counts struct {
 	changes map[string]int
-	kept    map[fingerprint.Fingerprint][]string
+	stored  map[fingerprint.Fingerprint][]string
 }
 
 func (c *counts) Quarantined(change string) { c.changes[change]++ }
 
-func (c *counts) Save(fp fingerprint.Fingerprint, upstreams []string) { c.kept[fp] = upstreams }
+func (c *counts) Save(fp fingerprint.Fingerprint, upstreams []string) { c.stored[fp] = upstreams }
 
-func (c *counts) Delete(fp fingerprint.Fingerprint) { delete(c.kept, fp) }
+func (c *counts) Delete(fp fingerprint.Fingerprint) { delete(c.stored, fp) }
 
-func newOne() (*quarantine.Quarantine, *counts) {
+func newQuarantine() (*quarantine.Quarantine, *counts) {
 	c := &counts{map[string]int{}, map[fingerprint.Fingerprint][]string{}}
 	return quarantine.New(c, c, logs.New(io.Discard, "error", "b")), c
 }
 
-func of(name string) fingerprint.Fingerprint { return fingerprint.New([]byte(name)) }
+func request(name string) fingerprint.Fingerprint { return fingerprint.New([]byte(name)) }
 
-// step is a second in which an engine ends with some requests on it, or one runs well.
+// step is one second in which an engine ends, or the engines of a rack.
 type step struct {
-	engine string
-	born   int64
-	at     []string // that were there
-	good   []string // that ran to a good end just before
-	rack   bool     // the next ends in the same moment
+	engine    string
+	startedAt int64
+	present   []string // requests
+	succeeded []string // requests that succeeded just before
+	rack      bool     // the next engine ends simultaneously
 }
 
-// sessions names requests that are on one engine.
+// sessions returns the names of requests on one engine.
 func sessions(n int) []string {
 	var list []string
 	for i := range n {
@@ -57,218 +57,219 @@
 
 var full = sessions(48)
 
-// standing is who is refused after some steps; all others that were there are not.
-type standing struct {
+// statusTest lists steps and the requests that are refused after them; the others that
+// were present are not.
+type statusTest struct {
 	steps   []step
 	refused []string
 }
 
-var standings = map[string]standing{
+var statusTests = map[string]statusTest{
 	"nothing ended": {},
-	"three ends, alone": {
-		steps:   []step{{engine: "e1", at: []string{"bad"}}, {engine: "e2", at: []string{"bad"}}, {engine: "e3", at: []string{"bad"}}},
+	"three ends, no other request": {
+		steps:   []step{{engine: "e1", present: []string{"bad"}}, {engine: "e2", present: []string{"bad"}}, {engine: "e3", present: []string{"bad"}}},
 		refused: []string{"bad"},
 	},
-	"two ends": {steps: []step{{engine: "e1", at: []string{"bad"}}, {engine: "e2", at: []string{"bad"}}}},
-	"three ends on full engines, others on each": {
+	"two ends": {steps: []step{{engine: "e1", present: []string{"bad"}}, {engine: "e2", present: []string{"bad"}}}},
+	"three ends on full engines, each shared": {
 		steps: []step{
-			{engine: "e1", at: append(sessions(40), "bad")}, {engine: "e2", at: []string{"bad", "session1", "session2", "new"}}, {engine: "e3", at: []string{"bad", "session2", "newer"}},
+			{engine: "e1", present: append(sessions(40), "bad")}, {engine: "e2", present: []string{"bad", "session1", "session2", "new"}}, {engine: "e3", present: []string{"bad", "session2", "newer"}},
 		},
 	},
-	"and a fourth tells who it was": {
+	"a fourth end after three shared ones": {
 		steps: []step{
-			{engine: "e1", at: append(sessions(40), "bad")}, {engine: "e2", at: []string{"bad", "session1", "session2", "new"}}, {engine: "e3", at: []string{"bad", "session2", "newer"}},
-			{engine: "e4", at: []string{"bad", "session7"}},
+			{engine: "e1", present: append(sessions(40), "bad")}, {engine: "e2", present: []string{"bad", "session1", "session2", "new"}}, {engine: "e3", present: []string{"bad", "session2", "newer"}},
+			{engine: "e4", present: []string{"bad", "session7"}},
 		},
 		refused: []string{"bad"},
 	},
-	"five ends, each with ten others that have just begun": {
+	"five ends, each shared with ten other requests": {
 		steps: []step{
-			{engine: "e1", at: append(full[:10:10], "bad")}, {engine: "e2", at: append(full[10:20:20], "bad")}, {engine: "e3", at: append(full[20:30:30], "bad")},
-			{engine: "e4", at: append(full[30:40:40], "bad")}, {engine: "e5", at: append(full[5:15:15], "bad")},
+			{engine: "e1", present: append(full[:10:10], "bad")}, {engine: "e2", present: append(full[10:20:20], "bad")}, {engine: "e3", present: append(full[20:30:30], "bad")},
+			{engine: "e4", present: append(full[30:40:40], "bad")}, {engine: "e5", present: append(full[5:15:15], "bad")},
 		},
 		refused: []string{"bad"},
 	},
-	"two are always there together: neither can be told from the other": {
-		steps: []step{{engine: "e1", at: full[:2]}, {engine: "e2", at: full[:2]}, {engine: "e3", at: full[:2]}},
+	"two requests share all ends": {
+		steps: []step{{engine: "e1", present: full[:2]}, {engine: "e2", present: full[:2]}, {engine: "e3", present: full[:2]}},
 	},
-	"a full engine ends three times with the same on it": {
-		steps: []step{{engine: "e1", at: full}, {engine: "e2", at: full}, {engine: "e3", at: full}},
+	"three full engines end with the same requests": {
+		steps: []step{{engine: "e1", present: full}, {engine: "e2", present: full}, {engine: "e3", present: full}},
 	},
-	"and so ten times": {
+	"ten full engines end with the same requests": {
 		steps: []step{
-			{engine: "e1", at: full}, {engine: "e2", at: full}, {engine: "e3", at: full}, {engine: "e4", at: full}, {engine: "e5", at: full},
-			{engine: "e6", at: full}, {engine: "e7", at: full}, {engine: "e8", at: full}, {engine: "e9", at: full}, {engine: "e10", at: full},
+			{engine: "e1", present: full}, {engine: "e2", present: full}, {engine: "e3", present: full}, {engine: "e4", present: full}, {engine: "e5", present: full},
+			{engine: "e6", present: full}, {engine: "e7", present: full}, {engine: "e8", present: full}, {engine: "e9", present: full}, {engine: "e10", present: full},
 		},
 	},
-	"a rack goes, and what ran there goes on and meets two more ends": {
+	"a rack is lost, and its requests see two more ends elsewhere": {
 		steps: []step{
-			{engine: "e1", at: full[:16]}, {engine: "e2", at: full[16:32]}, {engine: "e3", at: full[32:]},
-			{engine: "e4", at: full[8:40]}, {engine: "e5", at: append(full[:8:8], full[20:]...)},
+			{engine: "e1", present: full[:16]}, {engine: "e2", present: full[16:32]}, {engine: "e3", present: full[32:]},
+			{engine: "e4", present: full[8:40]}, {engine: "e5", present: append(full[:8:8], full[20:]...)},
 		},
 	},
-	"a rack goes thrice, and each time one engine has just begun the same": {
+	"a rack is lost three times, each time with the same request on one engine": {
 		steps: []step{
-			{engine: "e1", rack: true}, {engine: "e2", rack: true}, {engine: "e3", at: full[:1]},
-			{engine: "e4", rack: true}, {engine: "e5", rack: true}, {engine: "e6", at: full[:1]},
-			{engine: "e7", rack: true}, {engine: "e8", rack: true}, {engine: "e9", at: full[:1]},
+			{engine: "e1", rack: true}, {engine: "e2", rack: true}, {engine: "e3", present: full[:1]},
+			{engine: "e4", rack: true}, {engine: "e5", rack: true}, {engine: "e6", present: full[:1]},
+			{engine: "e7", rack: true}, {engine: "e8", rack: true}, {engine: "e9", present: full[:1]},
 		},
 	},
-	"one engine that ends three times under its id": {
-		steps:   []step{{engine: "e1", born: 1, at: []string{"bad"}}, {engine: "e1", born: 2, at: []string{"bad"}}, {engine: "e1", born: 3, at: []string{"bad"}}},
+	"one engine ends and restarts three times": {
+		steps:   []step{{engine: "e1", startedAt: 1, present: []string{"bad"}}, {engine: "e1", startedAt: 2, present: []string{"bad"}}, {engine: "e1", startedAt: 3, present: []string{"bad"}}},
 		refused: []string{"bad"},
 	},
-	"one life is counted once": {
-		steps: []step{{engine: "e1", born: 1, at: []string{"bad"}}, {engine: "e1", born: 1, at: []string{"bad"}}, {engine: "e1", born: 1, at: []string{"bad"}}},
+	"the same incarnation counts once": {
+		steps: []step{{engine: "e1", startedAt: 1, present: []string{"bad"}}, {engine: "e1", startedAt: 1, present: []string{"bad"}}, {engine: "e1", startedAt: 1, present: []string{"bad"}}},
 	},
-	"it ran well between": {
-		steps: []step{{engine: "e1", at: []string{"busy"}}, {engine: "e2", at: []string{"busy"}, good: []string{"busy"}}, {engine: "e3", at: []string{"busy"}}},
+	"a success in between": {
+		steps: []step{{engine: "e1", present: []string{"busy"}}, {engine: "e2", present: []string{"busy"}, succeeded: []string{"busy"}}, {engine: "e3", present: []string{"busy"}}},
 	},
-	"many send a lookup alike, and three ends come at once": {
-		steps: []step{{engine: "e1", at: []string{"lookup"}, good: []string{"lookup"}}, {engine: "e2", at: []string{"lookup"}}, {engine: "e3", at: []string{"lookup"}}},
+	"a frequent lookup succeeds shortly before": {
+		steps: []step{{engine: "e1", present: []string{"lookup"}, succeeded: []string{"lookup"}}, {engine: "e2", present: []string{"lookup"}}, {engine: "e3", present: []string{"lookup"}}},
 	},
-	"two at a time": {
+	"two requests at fault": {
 		steps: []step{
-			{engine: "e1", at: []string{"bad", "worse"}}, {engine: "e2", at: []string{"bad"}}, {engine: "e3", at: []string{"worse"}},
-			{engine: "e4", at: []string{"bad"}}, {engine: "e5", at: []string{"worse"}},
+			{engine: "e1", present: []string{"bad", "worse"}}, {engine: "e2", present: []string{"bad"}}, {engine: "e3", present: []string{"worse"}},
+			{engine: "e4", present: []string{"bad"}}, {engine: "e5", present: []string{"worse"}},
 		},
 		refused: []string{"bad", "worse"},
 	},
 }
 
-// TestStanding shows who is held to have ended engines, and who is not.
-func TestStanding(t *testing.T) {
-	for name, tt := range standings {
+// TestStatus checks which requests are refused after a sequence of ends.
+func TestStatus(t *testing.T) {
+	for name, tt := range statusTests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { tt.check(t) })
 		})
 	}
 }
 
-func (s standing) check(t *testing.T) {
+func (s statusTest) check(t *testing.T) {
 	is := is.New(t)
-	q, _ := newOne()
-	there := map[string]bool{}
-	together := false
+	q, _ := newQuarantine()
+	present := map[string]bool{}
+	simultaneous := false
 	for _, step := range s.steps {
-		if !together {
+		if !simultaneous {
 			time.Sleep(time.Second)
 		}
-		together = step.rack
-		q.RecordEnd(time.Now(), fleet.Upstream{ID: step.engine, StartedAt: step.born})
-		for _, r := range step.good {
-			q.RecordSuccess(time.Now(), of(r))
+		simultaneous = step.rack
+		q.RecordEnd(time.Now(), fleet.Upstream{ID: step.engine, StartedAt: step.startedAt})
+		for _, r := range step.succeeded {
+			q.RecordSuccess(time.Now(), request(r))
 		}
-		for _, r := range step.at {
-			there[r] = true
-			q.RecordEndDuring(time.Now(), of(r), fleet.Upstream{ID: step.engine, StartedAt: step.born})
+		for _, r := range step.present {
+			present[r] = true
+			q.RecordEndDuring(time.Now(), request(r), fleet.Upstream{ID: step.engine, StartedAt: step.startedAt})
 		}
 	}
 	time.Sleep(1100 * time.Millisecond)
 	for _, r := range s.refused {
-		is.Equal(q.Status(time.Now(), of(r)).Kind, quarantine.Refused)
-		delete(there, r)
+		is.Equal(q.Status(time.Now(), request(r)).Kind, quarantine.Refused)
+		delete(present, r)
 	}
-	for r := range there {
-		is.True(q.Status(time.Now(), of(r)).Kind != quarantine.Refused)
+	for r := range present {
+		is.True(q.Status(time.Now(), request(r)).Kind != quarantine.Refused)
 	}
 }
 
-// bad lets three engines end under a request, one after the other.
-func bad(q *quarantine.Quarantine) {
+// threeEnds lets three engines end under one request, one after the other.
+func threeEnds(q *quarantine.Quarantine) {
 	for i := range 3 {
 		time.Sleep(100 * time.Millisecond)
-		q.RecordEndDuring(time.Now(), of("bad"), fleet.Upstream{ID: fmt.Sprint("e", i)})
+		q.RecordEndDuring(time.Now(), request("bad"), fleet.Upstream{ID: fmt.Sprint("e", i)})
 	}
 }
 
-// TestWord shows that nobody is refused before the others' word is in of who else was
-// at an engine, and that this word counts also when it comes later.
-func TestWord(t *testing.T) {
+// TestSettleTime checks that no request is refused before the other boxes have reported
+// who else was present, and that later reports count too.
+func TestSettleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		here, _ := newOne()
-		there, _ := newOne()
-		bad(here)
-		is.Equal(here.Status(time.Now(), of("bad")).Kind, quarantine.Pending)
+		here, _ := newQuarantine()
+		there, _ := newQuarantine()
+		threeEnds(here)
+		is.Equal(here.Status(time.Now(), request("bad")).Kind, quarantine.Pending)
 		for i := range 3 {
-			there.RecordEndDuring(time.Now(), of("other"), fleet.Upstream{ID: fmt.Sprint("e", i)})
+			there.RecordEndDuring(time.Now(), request("other"), fleet.Upstream{ID: fmt.Sprint("e", i)})
 		}
 		time.Sleep(1100 * time.Millisecond)
-		is.Equal(here.Status(time.Now(), of("bad")).Kind, quarantine.Refused)
-		word, _ := there.Since(time.Now(), 0)
-		here.Update(time.Now(), word)
-		is.Equal(here.Status(time.Now(), of("bad")).Kind, quarantine.Suspect)
-		is.Equal(here.Status(time.Now(), of("other")).Kind, quarantine.Suspect)
+		is.Equal(here.Status(time.Now(), request("bad")).Kind, quarantine.Refused)
+		report, _ := there.Since(time.Now(), 0)
+		here.Update(time.Now(), report)
+		is.Equal(here.Status(time.Now(), request("bad")).Kind, quarantine.Suspect)
+		is.Equal(here.Status(time.Now(), request("other")).Kind, quarantine.Suspect)
 	})
 }
 
-// TestOver shows when a request is let in again: after a while, once; by a good run; by
-// an operator.
-func TestOver(t *testing.T) {
+// TestRelease checks when a refused request is allowed again: one attempt after a
+// while, by a success, or by an operator.
+func TestRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		q, c := newOne()
-		kind := func() quarantine.Kind { return q.Status(time.Now(), of("bad")).Kind }
-		bad(q)
+		q, c := newQuarantine()
+		kind := func() quarantine.Kind { return q.Status(time.Now(), request("bad")).Kind }
+		threeEnds(q)
 		time.Sleep(1100 * time.Millisecond)
 		q.Tick(time.Now())
-		is.Equal(len(c.kept[of("bad")]), 3)
+		is.Equal(len(c.stored[request("bad")]), 3)
 		is.Equal(len(q.View(time.Now())), 1)
 		time.Sleep(9 * time.Minute)
 		is.Equal(kind(), quarantine.Refused)
 		time.Sleep(time.Minute)
 		q.Tick(time.Now())
-		is.Equal(kind(), quarantine.Suspect) // one at a time
-		is.Equal(len(c.kept), 0)
-		q.RecordEndDuring(time.Now(), of("bad"), fleet.Upstream{ID: "e9"})
+		is.Equal(kind(), quarantine.Suspect) // one attempt at a time
+		is.Equal(len(c.stored), 0)
+		q.RecordEndDuring(time.Now(), request("bad"), fleet.Upstream{ID: "e9"})
 		is.Equal(kind(), quarantine.Refused) // at once
 		q.Tick(time.Now())
-		is.True(q.Release(time.Now(), of("bad")))
+		is.True(q.Release(time.Now(), request("bad")))
 		is.Equal(kind(), quarantine.Free)
-		is.Equal(len(c.kept), 0)
-		is.True(!q.Release(time.Now(), of("bad")))
+		is.Equal(len(c.stored), 0)
+		is.True(!q.Release(time.Now(), request("bad")))
 		time.Sleep(10 * time.Second)
-		bad(q)
+		threeEnds(q)
 		time.Sleep(2 * time.Hour)
-		q.RecordEndDuring(time.Now(), of("bad"), fleet.Upstream{ID: "e10"})
-		is.Equal(kind(), quarantine.Suspect) // ends of long ago do not count
-		q.RecordSuccess(time.Now(), of("bad"))
+		q.RecordEndDuring(time.Now(), request("bad"), fleet.Upstream{ID: "e10"})
+		is.Equal(kind(), quarantine.Suspect) // old ends do not count
+		q.RecordSuccess(time.Now(), request("bad"))
 		is.Equal(kind(), quarantine.Free)
 		is.Equal(c.changes, map[string]int{quarantine.Closed: 2, quarantine.LetIn: 1, quarantine.Released: 1, quarantine.Cleared: 1})
 	})
 }
 
-// TestCut shows that what is on its way when the word comes is broken off, and what has
-// left is not.
-func TestCut(t *testing.T) {
+// TestCancel checks that the attempts of a request are canceled when it is refused,
+// unless they are done.
+func TestCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		q, _ := newOne()
-		cut := map[string]bool{}
-		q.Track(of("bad"), func() { cut["bad"] = true })
-		q.Track(of("other"), func() { cut["other"] = true })
-		q.Track(of("bad"), func() { cut["left"] = true })()
-		bad(q)
+		q, _ := newQuarantine()
+		canceled := map[string]bool{}
+		q.Track(request("bad"), func() { canceled["bad"] = true })
+		q.Track(request("other"), func() { canceled["other"] = true })
+		q.Track(request("bad"), func() { canceled["done"] = true })()
+		threeEnds(q)
 		q.Tick(time.Now())
 		synctest.Wait()
-		is.Equal(len(cut), 0)
+		is.Equal(len(canceled), 0)
 		time.Sleep(1100 * time.Millisecond)
 		q.Tick(time.Now())
 		synctest.Wait()
-		is.Equal(cut, map[string]bool{"bad": true})
+		is.Equal(canceled, map[string]bool{"bad": true})
 	})
 }
 
-// TestTold shows that each box comes to the same, whatever way and in whatever order
-// the words come, and that a clearance is told as the ends are.
-func TestTold(t *testing.T) {
+// TestUpdate checks that all boxes agree, whatever the order of the reports, and that a
+// clearance is reported as the ends are.
+func TestUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a, _ := newOne()
-		b, _ := newOne()
-		hub, _ := newOne()
-		bad(a)
+		a, _ := newQuarantine()
+		b, _ := newQuarantine()
+		hub, _ := newQuarantine()
+		threeEnds(a)
 		first, last := a.Since(time.Now(), 0)
 		is.Equal(len(first), 3)
 		again, still := a.Since(time.Now(), last)
@@ -276,85 +277,85 @@
 		is.Equal(still, last)
 		hub.Update(time.Now(), first)
 		time.Sleep(1100 * time.Millisecond)
-		word, mark := hub.Since(time.Now(), 0)
-		b.Update(time.Now(), word)
-		is.Equal(b.Status(time.Now(), of("bad")).Kind, quarantine.Refused)
+		report, change := hub.Since(time.Now(), 0)
+		b.Update(time.Now(), report)
+		is.Equal(b.Status(time.Now(), request("bad")).Kind, quarantine.Refused)
 		back, _ := b.Since(time.Now(), 0)
 		hub.Update(time.Now(), back)
-		_, same := hub.Since(time.Now(), mark)
-		is.Equal(same, mark) // nothing new comes back
+		_, same := hub.Since(time.Now(), change)
+		is.Equal(same, change) // b's report holds no change
 
-		b.RecordSuccess(time.Now(), of("bad"))
+		b.RecordSuccess(time.Now(), request("bad"))
 		cleared, _ := b.Since(time.Now(), 0)
 		hub.Update(time.Now(), cleared)
-		fresh, _ := hub.Since(time.Now(), mark)
-		late, _ := newOne()
+		fresh, _ := hub.Since(time.Now(), change)
+		late, _ := newQuarantine()
 		late.Update(time.Now(), fresh)
-		late.Update(time.Now(), first) // by a way that took longer
+		late.Update(time.Now(), first) // delayed
 		a.Update(time.Now(), fresh)
 		for _, q := range []*quarantine.Quarantine{a, hub, late} {
-			is.Equal(q.Status(time.Now(), of("bad")).Kind == quarantine.Refused, false)
+			is.Equal(q.Status(time.Now(), request("bad")).Kind == quarantine.Refused, false)
 		}
 		a.Update(time.Now(), []wire.RequestEnd{{Fingerprint: "no fingerprint", Upstream: "e1"}})
 	})
 }
 
-// TestGoodElsewhere shows that a box at which a request ran well clears it for all when
-// it hears of an end.
-func TestGoodElsewhere(t *testing.T) {
+// TestSuccessElsewhere checks that a box on which a request succeeded clears it for all
+// boxes when an end is reported.
+func TestSuccessElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		a, _ := newOne()
-		b, _ := newOne()
+		a, _ := newQuarantine()
+		b, _ := newQuarantine()
 		time.Sleep(time.Second)
-		b.RecordSuccess(time.Now(), of("lookup"))
+		b.RecordSuccess(time.Now(), request("lookup"))
 		time.Sleep(2 * time.Second)
-		a.RecordEndDuring(time.Now(), of("lookup"), fleet.Upstream{ID: "e1"})
-		word, _ := a.Since(time.Now(), 0)
-		b.Update(time.Now(), word)
-		is.Equal(b.Status(time.Now(), of("lookup")).Kind, quarantine.Free)
-		word, _ = b.Since(time.Now(), 0)
-		a.Update(time.Now(), word)
-		is.Equal(a.Status(time.Now(), of("lookup")).Kind, quarantine.Free)
+		a.RecordEndDuring(time.Now(), request("lookup"), fleet.Upstream{ID: "e1"})
+		report, _ := a.Since(time.Now(), 0)
+		b.Update(time.Now(), report)
+		is.Equal(b.Status(time.Now(), request("lookup")).Kind, quarantine.Free)
+		report, _ = b.Since(time.Now(), 0)
+		a.Update(time.Now(), report)
+		is.Equal(a.Status(time.Now(), request("lookup")).Kind, quarantine.Free)
 	})
 }
 
-// TestBounds holds that ten thousand requests, each of which ends an engine or only
-// looks so, take no more than so many places, and do not push out one that is refused.
+// TestBounds checks that the memory stays bounded under ten thousand requests that each
+// see an end, and that a refused one is not evicted.
 func TestBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		q, _ := newOne()
-		bad(q)
+		q, _ := newQuarantine()
+		threeEnds(q)
 		time.Sleep(1100 * time.Millisecond)
 		q.Tick(time.Now())
 		for i := range 10000 {
 			time.Sleep(time.Millisecond)
-			q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i)})
+			q.RecordEndDuring(time.Now(), request(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i)})
 		}
-		is.Equal(q.Status(time.Now(), of("bad")).Kind, quarantine.Refused)
-		told, after := 0, 0
+		is.Equal(q.Status(time.Now(), request("bad")).Kind, quarantine.Refused)
+		reported, after := 0, 0
 		for {
 			list, last := q.Since(time.Now(), after)
 			is.True(len(list) <= 500)
 			if len(list) == 0 {
 				break
 			}
-			told, after = told+len(list), last
+			reported, after = reported+len(list), last
 		}
-		is.True(told <= 8192+4096) // lives are remembered longer, one line each
+		is.True(reported <= 8192+4096) // incarnations are remembered longer than requests
 	})
 }
 
-// BenchmarkStanding is what each request costs, by how many are suspects.
-func BenchmarkStanding(b *testing.B) {
+// BenchmarkStatus measures the cost per request, by the number of suspects.
+func BenchmarkStatus(b *testing.B) {
 	for _, suspects := range []int{0, 4000} {
 		b.Run(fmt.Sprint(suspects, " suspects"), func(b *testing.B) {
-			q, _ := newOne()
+			q, _ := newQuarantine()
 			for i := range suspects {
-				q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
+				q.RecordEndDuring(time.Now(), request(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
 			}
-			free := of("free")
+			free := request("free")
 			b.ReportAllocs()
 			for b.Loop() {
 				q.Status(time.Now(), free)
@@ -364,28 +365,28 @@
 	}
 }
 
-// BenchmarkTick is what ten ticks a second cost with 4,000 suspects.
+// BenchmarkTick measures a tick with 4,000 suspects.
 func BenchmarkTick(b *testing.B) {
-	q, _ := newOne()
+	q, _ := newQuarantine()
 	for i := range 4000 {
-		q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
+		q.RecordEndDuring(time.Now(), request(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprint("e", i/40)})
 	}
 	for b.Loop() {
 		q.Tick(time.Now())
 	}
 }
 
-// BenchmarkMemory is what suspects take, with three ends each.
+// BenchmarkMemory measures the memory per suspect with three ends.
 func BenchmarkMemory(b *testing.B) {
 	for _, suspects := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprint(suspects, " suspects"), func(b *testing.B) {
 			var q *quarantine.Quarantine
 			for b.Loop() {
 				before := heapsize.Used()
-				q, _ = newOne()
+				q, _ = newQuarantine()
 				for i := range suspects {
 					for end := range 3 {
-						q.RecordEndDuring(time.Now(), of(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprintf("upstream-%d-%d", i/40, end)})
+						q.RecordEndDuring(time.Now(), request(fmt.Sprint(i)), fleet.Upstream{ID: fmt.Sprintf("upstream-%d-%d", i/40, end)})
 					}
 				}
 				b.ReportMetric(float64(heapsize.Used()-before)/float64(suspects), "B/suspect")
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -6,29 +6,29 @@
 	"petrelstep/fingerprint"
 )
 
-// recentMost bounds what is remembered of a span: a box with 100 requests a second has
-// 500 in goodFor. Beyond it less time is remembered.
-const recentMost = 4096
+// maxRecent bounds the successes that are recorded in one period. Beyond it periods are
+// shorter.
+const maxRecent = 4096
 
-// recent remembers what ran to a good end of late, for goodFor to twice as long. The
-// zero value remembers nothing.
-type recent struct {
-	now, before map[fingerprint.Fingerprint]time.Time
-	began       time.Time // the span that goes on
+// recentSuccesses records the last success of each request, for one to two
+// successWindows. The zero value is empty.
+type recentSuccesses struct {
+	current, previous map[fingerprint.Fingerprint]time.Time
+	startedAt         time.Time // of the current period
 }
 
-func (r *recent) note(now time.Time, fp fingerprint.Fingerprint) {
-	if r.now == nil || now.Sub(r.began) > goodFor || len(r.now) >= recentMost {
-		r.now, r.before, r.began = map[fingerprint.Fingerprint]time.Time{}, r.now, now
+func (r *recentSuccesses) record(now time.Time, fp fingerprint.Fingerprint) {
+	if r.current == nil || now.Sub(r.startedAt) > successWindow || len(r.current) >= maxRecent {
+		r.current, r.previous, r.startedAt = map[fingerprint.Fingerprint]time.Time{}, r.current, now
 	}
-	r.now[fp] = now
+	r.current[fp] = now
 }
 
-// at returns when a request last ran to a good end.
-func (r *recent) at(fp fingerprint.Fingerprint) (time.Time, bool) {
-	if at, ok := r.now[fp]; ok {
+// at returns when a request last succeeded.
+func (r *recentSuccesses) at(fp fingerprint.Fingerprint) (time.Time, bool) {
+	if at, ok := r.current[fp]; ok {
 		return at, true
 	}
-	at, ok := r.before[fp]
+	at, ok := r.previous[fp]
 	return at, ok
 }
