--- a/reliability/reliability.go
+++ b/reliability/reliability.go
@@ -1,5 +1,5 @@
-// Package reliability remembers how often each upstream failed of late: what
-// this box met there, and what the other boxes last told.
+// Package reliability tracks the recent failures of each upstream, from this box's
+// requests and from the reports of the other boxes.
 package reliability
 
 import (
@@ -13,24 +13,25 @@
 )
 
 const (
-	// halfLife of what is remembered: some seconds, as faults last.
+	// halfLife is the half-life of recorded outcomes.
 	halfLife = 3 * time.Second
-	// prior counts as good answers seen, so that one failure is no verdict.
-	prior = 2.0
-	// gone is how many failures it counts as that an upstream was found to have ended:
-	// enough that it is passed by until its entry goes, three seconds later, and is tried
-	// again within ten should the finding be wrong.
-	gone = 20.0
-	// tellFrom is how many failures are worth telling of: bytes between halls are
-	// paid for, and most upstreams never fail.
-	tellFrom = 0.2
-	// forgetBelow is how little of what was met is forgotten whole.
-	forgetBelow = 0.05
-	// parts is in what parts of one answer counts are told.
-	parts = 100
+	// priorSuccesses is added to the successes, so that a single failure does not
+	// condemn an upstream.
+	priorSuccesses = 2.0
+	// endWeight is the number of failures that a detected end counts as: enough to
+	// avoid the upstream until its entry is removed, some 3 s later, and to use it
+	// again within 10 s if the detection was wrong.
+	endWeight = 20.0
+	// reportThreshold is the minimum number of failures that is reported, as most
+	// upstreams never fail and traffic between halls is paid for.
+	reportThreshold = 0.2
+	// dropBelow is the number of outcomes below which a record is removed.
+	dropBelow = 0.05
+	// scale is the factor of counts in messages, which are integers.
+	scale = 100
 )
 
-// Count is how many answers came of late, and how many of them were failures.
+// Count is a decayed number of outcomes and of the failures among them.
 type Count struct {
 	Failed float64
 	All    float64
@@ -47,19 +48,19 @@
 	Count
 }
 
-// Reliability is safe for use by several goroutines.
+// Reliability is safe for concurrent use.
 type Reliability struct {
 	mu      sync.Mutex
 	records map[string]*record
 	others  *peerstate.Totals[Count]
 }
 
-// New returns an empty memory.
+// New returns an empty Reliability.
 func New() *Reliability {
 	return &Reliability{records: map[string]*record{}, others: peerstate.New[Count]()}
 }
 
-// Record takes the outcome of one send.
+// Record adds the outcome of one request.
 func (r *Reliability) Record(now time.Time, upstream string, failed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// RecordEnd notes that an upstream was found to have ended. The others are told as of any
-// failure, and pass it by until its entry goes.
+// RecordEnd records that an upstream was found to have ended. It is reported to the
+// other boxes like any failure.
 func (r *Reliability) RecordEnd(now time.Time, upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,10 +87,10 @@
 		r.records[upstream] = e
 	}
 	e.decay(now)
-	e.Failed, e.All = max(e.Failed, gone), max(e.All, gone)
+	e.Failed, e.All = max(e.Failed, endWeight), max(e.All, endWeight)
 }
 
-// Forget drops what was met at an upstream, as it has started again.
+// Forget discards the outcomes of an upstream, as it has restarted.
 func (r *Reliability) Forget(upstream string) {
 	r.others.Forget(upstream)
 	r.mu.Lock()
@@ -97,7 +98,7 @@
 	delete(r.records, upstream)
 }
 
-// FailureRate returns the share of all boxes' sends that failed of late, from 0 to 1.
+// FailureRate returns the share of all boxes' recent requests that failed, from 0 to 1.
 func (r *Reliability) FailureRate(now time.Time, upstream string) float64 {
 	r.mu.Lock()
 	var own Count
@@ -107,10 +108,10 @@
 	}
 	r.mu.Unlock()
 	c := own.Plus(r.others.Of(now, upstream))
-	return c.Failed / (c.All + prior)
+	return c.Failed / (c.All + priorSuccesses)
 }
 
-// Own returns what this box met at upstreams that failed of late, for its peers.
+// Own returns this box's counts of failing upstreams, for its peers.
 func (r *Reliability) Own(now time.Time) []wire.UpstreamFailures { return listOf(r.own(now)) }
 
 func (r *Reliability) own(now time.Time) map[string]Count {
@@ -119,53 +120,55 @@
 	counts := map[string]Count{}
 	for id, e := range r.records {
 		e.decay(now)
-		if e.Failed >= tellFrom {
+		if e.Failed >= reportThreshold {
 			counts[id] = e.Count
 		}
-		if e.All < forgetBelow {
+		if e.All < dropBelow {
 			delete(r.records, id)
 		}
 	}
 	return counts
 }
 
-// Without returns what all boxes but one met, for that one.
+// Without returns the counts of all boxes but one, for that box.
 func (r *Reliability) Without(now time.Time, box string) []wire.UpstreamFailures {
 	sum := r.own(now)
 	r.others.Without(now, box, sum)
 	return listOf(sum)
 }
 
-// PartialSum returns what this box met and those that tell it alone, for the boxes that do
-// not hear them.
+// PartialSum returns the counts of this box and of those that report to it alone, for
+// the boxes that do not receive their reports.
 func (r *Reliability) PartialSum(now time.Time) []wire.UpstreamFailures {
 	sum := r.own(now)
 	r.others.Part(now, sum)
 	return listOf(sum)
 }
 
-// SetCoverage notes, before a box's word is taken, whether it tells this box alone.
+// SetCoverage sets, before a box's report is applied, whether the box reports to this
+// one alone.
 func (r *Reliability) SetCoverage(box string, only bool) {
 	r.others.Covers(box, only, peerstate.Cover{})
 }
 
-// Update takes another box's word of what it met.
+// Update applies another box's counts.
 func (r *Reliability) Update(now time.Time, box string, list []wire.UpstreamFailures) {
 	r.others.Told(now, box, countsOf(list))
 }
 
-// UpdateSum takes a hub's word of what all other boxes met.
+// UpdateSum applies a hub's sum of the counts of all other boxes.
 func (r *Reliability) UpdateSum(now time.Time, list []wire.UpstreamFailures) {
 	r.others.ToldSum(now, countsOf(list))
 }
 
-// Older makes what other boxes told older: this box's machine was suspended.
+// Older adds the time for which this box's machine was suspended to the ages of
+// reports.
 func (r *Reliability) Older(by time.Duration) { r.others.Older(by) }
 
 func listOf(counts map[string]Count) []wire.UpstreamFailures {
 	list := make([]wire.UpstreamFailures, 0, len(counts))
 	for id, c := range counts {
-		list = append(list, wire.UpstreamFailures{Upstream: id, Failed: int(c.Failed * parts), All: int(c.All * parts)})
+		list = append(list, wire.UpstreamFailures{Upstream: id, Failed: int(c.Failed * scale), All: int(c.All * scale)})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Upstream < list[j].Upstream })
 	return list
@@ -174,14 +177,14 @@
 func countsOf(list []wire.UpstreamFailures) map[string]Count {
 	counts := make(map[string]Count, len(list))
 	for _, u := range list {
-		counts[u.Upstream] = Count{Failed: float64(u.Failed) / parts, All: float64(u.All) / parts}
+		counts[u.Upstream] = Count{Failed: float64(u.Failed) / scale, All: float64(u.All) / scale}
 	}
 	return counts
 }
 
 func (e *record) decay(now time.Time) {
-	part := math.Exp2(-float64(now.Sub(e.at)) / float64(halfLife))
-	e.Failed *= part
-	e.All *= part
+	factor := math.Exp2(-float64(now.Sub(e.at)) / float64(halfLife))
+	e.Failed *= factor
+	e.All *= factor
 	e.at = now
 }
--- a/reliability/reliability_test.go
+++ b/reliability/reliability_test.go
@@ -10,36 +10,35 @@
 	"petrelstep/wire"
 )
 
-// TestFailing shows what one box holds of an upstream at which it met failures,
-// or heard of them.
-func TestFailing(t *testing.T) {
+// TestFailureRate checks the rate from a box's own outcomes and from reports.
+func TestFailureRate(t *testing.T) {
 	now := time.Now()
 	failures := func(failed, all int) []wire.UpstreamFailures {
 		return []wire.UpstreamFailures{{Upstream: "u", Failed: 100 * failed, All: 100 * all}}
 	}
 	tests := map[string]struct {
-		met   []bool // failed
-		told  map[string][]wire.UpstreamFailures
-		sum   []wire.UpstreamFailures
-		after time.Duration
-		want  float64
+		outcomes []bool // failed
+		reports  map[string][]wire.UpstreamFailures
+		sum      []wire.UpstreamFailures
+		after    time.Duration
+		want     float64
 	}{
-		"nothing known":                 {},
-		"one failure is no verdict":     {met: []bool{true}, want: 1.0 / 3},
-		"some failures":                 {met: []bool{true, true, true, false}, want: 0.5},
-		"forgotten by half":             {met: []bool{true, true, true, false}, after: 3 * time.Second, want: 1.5 / 4},
-		"met by other boxes":            {told: map[string][]wire.UpstreamFailures{"b1": failures(1, 1), "b2": failures(3, 5)}, want: 0.5},
-		"told by a hub, not told twice": {told: map[string][]wire.UpstreamFailures{"b1": failures(1, 1)}, sum: failures(4, 6), want: 0.5},
-		"a box that is gone":            {told: map[string][]wire.UpstreamFailures{"b1": failures(1, 1)}, after: 4 * time.Second},
+		"nothing known":                   {},
+		"one failure":                     {outcomes: []bool{true}, want: 1.0 / 3},
+		"some failures":                   {outcomes: []bool{true, true, true, false}, want: 0.5},
+		"after one half-life":             {outcomes: []bool{true, true, true, false}, after: 3 * time.Second, want: 1.5 / 4},
+		"reported by other boxes":         {reports: map[string][]wire.UpstreamFailures{"b1": failures(1, 1), "b2": failures(3, 5)}, want: 0.5},
+		"reported by a hub, counted once": {reports: map[string][]wire.UpstreamFailures{"b1": failures(1, 1)}, sum: failures(4, 6), want: 0.5},
+		"an expired report":               {reports: map[string][]wire.UpstreamFailures{"b1": failures(1, 1)}, after: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := reliability.New()
-			for _, failed := range tt.met {
+			for _, failed := range tt.outcomes {
 				r.Record(now, "u", failed)
 			}
-			for box, list := range tt.told {
+			for box, list := range tt.reports {
 				r.Update(now, box, list)
 			}
 			if tt.sum != nil {
@@ -52,9 +51,9 @@
 	}
 }
 
-// TestTells shows what boxes tell each other: only of what fails, and to each
-// what all others met.
-func TestTells(t *testing.T) {
+// TestReports checks that only failing upstreams are reported, and to each box what all
+// others counted.
+func TestReports(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	r := reliability.New()
