--- a/halls/halls.go
+++ b/halls/halls.go
@@ -1,7 +1,7 @@
-// Package halls knows which halls are evacuated: nothing new goes to the
-// upstreams of such a hall until the operator takes that back. What runs there
-// may end there. The operator's word is kept, also while the store is away;
-// versions tell what is newer, as news comes from several sides and late.
+// Package halls tracks which halls are evacuated. The upstreams of an evacuated hall
+// get no new work until the operator cancels the evacuation; runs there may finish. The
+// operator's decision is kept while the store is unreachable. Updates arrive from
+// several sources and out of order, so that versions decide which is newer.
 package halls
 
 import (
@@ -10,69 +10,69 @@
 	"time"
 )
 
-// Status is the newest that is known of one hall. Values are immutable.
+// Status is the newest known status of a hall. Values are immutable.
 type Status struct {
 	Hall      string
 	Evacuated bool
-	Version   int64     // of the store's change that said so
-	Since     time.Time // this box has known it
+	Version   int64     // of the change in the store
+	Since     time.Time // when this box learned of it
 }
 
-// Listener is told of each change, in order, before it can be seen; it must not
-// call back. source is for the log.
-type Listener func(w Status, source string)
+// Listener is called for each change, in order, before All returns it; it must not call
+// Halls. source names where the update came from, for the log.
+type Listener func(s Status, source string)
 
-// Halls is safe for use by several goroutines.
+// Halls is safe for concurrent use.
 type Halls struct {
 	changed Listener
 
-	mu    sync.Mutex
-	words map[string]Status // by hall; also of those that were taken back
+	mu       sync.Mutex
+	statuses map[string]Status // by hall, evacuated or not
 }
 
-// New returns halls of which none is evacuated.
-func New(changed Listener) *Halls { return &Halls{changed: changed, words: map[string]Status{}} }
+// New returns Halls without an evacuated hall.
+func New(changed Listener) *Halls { return &Halls{changed: changed, statuses: map[string]Status{}} }
 
-// Replace takes a whole listing of the evacuated halls as of a version: one that
-// is missing from it was taken back, unless what is known of it is newer.
+// Replace applies a complete listing of the evacuated halls as of a version. The
+// evacuation of a missing hall was cancelled, unless newer information is known.
 func (h *Halls) Replace(now time.Time, list []Status, version int64, source string) {
 	listed := map[string]bool{}
-	for _, w := range list {
-		listed[w.Hall] = true
-		h.Update(now, w, source)
+	for _, s := range list {
+		listed[s.Hall] = true
+		h.Update(now, s, source)
 	}
-	for _, w := range h.All() {
-		if !listed[w.Hall] && w.Evacuated {
-			h.Update(now, Status{Hall: w.Hall, Version: version}, source)
+	for _, s := range h.All() {
+		if !listed[s.Hall] && s.Evacuated {
+			h.Update(now, Status{Hall: s.Hall, Version: version}, source)
 		}
 	}
 }
 
-// Update takes one word, unless what is known is as new.
-func (h *Halls) Update(now time.Time, w Status, source string) {
+// Update applies a status, unless the known one is as new.
+func (h *Halls) Update(now time.Time, s Status, source string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old, known := h.words[w.Hall]
-	if known && w.Version <= old.Version {
+	old, known := h.statuses[s.Hall]
+	if known && s.Version <= old.Version {
 		return
 	}
-	w.Since = now
-	if old.Evacuated == w.Evacuated {
-		w.Since = old.Since
+	s.Since = now
+	if old.Evacuated == s.Evacuated {
+		s.Since = old.Since
 	}
-	h.words[w.Hall] = w
-	if old.Evacuated != w.Evacuated {
-		h.changed(w, source)
+	h.statuses[s.Hall] = s
+	if old.Evacuated != s.Evacuated {
+		h.changed(s, source)
 	}
 }
 
-// All returns what is known of each hall, by name.
+// All returns the status of each known hall, sorted by name.
 func (h *Halls) All() []Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := make([]Status, 0, len(h.words))
-	for _, w := range h.words {
-		list = append(list, w)
+	list := make([]Status, 0, len(h.statuses))
+	for _, s := range h.statuses {
+		list = append(list, s)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Hall < list[j].Hall })
 	return list
--- a/halls/halls_test.go
+++ b/halls/halls_test.go
@@ -10,34 +10,34 @@
 	"petrelstep/halls"
 )
 
-// TestWords plays news of one hall, which comes from several sides and late.
-func TestWords(t *testing.T) {
+// TestUpdate applies updates of one hall from several sources and out of order.
+func TestUpdate(t *testing.T) {
 	evacuated := func(version int64) halls.Status {
 		return halls.Status{Hall: "leith", Evacuated: true, Version: version}
 	}
-	back := func(version int64) halls.Status { return halls.Status{Hall: "leith", Version: version} }
+	cancelled := func(version int64) halls.Status { return halls.Status{Hall: "leith", Version: version} }
 	tests := map[string]struct {
-		play func(h *halls.Halls, now time.Time)
-		want bool
-		told string // changes, in order
+		update  func(h *halls.Halls, now time.Time)
+		want    bool
+		changes string // as notified, in order
 	}{
 		"nothing known": {func(*halls.Halls, time.Time) {}, false, "[]"},
 		"evacuated":     {func(h *halls.Halls, now time.Time) { h.Update(now, evacuated(4), "") }, true, "[true]"},
-		"told twice": {func(h *halls.Halls, now time.Time) {
+		"evacuated, reported twice": {func(h *halls.Halls, now time.Time) {
 			h.Update(now, evacuated(4), "")
 			h.Update(now, evacuated(4), "")
 		}, true, "[true]"},
-		"taken back": {func(h *halls.Halls, now time.Time) {
+		"cancelled": {func(h *halls.Halls, now time.Time) {
 			h.Update(now, evacuated(4), "")
-			h.Update(now, back(6), "")
+			h.Update(now, cancelled(6), "")
 		}, false, "[true false]"},
-		"an older word comes late": {func(h *halls.Halls, now time.Time) {
-			h.Update(now, back(6), "")
+		"a delayed older status": {func(h *halls.Halls, now time.Time) {
+			h.Update(now, cancelled(6), "")
 			h.Update(now, evacuated(4), "")
 		}, false, "[]"},
 		"evacuated again": {func(h *halls.Halls, now time.Time) {
 			h.Update(now, evacuated(4), "")
-			h.Update(now, back(6), "")
+			h.Update(now, cancelled(6), "")
 			h.Update(now, evacuated(7), "")
 		}, true, "[true false true]"},
 		"a listing without it": {func(h *halls.Halls, now time.Time) {
@@ -60,15 +60,15 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			told := []bool{}
-			h := halls.New(func(w halls.Status, _ string) { told = append(told, w.Evacuated) })
-			tt.play(h, time.Now())
+			changes := []bool{}
+			h := halls.New(func(s halls.Status, _ string) { changes = append(changes, s.Evacuated) })
+			tt.update(h, time.Now())
 			got := false
-			for _, w := range h.All() {
-				got = got || w.Hall == "leith" && w.Evacuated
+			for _, s := range h.All() {
+				got = got || s.Hall == "leith" && s.Evacuated
 			}
 			is.Equal(got, tt.want)
-			is.Equal(fmt.Sprint(told), tt.told)
+			is.Equal(fmt.Sprint(changes), tt.changes)
 		})
 	}
 }
