--- a/health/health.go
+++ b/health/health.go
@@ -1,7 +1,6 @@
-// Package health tells which upstreams may get new work. Silence beyond what
-// an upstream's own pace predicts makes it suspect; one that returns is on
-// probation; one that leaves, by any source, gets nothing until a newer
-// incarnation is seen.
+// Package health decides which upstreams may get new work. An upstream is suspect after
+// a longer silence than its own pace predicts, on probation when it returns, and gets
+// nothing once it leaves until a newer incarnation is seen.
 package health
 
 import (
@@ -10,42 +9,45 @@
 )
 
 const (
-	// steps of silence that make an upstream suspect.
+	// silentSteps is the number of steps without a report that makes an upstream
+	// suspect.
 	silentSteps = 40
-	// leastSilence holds where nothing is known of how often it is heard.
-	leastSilence = 3 * time.Second
-	// probation is how long a returned upstream gets only a trickle.
-	probation = 5 * time.Second
-	// trickle is the spacing of new work during probation.
-	trickle = 500 * time.Millisecond
-	// failuresToSuspect in a row, seen by own dispatches.
+	// defaultSilence is the longest normal silence of an upstream that has not reported
+	// yet.
+	defaultSilence = 3 * time.Second
+	// probationTime is how long an upstream is on probation after it returns.
+	probationTime = 5 * time.Second
+	// probationInterval is the minimum time between new work during probation.
+	probationInterval = 500 * time.Millisecond
+	// failuresToSuspect is the number of consecutive failed dispatches that makes an
+	// upstream suspect.
 	failuresToSuspect = 3
 )
 
 type record struct {
-	incarnation int
-	leaving     bool
-	heard       time.Time
-	silence     time.Duration
-	failures    int
-	suspect     bool
-	returned    time.Time
-	last        time.Time
+	incarnation  int
+	leaving      bool
+	lastSeen     time.Time
+	maxSilence   time.Duration
+	failures     int
+	suspect      bool
+	returnedAt   time.Time
+	lastDispatch time.Time
 }
 
-// Health is safe for use by several goroutines.
+// Health is safe for concurrent use.
 type Health struct {
 	mu      sync.Mutex
 	records map[string]*record
 }
 
-// New returns a health that knows no upstream.
+// New returns a Health without upstreams.
 func New() *Health { return &Health{records: map[string]*record{}} }
 
-// MarkSeen takes a sign of life with the upstream's incarnation, the time of its
-// steps, and the least silence that means anything, which depends on how often
-// it is heard. A newer incarnation clears leaving and suspicion.
-func (h *Health) MarkSeen(now time.Time, upstream string, incarnation int, step, least time.Duration) {
+// MarkSeen handles a report of an upstream with its incarnation, the time of its steps,
+// and the minimum silence that is significant, which depends on how often reports
+// arrive. A newer incarnation clears leaving and suspicion.
+func (h *Health) MarkSeen(now time.Time, upstream string, incarnation int, step, minSilence time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
@@ -54,19 +56,19 @@
 	}
 	if incarnation > r.incarnation {
 		if r.incarnation != 0 {
-			r.returned = now
+			r.returnedAt = now
 		}
 		r.incarnation, r.leaving, r.failures = incarnation, false, 0
 	}
-	if r.suspect || r.failures == 0 && !r.heard.IsZero() && now.Sub(r.heard) > r.silence {
-		r.suspect, r.returned = false, now
+	if r.suspect || r.failures == 0 && !r.lastSeen.IsZero() && now.Sub(r.lastSeen) > r.maxSilence {
+		r.suspect, r.returnedAt = false, now
 	}
-	r.heard = now
-	r.silence = max(least, silentSteps*step)
+	r.lastSeen = now
+	r.maxSilence = max(minSilence, silentSteps*step)
 }
 
-// MarkLeaving notes that an incarnation takes no new work. Zero means the one
-// last seen.
+// MarkLeaving records that an incarnation takes no new work; zero stands for the last
+// one seen.
 func (h *Health) MarkLeaving(upstream string, incarnation int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,14 +79,14 @@
 	}
 }
 
-// ClearLeaving takes back what an operator's declaration said of leaving.
+// ClearLeaving cancels a leaving that an operator declared.
 func (h *Health) ClearLeaving(upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.record(upstream).leaving = false
 }
 
-// RecordFailure notes that a dispatch failed without an answer.
+// RecordFailure records a dispatch without an answer.
 func (h *Health) RecordFailure(upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,70 +97,70 @@
 	}
 }
 
-// RecordSuccess notes that a dispatch was answered.
+// RecordSuccess records a dispatch that was answered.
 func (h *Health) RecordSuccess(now time.Time, upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
 	if r.suspect {
-		r.suspect, r.returned = false, now
+		r.suspect, r.returnedAt = false, now
 	}
 	r.failures = 0
-	r.heard = now
+	r.lastSeen = now
 }
 
-// Eligible tells whether the upstream may get new work now, and notes that it
-// does. During probation only a trickle may.
+// Eligible reports whether the upstream may get new work now. During probation it may
+// once per probationInterval.
 func (h *Health) Eligible(now time.Time, upstream string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
-	if r.leaving || r.suspect || r.silent(now) {
+	if r.leaving || r.suspect || r.isSilent(now) {
 		return false
 	}
-	if !r.returned.IsZero() && now.Sub(r.returned) < probation {
-		return now.Sub(r.last) >= trickle
+	if !r.returnedAt.IsZero() && now.Sub(r.returnedAt) < probationTime {
+		return now.Sub(r.lastDispatch) >= probationInterval
 	}
 	return true
 }
 
-// EligibleAsFallback is May where there is nothing else: an upstream on probation is
-// better than a refusal.
+// EligibleAsFallback reports whether the upstream may get new work where no other is
+// eligible: one on probation may.
 func (h *Health) EligibleAsFallback(now time.Time, upstream string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(upstream)
-	return !r.leaving && !r.suspect && !r.silent(now)
+	return !r.leaving && !r.suspect && !r.isSilent(now)
 }
 
-// RecordDispatch notes that the upstream gets new work.
+// RecordDispatch records that the upstream gets new work.
 func (h *Health) RecordDispatch(now time.Time, upstream string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.record(upstream).last = now
+	h.record(upstream).lastDispatch = now
 }
 
-// LeavingIncarnations lists the upstreams that leave, with the incarnation that does.
+// LeavingIncarnations returns the leaving upstreams with their incarnations.
 func (h *Health) LeavingIncarnations() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	gone := map[string]int{}
+	leaving := map[string]int{}
 	for name, r := range h.records {
 		if r.leaving {
-			gone[name] = r.incarnation
+			leaving[name] = r.incarnation
 		}
 	}
-	return gone
+	return leaving
 }
 
-func (r *record) silent(now time.Time) bool {
-	return !r.heard.IsZero() && now.Sub(r.heard) > r.silence
+func (r *record) isSilent(now time.Time) bool {
+	return !r.lastSeen.IsZero() && now.Sub(r.lastSeen) > r.maxSilence
 }
 
 func (h *Health) record(upstream string) *record {
 	r, ok := h.records[upstream]
 	if !ok {
-		r = &record{silence: leastSilence}
+		r = &record{maxSilence: defaultSilence}
 		h.records[upstream] = r
 	}
 	return r
