--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -1,6 +1,5 @@
-// Package liveness tells whether an upstream has ended to which a connection broke.
-// A break alone says little: connections are reset, cut and timed out while their
-// upstream lives on.
+// Package liveness finds out whether an upstream has ended after a connection to it
+// broke. Connections are also reset, cut and timed out while their upstream is alive.
 package liveness
 
 import (
@@ -11,117 +10,119 @@
 	"petrelstep/fleet"
 )
 
-// Finding is what was found of an upstream.
+// Finding is the result of a check.
 type Finding string
 
 // The findings.
 const (
-	Ended   Finding = "ended"   // nothing listens at its address, or another life does, and it had not said that it leaves
+	Ended   Finding = "ended"   // nothing or another incarnation listens at its address, and it had not announced that it leaves
 	Leaving Finding = "leaving" // it was known to leave: its end is planned
 	Alive   Finding = "lives"
-	Unknown Finding = "unknown" // it was not reached: a cut link, a machine without power
+	Unknown Finding = "unknown" // it was not reached, as with a cut link or a machine without power
 )
 
 const (
-	// lookTime bounds a look: a round trip between halls takes 3 ms, and a packet that
-	// is lost is sent again after a second, which the next try is not held up for.
-	lookTime = 150 * time.Millisecond
-	// keptFor is how long an end stays known: nobody asks of an upstream once its
-	// streams have broken, all within a moment.
-	keptFor = 10 * time.Second
+	// checkTimeout bounds a check. It allows for a round trip between halls, but not
+	// for a retransmission, for which the retry would have to wait.
+	checkTimeout = 150 * time.Millisecond
+	// endRetention is how long an end is remembered. All streams of an upstream break
+	// at about the same time.
+	endRetention = 10 * time.Second
 )
 
-// Findings lists every finding, for counters.
+// Findings returns all findings, for counters.
 func Findings() []Finding { return []Finding{Ended, Leaving, Alive, Unknown} }
 
-// Prober asks an upstream's address. The error says that nothing was learned.
+// Prober checks an upstream's address. An error means that its state is unknown.
 type Prober interface {
 	Ended(ctx context.Context, u fleet.Upstream, engine bool) (bool, error)
 }
 
-// Fleet knows which upstreams leave.
+// Fleet returns upstreams with their states.
 type Fleet interface {
 	Get(id string) (fleet.Upstream, bool)
 }
 
-type life struct {
-	id   string
-	born int64
+// incarnation identifies an incarnation of an upstream.
+type incarnation struct {
+	id        string
+	startedAt int64
 }
 
-type look struct {
-	done  chan struct{}
-	found Finding
-	at    time.Time
+// check is a check that is running, or that found an end.
+type check struct {
+	done    chan struct{}
+	finding Finding
+	at      time.Time
 }
 
-// Liveness is safe for use by several goroutines.
+// Liveness is safe for concurrent use.
 type Liveness struct {
 	prober Prober
 	fleet  Fleet
 
-	mu    sync.Mutex
-	looks map[life]*look // under way, and ends that were found
+	mu     sync.Mutex
+	checks map[incarnation]*check // running, or with an end as their finding
 }
 
-// New returns a liveness that has found nothing.
+// New returns a Liveness without findings.
 func New(p Prober, f Fleet) *Liveness {
-	return &Liveness{prober: p, fleet: f, looks: map[life]*look{}}
+	return &Liveness{prober: p, fleet: f, checks: map[incarnation]*check{}}
 }
 
-// Check returns what became of an upstream just after a connection to it broke. All
-// streams of a box that break together share one look. The caller may be gone: what is
-// found is worth knowing to the next one.
+// Check returns the state of an upstream after a connection to it broke. Concurrent
+// calls for one incarnation share a check, which is therefore not cancelled with ctx.
 func (l *Liveness) Check(ctx context.Context, u fleet.Upstream, engine bool) Finding {
 	known, _ := l.fleet.Get(u.ID)
 	switch {
-	case u.StartedAt > 0 && known.StartedAt > u.StartedAt: // it has started again, and lost what it had
+	case u.StartedAt > 0 && known.StartedAt > u.StartedAt: // it has restarted, and lost its runs
 		return Ended
 	case known.StartedAt == u.StartedAt && known.State == fleet.Leaving:
 		return Leaving
 	}
-	at, first := l.begin(life{u.ID, u.StartedAt})
+	c, first := l.beginCheck(incarnation{u.ID, u.StartedAt})
 	if first {
-		l.look(context.WithoutCancel(ctx), u, engine, at)
+		l.check(context.WithoutCancel(ctx), u, engine, c)
 	}
-	<-at.done
-	return at.found
+	<-c.done
+	return c.finding
 }
 
-// begin returns the look at a life, and whether the caller is to make it.
-func (l *Liveness) begin(of life) (at *look, first bool) {
+// beginCheck returns the check of an incarnation, and whether the caller has to run it.
+func (l *Liveness) beginCheck(inc incarnation) (c *check, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for key, old := range l.looks {
-		if !old.at.IsZero() && now.Sub(old.at) > keptFor {
-			delete(l.looks, key)
+	for key, old := range l.checks {
+		if !old.at.IsZero() && now.Sub(old.at) > endRetention {
+			delete(l.checks, key)
 		}
 	}
-	if at, ok := l.looks[of]; ok {
-		return at, false
+	if c, ok := l.checks[inc]; ok {
+		return c, false
 	}
-	at = &look{done: make(chan struct{})}
-	l.looks[of] = at
-	return at, true
+	c = &check{done: make(chan struct{})}
+	l.checks[inc] = c
+	return c, true
 }
 
-func (l *Liveness) look(ctx context.Context, u fleet.Upstream, engine bool, at *look) {
-	ctx, cancel := context.WithTimeout(ctx, lookTime)
+// check runs a check. Only an end is remembered.
+func (l *Liveness) check(ctx context.Context, u fleet.Upstream, engine bool, c *check) {
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	ended, err := l.prober.Ended(ctx, u, engine)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err != nil:
-		at.found = Unknown
+		c.finding = Unknown
 	case ended:
-		at.found, at.at = Ended, time.Now()
+		c.finding, c.at = Ended, time.Now()
 	default:
-		at.found = Alive
+		c.finding = Alive
 	}
-	if at.found != Ended {
-		delete(l.looks, life{u.ID, u.StartedAt}) // it may be otherwise at the next break
+	if c.finding != Ended {
+		delete(l.checks, incarnation{u.ID, u.StartedAt})
 	}
-	close(at.done)
+	close(c.done)
 }
--- a/liveness/liveness_test.go
+++ b/liveness/liveness_test.go
@@ -14,25 +14,25 @@
 	"petrelstep/liveness"
 )
 
-// prober finds what a test says, after a while.
+// prober returns a fixed result after a delay.
 type prober struct {
 	ended bool
 	err   error
-	takes time.Duration
+	delay time.Duration
 	calls atomic.Int64
 }
 
 func (p *prober) Ended(ctx context.Context, _ fleet.Upstream, _ bool) (bool, error) {
 	p.calls.Add(1)
 	select {
-	case <-time.After(p.takes):
+	case <-time.After(p.delay):
 		return p.ended, p.err
 	case <-ctx.Done():
 		return false, ctx.Err()
 	}
 }
 
-func TestLook(t *testing.T) {
+func TestCheck(t *testing.T) {
 	u := fleet.Upstream{ID: "e1", Service: "llm", State: fleet.Open}
 	tests := map[string]struct {
 		prober *prober
@@ -43,8 +43,8 @@
 		"nothing listens":              {prober: &prober{ended: true}, want: liveness.Ended, calls: 1},
 		"a connection was reset":       {prober: &prober{}, want: liveness.Alive, calls: 1},
 		"a link is cut":                {prober: &prober{err: errors.New("unreachable")}, want: liveness.Unknown, calls: 1},
-		"a machine has lost its power": {prober: &prober{takes: time.Hour}, want: liveness.Unknown, calls: 1},
-		"an end that was announced":    {prober: &prober{ended: true}, leaves: true, want: liveness.Leaving},
+		"a machine has lost its power": {prober: &prober{delay: time.Hour}, want: liveness.Unknown, calls: 1},
+		"an announced end":             {prober: &prober{ended: true}, leaves: true, want: liveness.Leaving},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,22 +56,22 @@
 					f.ApplyDeparture(time.Now(), fleet.Departure{ID: "e1", Version: 2}, "test")
 				}
 				l := liveness.New(tt.prober, f)
-				gone, cancel := context.WithCancel(t.Context())
-				cancel() // its caller is
-				is.Equal(l.Check(gone, u, true), tt.want)
+				cancelled, cancel := context.WithCancel(t.Context())
+				cancel() // the check does not depend on its caller
+				is.Equal(l.Check(cancelled, u, true), tt.want)
 				is.Equal(tt.prober.calls.Load(), tt.calls)
 			})
 		})
 	}
 }
 
-// TestLookOnce shows that streams which break together cost one call, and that an end
-// stays known.
-func TestLookOnce(t *testing.T) {
+// TestCheckOnce checks that concurrent calls share one check, and that an end is
+// remembered.
+func TestCheckOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		u := fleet.Upstream{ID: "e1", Service: "llm", State: fleet.Open}
-		p := &prober{ended: true, takes: 3 * time.Millisecond}
+		p := &prober{ended: true, delay: 3 * time.Millisecond}
 		l := liveness.New(p, fleet.New(time.Second))
 		for range 48 {
 			go l.Check(t.Context(), u, true)
@@ -79,7 +79,7 @@
 		time.Sleep(time.Second)
 		is.Equal(l.Check(t.Context(), u, true), liveness.Ended)
 		is.Equal(p.calls.Load(), int64(1))
-		u.StartedAt = 5 // another life under the same id
+		u.StartedAt = 5 // another incarnation
 		p.ended = false
 		is.Equal(l.Check(t.Context(), u, true), liveness.Alive)
 		is.Equal(p.calls.Load(), int64(2))
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -240,24 +240,24 @@
 	})
 }
 
-// TestCancel checks that the attempts of a request are canceled when it is refused,
+// TestCancel checks that the attempts of a request are cancelled when it is refused,
 // unless they are done.
 func TestCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q, _ := newQuarantine()
-		canceled := map[string]bool{}
-		q.Track(request("bad"), func() { canceled["bad"] = true })
-		q.Track(request("other"), func() { canceled["other"] = true })
-		q.Track(request("bad"), func() { canceled["done"] = true })()
+		cancelled := map[string]bool{}
+		q.Track(request("bad"), func() { cancelled["bad"] = true })
+		q.Track(request("other"), func() { cancelled["other"] = true })
+		q.Track(request("bad"), func() { cancelled["done"] = true })()
 		threeEnds(q)
 		q.Tick(time.Now())
 		synctest.Wait()
-		is.Equal(len(canceled), 0)
+		is.Equal(len(cancelled), 0)
 		time.Sleep(1100 * time.Millisecond)
 		q.Tick(time.Now())
 		synctest.Wait()
-		is.Equal(canceled, map[string]bool{"bad": true})
+		is.Equal(cancelled, map[string]bool{"bad": true})
 	})
 }
 
