--- a/probe/probe.go
+++ b/probe/probe.go
@@ -1,6 +1,5 @@
-// Package probe looks at upstreams themselves while the store tells nothing: boxes
-// still reach engines then, and their own reports are the only news that they
-// leave.
+// Package probe polls upstreams for their reports while the store does not answer.
+// Upstreams can still be reached then, and announce in their reports that they leave.
 package probe
 
 import (
@@ -16,114 +15,112 @@
 )
 
 const (
-	// Period is the time between looks; a report is half a second old, and an
-	// upstream is gone within 1.5 to 2 s of its notice.
+	// Period is the time between polls. An upstream stops 1.5 to 2 s after its
+	// announcement, which its report carries within half a second.
 	Period = 250 * time.Millisecond
-	// silence is how long the store has answered nobody that this box hears of when
-	// it begins to look. A hub has two calls at the store, each answered once in 0.7
-	// to 1.2 s, and tells of it within 0.25 s, so that in calm one of three hubs
-	// has an answer within half a second. A report is half a second old and an
-	// upstream is gone 1.5 to 2 s after its notice: what is seen within 0.9 s
-	// of a store's silence still leaves half a second to move runs. A look too
-	// many costs one report of each engine that this box has runs at.
-	silence = 600 * time.Millisecond
-	// outage is the silence after which upstreams may have lost the store too.
-	outage = 1500 * time.Millisecond
-	// afterwards is how long after an outage a box goes on looking: upstreams are
-	// listed again within 2 s of the store's return, and until then the store may
-	// never take the word of one that leaves. It is seen in its report half a
-	// second later.
-	afterwards = 3 * time.Second
-	// reportTime bounds a report.
-	reportTime = 400 * time.Millisecond
+	// silenceThreshold is the time without an answer of the store to any known box
+	// after which polling starts. While the store answers, some hub has an answer
+	// within about half a second, and half a second must remain to move runs off a
+	// leaving upstream.
+	silenceThreshold = 600 * time.Millisecond
+	// outageThreshold is the time without an answer of the store after which upstreams
+	// may have lost it too.
+	outageThreshold = 1500 * time.Millisecond
+	// pollAfterOutage is how long polling continues after an outage, until the
+	// upstreams are listed again and announce their departures in the store.
+	pollAfterOutage = 3 * time.Second
+	// reportTimeout bounds the reading of a report.
+	reportTimeout = 400 * time.Millisecond
 )
 
-// sourceReport names a report in the log as where news came from.
+// sourceReport is the source of updates from reports, for the log.
 const sourceReport = "report"
 
-// Report is what an upstream says of itself. Values are immutable.
+// Report is what an upstream reports about itself. Values are immutable.
 type Report struct {
 	Leaving   bool
-	StartedAt int64 // when it started; 0 where it does not say so
+	StartedAt int64 // start time in Unix milliseconds; 0 if not reported
 	Limit     exchange.Limit
-	Backoff   time.Duration // for so long it wants nothing from this box; 0 if it does not say so
+	Backoff   time.Duration // how long it wants no requests from this box; 0 if not reported
 }
 
-// Backoffs knows who has asked this box for rest.
+// Backoffs tracks which upstreams asked this box to back off, that is to send no
+// requests for some time.
 type Backoffs interface {
 	Asked(now time.Time, u fleet.Upstream, d time.Duration)
 	Wait(now time.Time, upstream string) time.Duration
 }
 
-// Limits takes what upstreams say that they take.
+// Limits handles the limits that upstreams report.
 type Limits interface {
 	Heard(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool)
 }
 
-// Reports reads an upstream's own word.
+// Reports reads the report of an upstream.
 type Reports interface {
 	ReadReport(ctx context.Context, address string) (Report, error)
 }
 
-// Runs names the upstreams at which this box has generations.
+// Runs returns the upstreams that run generations of this box.
 type Runs interface {
 	Upstreams() map[string]fleet.Upstream
 }
 
-// Prober is one box's. Its looks are made one after the other.
+// Prober polls the upstreams of one box. Calls to Poll must not overlap.
 type Prober struct {
-	fleet   *fleet.Fleet
-	silent  func(now time.Time) time.Duration
-	runs    Runs
-	reports Reports
-	limits  Limits
-	rests   Backoffs
-	log     *logrus.Entry
-	until   time.Time // upstreams may not have reached the store again
+	fleet        *fleet.Fleet
+	storeSilence func(now time.Time) time.Duration
+	runs         Runs
+	reports      Reports
+	limits       Limits
+	backoffs     Backoffs
+	log          *logrus.Entry
+	until        time.Time // polling continues until then after an outage
 }
 
-// New returns a watch; Look is to be called each Period. silent tells for how
-// long the store has answered nobody that this box hears of.
-func New(f *fleet.Fleet, silent func(now time.Time) time.Duration, runs Runs, reports Reports, limits Limits, rests Backoffs, log *logrus.Entry) *Prober {
-	return &Prober{fleet: f, silent: silent, runs: runs, reports: reports, limits: limits, rests: rests, log: log}
+// New returns a Prober; Poll is to be called each Period. storeSilence returns the time
+// since the store last answered any box known here.
+func New(f *fleet.Fleet, storeSilence func(now time.Time) time.Duration, runs Runs, reports Reports, limits Limits, backoffs Backoffs, log *logrus.Entry) *Prober {
+	return &Prober{fleet: f, storeSilence: storeSilence, runs: runs, reports: reports, limits: limits, backoffs: backoffs, log: log}
 }
 
-// Poll reads the reports of the upstreams that matter, if the store is silent or
-// was so until just now.
-func (w *Prober) Poll(ctx context.Context, now time.Time) {
-	silent := w.silent(now)
-	if silent >= outage {
-		w.until = now.Add(afterwards)
+// Poll reads the reports of the upstreams with runs of this box, if the store is silent
+// or was until recently.
+func (p *Prober) Poll(ctx context.Context, now time.Time) {
+	silent := p.storeSilence(now)
+	if silent >= outageThreshold {
+		p.until = now.Add(pollAfterOutage)
 	}
-	if silent < silence && !now.Before(w.until) {
+	if silent < silenceThreshold && !now.Before(p.until) {
 		return
 	}
 	var all sync.WaitGroup
-	for id, u := range w.runs.Upstreams() {
-		if known, ok := w.fleet.Get(id); ok && known.State == fleet.Leaving {
+	for id, u := range p.runs.Upstreams() {
+		if known, ok := p.fleet.Get(id); ok && known.State == fleet.Leaving {
 			continue
 		}
-		if w.rests.Wait(now, id) > 0 {
+		if p.backoffs.Wait(now, id) > 0 {
 			continue
 		}
-		all.Go(func() { w.look(ctx, u) })
+		all.Go(func() { p.pollOne(ctx, u) })
 	}
 	all.Wait()
 }
 
-func (w *Prober) look(ctx context.Context, u fleet.Upstream) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+// pollOne reads and applies the report of one upstream.
+func (p *Prober) pollOne(ctx context.Context, u fleet.Upstream) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	sent := time.Now()
-	word, err := w.reports.ReadReport(ctx, u.Address)
+	report, err := p.reports.ReadReport(ctx, u.Address)
 	if err != nil {
-		w.log.WithError(err).WithField("upstream", u.ID).Debug("report_not_read")
-		word.StartedAt = 0 // only the answer's head holds
+		p.log.WithError(err).WithField("upstream", u.ID).Debug("report_not_read")
+		report.StartedAt = 0 // only the headers of the answer are valid
 	}
-	w.rests.Asked(time.Now(), u, word.Backoff)
-	w.limits.Heard(time.Now(), sent, u, word.Limit, false) // a report may leave out what still holds
-	w.fleet.MarkStarted(time.Now(), u.ID, word.StartedAt, sourceReport)
-	if word.Leaving {
-		w.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: u.ID, Announced: true, StartedAt: cmp.Or(word.StartedAt, u.StartedAt)}, sourceReport)
+	p.backoffs.Asked(time.Now(), u, report.Backoff)
+	p.limits.Heard(time.Now(), sent, u, report.Limit, false) // a report may omit a limit that is still in force
+	p.fleet.MarkStarted(time.Now(), u.ID, report.StartedAt, sourceReport)
+	if report.Leaving {
+		p.fleet.ApplyDeparture(time.Now(), fleet.Departure{ID: u.ID, Announced: true, StartedAt: cmp.Or(report.StartedAt, u.StartedAt)}, sourceReport)
 	}
 }
