--- a/routecache/routecache.go
+++ b/routecache/routecache.go
@@ -1,5 +1,5 @@
-// Package routecache holds the configuration that a box believes to be in force,
-// and how old that belief is. Versions only rise within a life.
+// Package routecache holds the configuration that is believed to be in force, and its
+// age. Versions only rise while the daemon runs.
 package routecache
 
 import (
@@ -9,68 +9,69 @@
 	"petrelstep/route"
 )
 
-// neverAge is the age of what was taken and never confirmed: older than all
-// that counts, and short enough to be told to other boxes and reckoned with.
-const neverAge = time.Hour
+// unconfirmedAge is the age of a configuration that was never confirmed. It is finite
+// so that it can be reported to other boxes and added to.
+const unconfirmedAge = time.Hour
 
-// Cache is safe for use by several goroutines.
+// Cache is safe for concurrent use.
 type Cache struct {
 	mu        sync.Mutex
 	table     *route.Table
 	confirmed time.Time
-	most      time.Duration
-	slept     func(since time.Time) time.Duration // nil: never
+	maxAge    time.Duration
+	slept     func(since time.Time) time.Duration // returns how long the machine was suspended; nil for never
 }
 
-// New returns a belief of nothing. One that was confirmed longer than most ago
-// is stale: a key may have been taken away since.
-func New(most time.Duration) *Cache { return &Cache{most: most} }
+// New returns an empty cache. A configuration that was last confirmed longer than
+// maxAge ago is stale, as a key may have been revoked since.
+func New(maxAge time.Duration) *Cache { return &Cache{maxAge: maxAge} }
 
-// OnSlept lets ages count the time in which the machine was suspended, which the steady
-// clock leaves out: a key that was taken away meanwhile was else served on.
-func (b *Cache) OnSlept(slept func(since time.Time) time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.slept = slept
+// OnSlept sets the function that returns for how long the machine was suspended. Ages
+// include that time, which the monotonic clock does not count, so that keys that were
+// revoked meanwhile are not accepted.
+func (c *Cache) OnSlept(slept func(since time.Time) time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.slept = slept
 }
 
-// Update takes a version; it reports false, and keeps what it has, if that is as
-// new or newer.
-func (b *Cache) Update(t *route.Table) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.table != nil && t.Version() <= b.table.Version() {
+// Update replaces the configuration, unless the cached version is as new; it reports
+// whether it did.
+func (c *Cache) Update(t *route.Table) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.table != nil && t.Version() <= c.table.Version() {
 		return false
 	}
-	b.table = t
+	c.table = t
 	return true
 }
 
-// Confirm notes that nothing newer had been accepted when a call was sent. The
-// steady clock counts, so at must carry it. A time to come confirms nothing.
-func (b *Cache) Confirm(at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if at.After(b.confirmed) && !at.After(time.Now()) {
-		b.confirmed = at
+// Confirm records that the cached version was still in force when a call was sent. at
+// must carry a monotonic clock reading; a time in the future is ignored.
+func (c *Cache) Confirm(at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if at.After(c.confirmed) && !at.After(time.Now()) {
+		c.confirmed = at
 	}
 }
 
-// Current returns the configuration, nil if there is none yet, how old the belief
-// in it is, and whether that is too old to serve by.
-func (b *Cache) Current(now time.Time) (t *route.Table, age time.Duration, stale bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	age = now.Sub(b.confirmed)
-	if b.slept != nil {
-		age += b.slept(b.confirmed)
+// Current returns the configuration or nil, its age, and whether it is too old to be
+// used.
+func (c *Cache) Current(now time.Time) (t *route.Table, age time.Duration, stale bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	age = now.Sub(c.confirmed)
+	if c.slept != nil {
+		age += c.slept(c.confirmed)
 	}
-	age = min(age, neverAge)
-	return b.table, age, b.table == nil || age > b.most
+	age = min(age, unconfirmedAge)
+	return c.table, age, c.table == nil || age > c.maxAge
 }
 
-// Age returns how old the belief is; false if there is none.
-func (b *Cache) Age(now time.Time) (time.Duration, bool) {
-	t, age, _ := b.Current(now)
+// Age returns the age of the configuration; false if there is none.
+func (c *Cache) Age(now time.Time) (time.Duration, bool) {
+	t, age, _ := c.Current(now)
 	return age, t != nil
 }
--- a/routecache/routecache_test.go
+++ b/routecache/routecache_test.go
@@ -12,41 +12,40 @@
 
 func version(v int) *route.Table { return route.New(v, nil, nil, nil, route.Limits{}) }
 
-func TestBeliefRisesAndAges(t *testing.T) {
+func TestUpdateAndAge(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := routecache.New(4 * time.Second)
-	_, _, stale := b.Current(now)
-	is.True(stale) // knows nothing
-	is.True(b.Update(version(5)))
-	b.Confirm(now)
-	is.True(!b.Update(version(4))) // an older version told late
-	is.True(!b.Update(version(5)))
-	table, _, stale := b.Current(now.Add(3900 * time.Millisecond))
+	c := routecache.New(4 * time.Second)
+	_, _, stale := c.Current(now)
+	is.True(stale) // empty
+	is.True(c.Update(version(5)))
+	c.Confirm(now)
+	is.True(!c.Update(version(4))) // a delayed older version
+	is.True(!c.Update(version(5)))
+	table, _, stale := c.Current(now.Add(3900 * time.Millisecond))
 	is.True(!stale)
 	is.Equal(table.Version(), 5)
-	b.Confirm(now.Add(-time.Second)) // an answer that came late confirms nothing newer
-	_, age, stale := b.Current(now.Add(4100 * time.Millisecond))
+	c.Confirm(now.Add(-time.Second)) // a delayed answer does not make it younger
+	_, age, stale := c.Current(now.Add(4100 * time.Millisecond))
 	is.True(stale)
 	is.Equal(age, 4100*time.Millisecond)
 }
 
-// TestNeverConfirmed shows a belief that was taken from another box and never
-// confirmed: it is stale, and an age that is told on never makes another box's
-// belief younger than it is.
+// TestNeverConfirmed checks that an unconfirmed configuration is stale, also on a box
+// to which its age is reported.
 func TestNeverConfirmed(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := routecache.New(4 * time.Second)
-	is.True(b.Update(version(1)))
-	_, age, stale := b.Current(now)
+	c := routecache.New(4 * time.Second)
+	is.True(c.Update(version(1)))
+	_, age, stale := c.Current(now)
 	is.True(stale)
 	other := routecache.New(4 * time.Second)
 	is.True(other.Update(version(1)))
 	other.Confirm(now.Add(-age))
 	_, _, stale = other.Current(now)
 	is.True(stale)
-	other.Confirm(now.Add(time.Hour)) // nothing is confirmed before it was asked
+	other.Confirm(now.Add(time.Hour)) // a time in the future confirms nothing
 	_, _, stale = other.Current(now)
 	is.True(stale)
 }
