--- a/route/route.go
+++ b/route/route.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// Share is one service's part of a route's traffic.
+// Share is the share of a route's traffic that goes to one service.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route tells where requests go and what may be done with them.
+// Route describes where requests are sent and how they are handled.
 type Route struct {
 	Name       string
 	Host       string
 	Prefix     string // of the path; begins and ends with a slash
 	Streams    bool   // answers are streams of events
 	Repeatable bool   // a request may run more than once
-	Resumable  bool   // a stream may go on at another upstream after an event
-	Attempts   int    // upstreams that one request may be sent to
+	Resumable  bool   // a stream may continue at another upstream after any event
+	Attempts   int    // maximum number of upstreams that one request is sent to
 	Timeout    time.Duration
-	Aim        time.Duration // for the first event or the whole answer
-	Gap        time.Duration // longest pause of a stream in time
-	Patience   time.Duration // callers leave a stream after so long a pause, also before its first event
-	Priority   int           // 0 goes first
+	Aim        time.Duration // target time to the first event or the whole answer
+	Gap        time.Duration // target for the longest pause within a stream
+	Patience   time.Duration // pause after which callers abandon a stream, also before its first event
+	Priority   int           // 0 is the highest
 	Public     bool          // needs no key
-	Regions    []string      // requests are served nowhere else; none for anywhere
+	Regions    []string      // the only regions where requests are served; empty for all
 	Split      []Share
 }
 
-// Idempotent tells whether a request may run more than once.
+// Idempotent reports whether a request may run more than once.
 func (r Route) Idempotent() bool { return r.Repeatable || r.Resumable }
 
-// Within returns the regions where a request is served that both its route and its
-// organisation may confine: none for anywhere. It reports false if there is none
-// that both allow.
+// Within returns the regions where a request may be served, given the regions of its
+// route and of its organisation; empty for all. It reports false if no region is
+// allowed by both.
 func Within(route, organisation []string) (regions []string, ok bool) {
 	if len(route) == 0 || len(organisation) == 0 {
 		return append(slices.Clone(route), organisation...), true
@@ -51,29 +51,29 @@
 	return regions, len(regions) > 0
 }
 
-// Engine is what a service's model engines offer.
+// Engine describes the model engines of a service.
 type Engine struct {
 	Slots       int
 	Memory      int  // tokens
-	Moves       bool // memory of runs can be moved
-	EventTokens int  // in one event of a stream
+	Moves       bool // the memory of runs can be moved to another engine
+	EventTokens int  // per event of a stream
 }
 
-// Service is a set of like upstreams.
+// Service is a set of equivalent upstreams.
 type Service struct {
 	Name   string
 	Engine *Engine // nil for a plain service
 
-	ColdFor       time.Duration // an upstream is cold for so long after its start
-	ColdPerSecond float64       // requests that a cold upstream bears; 0 for any
+	ColdFor       time.Duration // how long an upstream is cold after its start
+	ColdPerSecond float64       // maximum request rate of a cold upstream; 0 for no limit
 }
 
-// Organisation is one that sends requests.
+// Organisation is a customer that sends requests.
 type Organisation struct {
 	Name     string
 	Keys     []string
-	Priority *int     // goes before the route's
-	Regions  []string // its requests are served nowhere else; none for anywhere
+	Priority *int     // overrides the route's priority if set
+	Regions  []string // the only regions where its requests are served; empty for all
 }
 
 // Limits bound what a caller may send.
@@ -119,11 +119,10 @@
 // Version returns the version, which rises with each change.
 func (t *Table) Version() int { return t.version }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the bounds on callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Match returns the route of a request: of its host's, the one with the
-// longest prefix of the path.
+// Match returns the route of the host with the longest prefix of the path.
 func (t *Table) Match(host, path string) (Route, bool) {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -139,7 +138,7 @@
 	return s, ok
 }
 
-// ColdFor returns the longest that an upstream of any service is cold after its start.
+// ColdFor returns the longest ColdFor of all services.
 func (t *Table) ColdFor() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range t.services {
@@ -148,7 +147,7 @@
 	return longest
 }
 
-// Engines returns the names of the services that engines answer.
+// Engines returns the names of the services with model engines, sorted.
 func (t *Table) Engines() []string {
 	var names []string
 	for name, s := range t.services {
@@ -166,5 +165,5 @@
 	return o, ok
 }
 
-// Keyed tells whether any organisation is declared: then requests carry keys.
+// Keyed reports whether any organisation is configured, so that requests need a key.
 func (t *Table) Keyed() bool { return len(t.organisations) > 0 }
