--- a/readpolicy/readpolicy.go
+++ b/readpolicy/readpolicy.go
@@ -1,6 +1,6 @@
-// Package readpolicy decides when a box reads a table of the platform's store for
-// itself. Each call is paid for, so that a few hubs read and tell the others;
-// a box that is told nothing, or only what is old, reads too.
+// Package readpolicy decides when a box reads a table of the platform's store itself.
+// Calls to the store are paid for, so that a few hubs read and report to the others. A
+// box that receives no report, or only outdated ones, reads too.
 package readpolicy
 
 import (
@@ -12,227 +12,223 @@
 )
 
 const (
-	// feedWait is how long a hub's call waits for changes, and so how often the
-	// store confirms to it that there are none. A hub that has lost the store
-	// learns it by its first failed call, well before keys must be refused, 5 s
-	// after they were last confirmed.
-	feedWait = 1200 * time.Millisecond
-	// feedLeast is the least that it waits, at random, where it reads for others:
-	// hubs that were answered at the same moment, by a change, are then confirmed
-	// at different times, and the youngest word counts.
-	feedLeast = 700 * time.Millisecond
-	// told is the age of knowledge at which a box reads although it hears hubs.
-	// It is at most 2.4 s at a hub, two of its calls, and 0.25 s later here: what
-	// is older means that the hubs have lost the store.
-	told = 2900 * time.Millisecond
-	// spread is drawn once over boxes, so that not all of them read at once; the
-	// last begins at 3.7 s, 0.9 s before keys are refused.
-	spread = 800 * time.Millisecond
-	// unheard is how long no hub may answer, three of the periods of gossip,
-	// before a box reads.
-	unheard = 800 * time.Millisecond
-	// spareCalled is the time between calls to a hub beside the nearest, in a crowd.
-	spareCalled = time.Second
-	// firstTold is how long a box that knows nothing yet waits to be told by the
-	// hubs before it reads all for itself, two calls at least: hubs have read within
-	// 0.1 s and tell it within 0.25 s more. At a cold start, with nobody to serve
-	// yet, it is firstToldCold, as hubs look for each other first.
-	firstTold     = 350 * time.Millisecond
-	firstToldCold = 1500 * time.Millisecond
-	// promisedMost bounds the wait to be told where hubs say that they tell all
-	// later: 300 boxes that start at once before 3,000 upstreams are told within 4 s.
-	promisedMost = 6 * time.Second
-	// crowdTold is how long a box of a crowd that knows nothing waits to be told, where
-	// no hub answers: all may have started at once, and a hub that was called before it
-	// was up is passed by for 3 s. Boxes that read the whole fleet together wait for each
-	// other in vain.
-	crowdTold = 4 * time.Second
-	// crowdSpread is over how many times its spread a box of a crowd puts off what it
-	// would read with all others: over 4 s where it knows nothing.
-	crowdSpread = 5
-	// crowdUnheard is the same where it knows all and hears no hub: the last reads at
-	// 3.2 s, as where it is told what is old.
-	crowdUnheard = 3
-	// listedIn is how long a box that restarts waits to learn how many others there are
-	// before it reads all for itself; some 0.05 s in calm. That many did so at once, as
-	// all of 300 were killed, held up the store for their writes too.
-	listedIn = 400 * time.Millisecond
-	// coldMost bounds the wait at a cold start until the other boxes are known.
-	coldMost = 3 * time.Second
-	// hubFirst and hubMost bound a hub's waits between failed calls: it has to be
-	// current again within some 2 s of the store's return.
-	hubFirst = 100 * time.Millisecond
-	hubMost  = 1200 * time.Millisecond
-	// shared is what the boxes that are no hubs keep between their failed calls,
-	// all together, so that 20 a second are paid for however many they are.
-	shared = 50 * time.Millisecond
-	// sharedMost bounds that for one box.
-	sharedMost = 5 * time.Second
+	// longPollWait is how long a call waits for changes, and so how often the store
+	// confirms that there are none. A reader that has lost the store finds out by its
+	// first failed call, well before keys are refused.
+	longPollWait = 1200 * time.Millisecond
+	// minLongPollWait is the minimum of the random wait of a box that reads for others,
+	// so that the calls of several hubs end at different times.
+	minLongPollWait = 700 * time.Millisecond
+	// outdatedAge is the age of a table at which a box reads it although hubs answer.
+	// Reports that old mean that the hubs have lost the store.
+	outdatedAge = 2900 * time.Millisecond
+	// maxSpread bounds the random delay that each box adds, so that not all of them
+	// read at once. The last one reads before keys are refused.
+	maxSpread = 800 * time.Millisecond
+	// hubSilence is the time without an answer of any hub after which a box reads.
+	hubSilence = 800 * time.Millisecond
+	// backupPeriod is the time between calls to the backup hub in a large fleet.
+	backupPeriod = time.Second
+	// firstReportWait is how long a box without any data waits for a hub's report
+	// before it reads itself. It is longer at a cold start, when the hubs have to find
+	// each other first.
+	firstReportWait     = 350 * time.Millisecond
+	coldFirstReportWait = 1500 * time.Millisecond
+	// maxPromiseWait bounds the wait for a report that a hub has promised for later, as
+	// when many boxes start at once.
+	maxPromiseWait = 6 * time.Second
+	// largeFleetWait is how long a box of a large fleet without any data waits for a
+	// hub to answer. If all boxes started at once, a hub that was called too early is
+	// not called again for some seconds, and reads by all boxes would slow each other
+	// down.
+	largeFleetWait = 4 * time.Second
+	// largeFleetSpread is the factor on the random delay of a box of a large fleet that
+	// has no data.
+	largeFleetSpread = 5
+	// largeFleetSilenceSpread is the same factor for a box with data that no hub
+	// answers.
+	largeFleetSilenceSpread = 3
+	// listWait is how long a box that restarts waits for the list of the other boxes
+	// before it reads, as it may belong to a large fleet whose boxes all restart.
+	listWait = 400 * time.Millisecond
+	// maxColdStart bounds the wait for the list of the other boxes at a cold start.
+	maxColdStart = 3 * time.Second
+	// hubInitialPause and hubMaxPause bound a hub's pause between failed calls, so that
+	// it is up to date soon after the store returns.
+	hubInitialPause = 100 * time.Millisecond
+	hubMaxPause     = 1200 * time.Millisecond
+	// sharedPause is the pause between failed calls of all boxes that are not hubs
+	// together, so that their rate does not grow with the fleet.
+	sharedPause = 50 * time.Millisecond
+	// maxSharedPause bounds the resulting pause of one box.
+	maxSharedPause = 5 * time.Second
 )
 
-// Boxes is what is known of the boxes.
+// Boxes returns what is known about the boxes of the fleet.
 type Boxes interface {
-	// Joined tells whether this box has joined the others, and read who they are.
+	// Joined reports whether this box has joined the fleet and read the list of its
+	// boxes.
 	Joined() bool
-	// Listed tells whether it has read who the others were, joined or not.
+	// Listed reports whether this box has read the list of boxes, joined or not.
 	Listed() bool
-	// Rejected tells whether the store has turned its last call for them away.
+	// Rejected reports whether the store rejected the last call for the list.
 	Rejected() bool
-	// IsReader tells whether this box reads for others.
+	// IsReader reports whether this box reads for others.
 	IsReader() bool
-	// Count returns how many boxes there are.
+	// Count returns the number of boxes.
 	Count() int
-	// AllReaders tells whether every box reads for itself.
+	// AllReaders reports whether every box reads for itself.
 	AllReaders() bool
 	// LastHubAnswer returns when a hub last answered.
 	LastHubAnswer() time.Time
-	// IsLargeFleet tells whether boxes are too many for each to call all hubs.
+	// IsLargeFleet reports whether there are too many boxes for each to call all hubs.
 	IsLargeFleet() bool
-	// LastPromised returns when a hub last said that it tells all later.
+	// LastPromised returns when a hub last promised a complete report for later.
 	LastPromised() time.Time
 }
 
-// Policy is that of one table. It is safe for use by several goroutines.
+// Policy is the policy of one table. It is safe for concurrent use.
 type Policy struct {
-	boxes  Boxes
-	age    func(now time.Time) (age time.Duration, known bool)
-	start  time.Time
-	until  time.Time // a cold start ends; zero if it is none
-	spread time.Duration
-	told   time.Duration // to wait, at first, to be told
-
-	mu     sync.Mutex
-	joined time.Time // the boxes were known for the first time
+	boxes     Boxes
+	age       func(now time.Time) (age time.Duration, known bool)
+	startedAt time.Time
+	coldUntil time.Time // end of the cold start; zero if it is none
+	spread    time.Duration
+	firstWait time.Duration // for the first report
+
+	mu       sync.Mutex
+	joinedAt time.Time // when Joined was first true
 }
 
-// New returns the reading of a table, whose knowledge has an age. At a cold
-// start, when all boxes start together, it waits until they know each other:
-// until then each would take itself for a hub.
+// New returns the policy of a table whose age is returned by age. At a cold start, when
+// all boxes start together, it waits until they know each other, as each would
+// otherwise take itself for a hub.
 func New(boxes Boxes, age func(now time.Time) (time.Duration, bool), cold bool, random *rand.Rand) *Policy {
-	r := &Policy{start: time.Now(), boxes: boxes, age: age, spread: time.Duration(random.Int64N(int64(spread))), told: firstTold}
+	p := &Policy{startedAt: time.Now(), boxes: boxes, age: age, spread: time.Duration(random.Int64N(int64(maxSpread))), firstWait: firstReportWait}
 	if cold {
-		r.until = r.start.Add(coldMost)
-		r.told = firstToldCold
+		p.coldUntil = p.startedAt.Add(maxColdStart)
+		p.firstWait = coldFirstReportWait
 	}
-	return r
+	return p
 }
 
 // Reason is why a box reads.
 type Reason string
 
-// The reasons to read; None where others tell.
+// The reasons to read; None if the box does not read.
 const (
 	None     Reason = ""
 	Reader   Reason = "reader"   // it reads for others
-	NoReport Reason = "untold"   // it knows nothing, and was not told in time
-	Unjoined Reason = "unjoined" // it does not know the other boxes
+	NoReport Reason = "untold"   // it has no data, and received no report in time
+	Unjoined Reason = "unjoined" // it has not joined the other boxes
 	NoHub    Reason = "unheard"  // no hub answers
-	Outdated Reason = "old"      // the hubs tell what is old
+	Outdated Reason = "old"      // the hubs' reports are outdated
 )
 
-// Needed implements tablesync.Need: it tells whether this box is to read now.
-func (r *Policy) Needed(now time.Time) bool { return r.Reason(now) != None }
+// Needed implements tablesync.Need: it reports whether this box reads now.
+func (p *Policy) Needed(now time.Time) bool { return p.Reason(now) != None }
 
-// Reason returns why this box is to read now.
-func (r *Policy) Reason(now time.Time) Reason {
-	age, known := r.age(now)
-	reads := r.boxes.IsReader()
-	silent := now.Sub(r.boxes.LastHubAnswer()) > r.unheard()
-	joined := r.boxes.Joined() || r.boxes.IsLargeFleet() && (reads && r.until.IsZero() || !silent) // joining takes many a second
+// Reason returns why this box reads now.
+func (p *Policy) Reason(now time.Time) Reason {
+	age, known := p.age(now)
+	reads := p.boxes.IsReader()
+	silent := now.Sub(p.boxes.LastHubAnswer()) > p.maxHubSilence()
+	joined := p.boxes.Joined() || p.boxes.IsLargeFleet() && (reads && p.coldUntil.IsZero() || !silent) // joining takes long in a large fleet
 	switch {
 	case !joined && known:
-		return Unjoined.when(age > unheard)
+		return Unjoined.onlyIf(age > hubSilence)
 	case !joined:
-		return r.unjoined(now)
+		return p.reasonBeforeJoining(now)
 	case !known && reads:
 		return Reader
 	case !known:
-		return NoReport.when(r.first(now))
+		return NoReport.onlyIf(p.readsFirst(now))
 	case silent && !reads:
-		return NoHub.when(age > unheard+r.crowds(crowdUnheard))
+		return NoHub.onlyIf(age > hubSilence+p.largeFleetDelay(largeFleetSilenceSpread))
 	case reads:
 		return Reader
 	}
-	return Outdated.when(age > told+r.spread)
+	return Outdated.onlyIf(age > outdatedAge+p.spread)
 }
 
-// unheard is for how long no hub may have answered: of a crowd one may be left that is
-// called each second.
-func (r *Policy) unheard() time.Duration {
-	if r.boxes.IsLargeFleet() {
-		return unheard + spareCalled
+// maxHubSilence returns the time without an answer of a hub after which a box reads. In
+// a large fleet only the backup hub may be left, which is called less often.
+func (p *Policy) maxHubSilence() time.Duration {
+	if p.boxes.IsLargeFleet() {
+		return hubSilence + backupPeriod
 	}
-	return unheard
+	return hubSilence
 }
 
-// when returns the reason if it holds.
-func (r Reason) when(holds bool) Reason {
+// onlyIf returns the reason if a condition holds, and None otherwise.
+func (r Reason) onlyIf(holds bool) Reason {
 	if holds {
 		return r
 	}
 	return None
 }
 
-// unjoined returns why a box that knows nothing reads before it has joined the others.
-func (r *Policy) unjoined(now time.Time) Reason {
-	waited := now.Sub(r.start)
+// reasonBeforeJoining returns why a box without any data reads before it has joined.
+func (p *Policy) reasonBeforeJoining(now time.Time) Reason {
+	waited := now.Sub(p.startedAt)
 	switch {
-	case r.boxes.IsLargeFleet() && !r.until.IsZero():
-		return Unjoined.when(waited >= coldMost+crowdTold+r.crowds(crowdSpread))
-	case !r.until.IsZero():
-		return Unjoined.when(now.After(r.until))
-	case !r.boxes.Listed() && r.boxes.Rejected(): // as any other call would be; it may be of a crowd
-		return Unjoined.when(waited >= crowdTold+crowdSpread*r.spread)
-	case !r.boxes.Listed():
-		return Unjoined.when(waited >= listedIn+r.spread)
-	case !r.boxes.IsLargeFleet():
+	case p.boxes.IsLargeFleet() && !p.coldUntil.IsZero():
+		return Unjoined.onlyIf(waited >= maxColdStart+largeFleetWait+p.largeFleetDelay(largeFleetSpread))
+	case !p.coldUntil.IsZero():
+		return Unjoined.onlyIf(now.After(p.coldUntil))
+	case !p.boxes.Listed() && p.boxes.Rejected(): // other calls would be rejected too; the fleet may be large
+		return Unjoined.onlyIf(waited >= largeFleetWait+largeFleetSpread*p.spread)
+	case !p.boxes.Listed():
+		return Unjoined.onlyIf(waited >= listWait+p.spread)
+	case !p.boxes.IsLargeFleet():
 		return Unjoined
 	}
-	return Unjoined.when(waited >= crowdTold+r.crowds(crowdSpread))
+	return Unjoined.onlyIf(waited >= largeFleetWait+p.largeFleetDelay(largeFleetSpread))
 }
 
-// first tells whether a box that knows nothing yet is to read all for itself.
-func (r *Policy) first(now time.Time) bool {
-	waited := now.Sub(r.since(now))
-	told, most := r.told, promisedMost+r.crowds(crowdSpread)
-	if r.boxes.IsLargeFleet() {
-		told = max(told, crowdTold) + r.crowds(crowdSpread)
+// readsFirst reports whether a joined box without any data reads now.
+func (p *Policy) readsFirst(now time.Time) bool {
+	waited := now.Sub(p.joinedSince(now))
+	wait, maxWait := p.firstWait, maxPromiseWait+p.largeFleetDelay(largeFleetSpread)
+	if p.boxes.IsLargeFleet() {
+		wait = max(wait, largeFleetWait) + p.largeFleetDelay(largeFleetSpread)
 	}
-	promised := now.Sub(r.boxes.LastPromised()) <= unheard && waited < most
-	return waited >= told && !promised
+	promised := now.Sub(p.boxes.LastPromised()) <= hubSilence && waited < maxWait
+	return waited >= wait && !promised
 }
 
-// crowds returns some times this box's spread in a crowd, and none otherwise.
-func (r *Policy) crowds(times int) time.Duration {
-	if !r.boxes.IsLargeFleet() {
+// largeFleetDelay returns a multiple of this box's random delay in a large fleet, and
+// zero otherwise.
+func (p *Policy) largeFleetDelay(spreads int) time.Duration {
+	if !p.boxes.IsLargeFleet() {
 		return 0
 	}
-	return time.Duration(times) * r.spread
+	return time.Duration(spreads) * p.spread
 }
 
-// since returns since when the boxes are known.
-func (r *Policy) since(now time.Time) time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.joined.IsZero() {
-		r.joined = now
+// joinedSince returns when the box joined.
+func (p *Policy) joinedSince(now time.Time) time.Time {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.joinedAt.IsZero() {
+		p.joinedAt = now
 	}
-	return r.joined
+	return p.joinedAt
 }
 
 // Wait implements tablesync.Need.
-func (r *Policy) Wait() time.Duration {
-	if r.boxes.AllReaders() {
-		return feedWait
+func (p *Policy) Wait() time.Duration {
+	if p.boxes.AllReaders() {
+		return longPollWait
 	}
-	return feedLeast + rand.N(feedWait-feedLeast)
+	return minLongPollWait + rand.N(longPollWait-minLongPollWait)
 }
 
 // Pace implements tablesync.Need.
-func (r *Policy) Pace() tablesync.Pace {
-	if r.boxes.IsReader() {
-		return tablesync.Pace{Initial: hubFirst, Max: hubMost}
+func (p *Policy) Pace() tablesync.Pace {
+	if p.boxes.IsReader() {
+		return tablesync.Pace{Initial: hubInitialPause, Max: hubMaxPause}
 	}
-	wait := min(max(time.Duration(r.boxes.Count())*shared, hubMost), sharedMost)
+	wait := min(max(time.Duration(p.boxes.Count())*sharedPause, hubMaxPause), maxSharedPause)
 	return tablesync.Pace{Initial: wait, Max: wait}
 }
--- a/readpolicy/readpolicy_test.go
+++ b/readpolicy/readpolicy_test.go
@@ -12,68 +12,68 @@
 	"petrelstep/tablesync"
 )
 
-// boxes is what a test says of the boxes.
+// boxes is a fixed implementation of readpolicy.Boxes.
 type boxes struct {
-	known, reads    bool
-	crowded         bool
-	unlisted        bool // the others were never read
-	away            bool // the store turned its last call for them away
-	count           int
-	heard, promised time.Time
+	joined, reader     bool
+	largeFleet         bool
+	unlisted           bool // the list of boxes was never read
+	rejected           bool // the store rejected the last call for it
+	count              int
+	answered, promised time.Time
 }
 
-func (b boxes) Joined() bool             { return b.known }
-func (b boxes) IsReader() bool           { return b.reads }
+func (b boxes) Joined() bool             { return b.joined }
+func (b boxes) IsReader() bool           { return b.reader }
 func (b boxes) Count() int               { return b.count }
 func (b boxes) Listed() bool             { return !b.unlisted }
-func (b boxes) Rejected() bool           { return b.away }
-func (b boxes) IsLargeFleet() bool       { return b.crowded }
+func (b boxes) Rejected() bool           { return b.rejected }
+func (b boxes) IsLargeFleet() bool       { return b.largeFleet }
 func (b boxes) AllReaders() bool         { return b.count <= 8 }
-func (b boxes) LastHubAnswer() time.Time { return b.heard }
+func (b boxes) LastHubAnswer() time.Time { return b.answered }
 func (b boxes) LastPromised() time.Time  { return b.promised }
 
 const never = -1
 
 func TestNeeded(t *testing.T) {
 	tests := map[string]struct {
-		boxes boxes
-		heard time.Duration // ago; a negative one for never
-		age   time.Duration // of the knowledge; a negative one for none
-		cold  bool
-		after time.Duration // since the start
-		want  bool
+		boxes    boxes
+		answered time.Duration // time since a hub answered; negative for never
+		age      time.Duration // of the table; negative if there is none
+		cold     bool
+		after    time.Duration // since the start
+		want     bool
 	}{
-		"a hub":                    {boxes: boxes{known: true, reads: true}, age: 0, want: true},
-		"a hub that knows nothing": {boxes: boxes{known: true, reads: true}, age: never, want: true},
-		"a box that knows nothing": {boxes: boxes{known: true}, age: never},
-		"a box that restarts, the others not yet read": {age: never, want: true},
-		"it does not know yet how many they are":       {boxes: boxes{unlisted: true}, age: never, after: 300 * time.Millisecond},
-		"it cannot learn how many they are":            {boxes: boxes{unlisted: true}, age: never, after: 1300 * time.Millisecond, want: true},
-		"it was turned away when it asked":             {boxes: boxes{unlisted: true, away: true}, age: never, after: 3900 * time.Millisecond},
-		"it was turned away for long":                  {boxes: boxes{unlisted: true, away: true}, age: never, after: 8100 * time.Millisecond, want: true},
-		"many restart, and have not joined":            {boxes: boxes{crowded: true}, heard: never, age: never, after: 3 * time.Second},
-		"many restart, and cannot join":                {boxes: boxes{crowded: true}, heard: never, age: never, after: 8100 * time.Millisecond, want: true},
-		"many restart, told before it has joined":      {boxes: boxes{crowded: true}, age: 2 * time.Second},
-		"many restart, a hub that has read":            {boxes: boxes{crowded: true, reads: true}, heard: never, age: 0, want: true},
-		"many restart, a hub that reads":               {boxes: boxes{crowded: true, reads: true}, age: never, want: true},
-		"a cold start, the others not yet read":        {age: never, cold: true, after: time.Second},
-		"a cold start, the others cannot be read":      {age: never, cold: true, after: 3100 * time.Millisecond, want: true},
-		"a cold start, the others are known":           {boxes: boxes{known: true}, age: never, cold: true, after: time.Second},
-		"a cold start, a hub":                          {boxes: boxes{known: true, reads: true}, age: never, cold: true, after: time.Second, want: true},
-		"no feed before the others are known":          {age: 500 * time.Millisecond},
-		"the others cannot be read, the store can":     {age: time.Second, want: true},
-		"told what hubs can know at best":              {boxes: boxes{known: true}, age: 2700 * time.Millisecond},
-		"told what is old, the hubs lost the store":    {boxes: boxes{known: true}, age: 3800 * time.Millisecond, want: true},
-		"no hub answers":                               {boxes: boxes{known: true}, heard: time.Second, age: time.Second, want: true},
-		"no hub answers, it has just read":             {boxes: boxes{known: true}, heard: time.Second, age: 500 * time.Millisecond},
-		"no hub ever answered":                         {boxes: boxes{known: true}, heard: never, age: time.Second, want: true},
+		"a hub":                                         {boxes: boxes{joined: true, reader: true}, age: 0, want: true},
+		"a hub without data":                            {boxes: boxes{joined: true, reader: true}, age: never, want: true},
+		"a box without data":                            {boxes: boxes{joined: true}, age: never},
+		"a restart, not joined":                         {age: never, want: true},
+		"a restart, not listed yet":                     {boxes: boxes{unlisted: true}, age: never, after: 300 * time.Millisecond},
+		"a restart, the list cannot be read":            {boxes: boxes{unlisted: true}, age: never, after: 1300 * time.Millisecond, want: true},
+		"a restart, the list was rejected":              {boxes: boxes{unlisted: true, rejected: true}, age: never, after: 3900 * time.Millisecond},
+		"a restart, the list was rejected for long":     {boxes: boxes{unlisted: true, rejected: true}, age: never, after: 8100 * time.Millisecond, want: true},
+		"a large fleet restarts, not joined":            {boxes: boxes{largeFleet: true}, answered: never, age: never, after: 3 * time.Second},
+		"a large fleet restarts, cannot join":           {boxes: boxes{largeFleet: true}, answered: never, age: never, after: 8100 * time.Millisecond, want: true},
+		"a large fleet restarts, report before joining": {boxes: boxes{largeFleet: true}, age: 2 * time.Second},
+		"a large fleet restarts, a hub with data":       {boxes: boxes{largeFleet: true, reader: true}, answered: never, age: 0, want: true},
+		"a large fleet restarts, a hub without data":    {boxes: boxes{largeFleet: true, reader: true}, age: never, want: true},
+		"a cold start, not joined":                      {age: never, cold: true, after: time.Second},
+		"a cold start, cannot join":                     {age: never, cold: true, after: 3100 * time.Millisecond, want: true},
+		"a cold start, joined":                          {boxes: boxes{joined: true}, age: never, cold: true, after: time.Second},
+		"a cold start, a hub":                           {boxes: boxes{joined: true, reader: true}, age: never, cold: true, after: time.Second, want: true},
+		"recent data, not joined":                       {age: 500 * time.Millisecond},
+		"older data, cannot join":                       {age: time.Second, want: true},
+		"reports of normal age":                         {boxes: boxes{joined: true}, age: 2700 * time.Millisecond},
+		"outdated reports, the hubs lost the store":     {boxes: boxes{joined: true}, age: 3800 * time.Millisecond, want: true},
+		"no hub answers":                                {boxes: boxes{joined: true}, answered: time.Second, age: time.Second, want: true},
+		"no hub answers, recent data":                   {boxes: boxes{joined: true}, answered: time.Second, age: 500 * time.Millisecond},
+		"no hub ever answered":                          {boxes: boxes{joined: true}, answered: never, age: time.Second, want: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				age := func(time.Time) (time.Duration, bool) { return tt.age, tt.age >= 0 }
-				if tt.heard >= 0 {
-					tt.boxes.heard = time.Now().Add(tt.after - tt.heard)
+				if tt.answered >= 0 {
+					tt.boxes.answered = time.Now().Add(tt.after - tt.answered)
 				}
 				r := readpolicy.New(&tt.boxes, age, tt.cold, rand.New(rand.NewPCG(1, 1)))
 				time.Sleep(tt.after)
@@ -83,28 +83,27 @@
 	}
 }
 
-// TestFirstRead shows how long a box waits to be told before it reads all for
-// itself: one of many that start together is told by hubs.
+// TestFirstRead checks how long a box without data waits for a report before it reads.
 func TestFirstRead(t *testing.T) {
 	tests := map[string]struct {
 		cold     bool
-		after    time.Duration // since the boxes are known
-		promised bool          // a hub tells later, as it said just now
+		after    time.Duration // since it joined
+		promised bool          // a hub promised a report
 		want     bool
 	}{
-		"just started":               {},
-		"told soon":                  {after: 300 * time.Millisecond},
-		"not told":                   {after: 400 * time.Millisecond, want: true},
-		"not told, but promised":     {after: 5 * time.Second, promised: true},
-		"promised for too long":      {after: 6 * time.Second, promised: true, want: true},
-		"a cold start":               {cold: true, after: 1400 * time.Millisecond},
-		"a cold start, and not told": {cold: true, after: 1600 * time.Millisecond, want: true},
+		"just started":            {},
+		"before the wait is over": {after: 300 * time.Millisecond},
+		"no report":               {after: 400 * time.Millisecond, want: true},
+		"no report, but promised": {after: 5 * time.Second, promised: true},
+		"promised for too long":   {after: 6 * time.Second, promised: true, want: true},
+		"a cold start":            {cold: true, after: 1400 * time.Millisecond},
+		"a cold start, no report": {cold: true, after: 1600 * time.Millisecond, want: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				unknown := func(time.Time) (time.Duration, bool) { return 0, false }
-				b := &boxes{known: true}
+				b := &boxes{joined: true}
 				r := readpolicy.New(b, unknown, tt.cold, rand.New(rand.NewPCG(1, 1)))
 				is.New(t).Equal(r.Needed(time.Now()), false)
 				time.Sleep(tt.after)
@@ -117,57 +116,60 @@
 	}
 }
 
-// TestCrowd shows that the boxes of a crowd that hear no hub read one after the
-// other, none before the hubs can have started, and all before keys are refused.
-func TestCrowd(t *testing.T) {
+// TestLargeFleet checks that the boxes of a large fleet that no hub answers read one
+// after the other, none before the hubs can have started, and all before keys are
+// refused.
+func TestLargeFleet(t *testing.T) {
 	tests := map[string]struct {
-		known    bool
-		from, to time.Duration // since the hubs were heard, or the boxes known
+		hasData  bool
+		from, to time.Duration // since the hubs answered, or the box joined
 		promised bool
 	}{
-		"knows nothing":               {from: 4 * time.Second, to: 8 * time.Second},
-		"knows nothing, but promised": {from: 6 * time.Second, to: 10 * time.Second, promised: true},
-		"knows all":                   {known: true, from: 800 * time.Millisecond, to: 3200 * time.Millisecond},
+		"no data":               {from: 4 * time.Second, to: 8 * time.Second},
+		"no data, but promised": {from: 6 * time.Second, to: 10 * time.Second, promised: true},
+		"data":                  {hasData: true, from: 800 * time.Millisecond, to: 3200 * time.Millisecond},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				first, most, all := readersOf(tt.known, tt.promised, tt.to)
+				first, maxNew, all := readersOf(tt.hasData, tt.promised, tt.to)
 				is.True(first >= tt.from)
-				is.True(most <= 30) // of a tenth of a second
+				is.True(maxNew <= 30)
 				is.Equal(all, 300)
 			})
 		})
 	}
 }
 
-// readersOf returns when the first of 300 boxes that hear no hub reads, how many more
-// do so within a tenth of a second, and how many do by a time.
-func readersOf(known, promised bool, until time.Duration) (first time.Duration, most, all int) {
+// readersOf lets 300 boxes run that no hub answers. It returns when the first one
+// reads, the largest number that starts within a tenth of a second, and the number that
+// reads by a time.
+func readersOf(hasData, promised bool, until time.Duration) (first time.Duration, maxNew, all int) {
 	start := time.Now()
-	b := &boxes{known: true, crowded: true, count: 300}
-	age := func(now time.Time) (time.Duration, bool) { return now.Sub(start), known }
+	b := &boxes{joined: true, largeFleet: true, count: 300}
+	age := func(now time.Time) (time.Duration, bool) { return now.Sub(start), hasData }
 	random := rand.New(rand.NewPCG(1, 1))
-	var tables []*readpolicy.Policy
+	var policies []*readpolicy.Policy
 	for range 300 {
-		tables = append(tables, readpolicy.New(b, age, false, random))
+		policies = append(policies, readpolicy.New(b, age, false, random))
 	}
 	read := map[*readpolicy.Policy]bool{}
 	for ; time.Since(start) <= until; time.Sleep(100 * time.Millisecond) {
 		if promised {
 			b.promised = time.Now()
 		}
-		more := needed(tables, read)
-		if len(read) == more { // none before
+		more := needed(policies, read)
+		if len(read) == more { // the first ones
 			first = time.Since(start)
 		}
-		most = max(most, more)
+		maxNew = max(maxNew, more)
 	}
-	return first, most, len(read)
+	return first, maxNew, len(read)
 }
 
-// needed notes which tables are to be read by now, and returns how many are new.
+// needed adds the policies that need to read now to read, and returns the number of new
+// ones.
 func needed(all []*readpolicy.Policy, read map[*readpolicy.Policy]bool) int {
 	before := len(read)
 	for _, r := range all {
@@ -183,7 +185,7 @@
 		boxes boxes
 		want  tablesync.Pace
 	}{
-		"a hub":      {boxes{reads: true, count: 350}, tablesync.Pace{Initial: 100 * time.Millisecond, Max: 1200 * time.Millisecond}},
+		"a hub":      {boxes{reader: true, count: 350}, tablesync.Pace{Initial: 100 * time.Millisecond, Max: 1200 * time.Millisecond}},
 		"few boxes":  {boxes{count: 10}, tablesync.Pace{Initial: 1200 * time.Millisecond, Max: 1200 * time.Millisecond}},
 		"many boxes": {boxes{count: 58}, tablesync.Pace{Initial: 2900 * time.Millisecond, Max: 2900 * time.Millisecond}},
 		"350 boxes":  {boxes{count: 350}, tablesync.Pace{Initial: 5 * time.Second, Max: 5 * time.Second}},
@@ -199,7 +201,7 @@
 func TestWait(t *testing.T) {
 	is := is.New(t)
 	alone := readpolicy.New(boxes{count: 7}, nil, false, rand.New(rand.NewPCG(1, 1)))
-	forOthers := readpolicy.New(boxes{reads: true, count: 58}, nil, false, rand.New(rand.NewPCG(1, 1)))
+	forOthers := readpolicy.New(boxes{reader: true, count: 58}, nil, false, rand.New(rand.NewPCG(1, 1)))
 	seen := map[time.Duration]bool{}
 	for range 20 {
 		is.Equal(alone.Wait(), 1200*time.Millisecond)
@@ -207,5 +209,5 @@
 		is.True(w >= 700*time.Millisecond && w < 1200*time.Millisecond)
 		seen[w] = true
 	}
-	is.True(len(seen) > 10) // not in step with other hubs
+	is.True(len(seen) > 10) // random, so that hubs do not call in step
 }
