--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -47,9 +47,9 @@
 
 // What an upstream may answer to a move.
 var (
-	ErrNoRun  = errors.New("no such run")
-	ErrNoRoom = errors.New("no room for the copy")
-	ErrBusy   = errors.New("a move of the run is under way")
+	ErrNoRun      = errors.New("no such run")
+	ErrNoCapacity = errors.New("no room for the copy")
+	ErrBusy       = errors.New("a move of the run is under way")
 )
 
 // CopyResult is what came of a copy.
@@ -152,8 +152,8 @@
 	began := time.Now()
 	log := e.Log.WithFields(logrus.Fields{"request": run.Request.ID, "from": u.ID, "tokens": run.Tokens(), "events": run.Events()})
 	avoid := []string{u.ID}
-	err := ErrNoRoom
-	for tries := 0; tries < targetsMost && errors.Is(err, ErrNoRoom); tries++ {
+	err := ErrNoCapacity
+	for tries := 0; tries < targetsMost && errors.Is(err, ErrNoCapacity); tries++ {
 		ranked := e.Chooser.Ranked(time.Now(), picker.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.Gap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
 		ranked = slices.DeleteFunc(ranked, func(c picker.Choice) bool { return c.Held })
 		if len(ranked) == 0 {
@@ -176,7 +176,7 @@
 		e.RecordMove("no_run", took)
 		log.Info("not_moved_ended")
 		return run.Events() > 0
-	case errors.Is(err, ErrNoRoom), errors.Is(err, ErrBusy):
+	case errors.Is(err, ErrNoCapacity), errors.Is(err, ErrBusy):
 		e.RecordMove("no_room", took)
 		log.WithError(err).Warn("not_moved")
 		return false
@@ -208,7 +208,7 @@
 	}
 	if !e.AcceptsWork(target.ID) { // its hall was evacuated meanwhile, or it leaves too
 		e.release(first.Copy)
-		return ErrNoRoom
+		return ErrNoCapacity
 	}
 	handoff := runs.Handoff{Copy: first.Copy, Target: target, Source: source, OK: true}
 	run.Copied(handoff)
@@ -226,7 +226,7 @@
 	if errors.Is(err, ErrNoRun) {
 		return e.notFound(ctx, run, first.Copy)
 	}
-	handoff.OK = err == nil || errors.Is(err, ErrNoRoom) && last.Copy.ID != ""
+	handoff.OK = err == nil || errors.Is(err, ErrNoCapacity) && last.Copy.ID != ""
 	run.Stopped(handoff)
 	return err
 }
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -349,7 +349,7 @@
 		"long, and it is expected to go on":      {events: 300, left: 800, moved: true, goesOn: true},
 		"near its expected end, moved last":      {events: 99, left: 4, moved: true, goesOn: true},
 		"answered only after the notice":         {events: 1, left: 900, later: 400 * time.Millisecond, moved: true, goesOn: true},
-		"the first target has no room":           {fail: once(evacuate.ErrNoRoom, first), events: 10, left: 900, moved: true, goesOn: true},
+		"the first target has no room":           {fail: once(evacuate.ErrNoCapacity, first), events: 10, left: 900, moved: true, goesOn: true},
 		"a move is under way":                    {fail: once(evacuate.ErrBusy, first), events: 10, left: 900, moved: true, goesOn: true},
 		"it has ended meanwhile":                 {fail: once(evacuate.ErrNoRun, first), events: 10, left: 900},
 		"the upstream dies before the stop":      {fail: once(errGone, last), events: 10, left: 900, goesOn: true},
