--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot packs a whole fleet of upstreams once for all boxes that are to be
-// told it.
+// Package snapshot encodes a complete fleet of upstreams once for all boxes that need
+// it.
 package snapshot
 
 import (
@@ -14,15 +14,15 @@
 )
 
 const (
-	// keptFor is how long a packed fleet is handed on: as long as boxes that start
-	// together ask for it. What changes meanwhile is told by change, and upstreams that
-	// are cold are taken to be so for that much longer at most.
-	keptFor = 500 * time.Millisecond
-	// unpackedMost bounds a fleet, in bytes: some 100 an upstream.
-	unpackedMost = 64 << 20
+	// maxAge is how long an encoded fleet is reused, so that boxes that start together
+	// share it. Later changes are sent as changes; an upstream that is cold may count
+	// as cold for that much longer.
+	maxAge = 500 * time.Millisecond
+	// maxUnpackedSize bounds a decoded fleet, in bytes. An upstream takes about 100.
+	maxUnpackedSize = 64 << 20
 )
 
-// Error says that a fleet could not be packed or unpacked.
+// Error is a failure to encode or decode a fleet.
 type Error struct{ Err error }
 
 // Error implements error.
@@ -31,10 +31,10 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Source returns the whole fleet, and its last change.
+// Source returns the complete fleet and the number of its last change.
 type Source func() (list []wire.UpstreamRecord, change int)
 
-// Snapshot is safe for use by several goroutines.
+// Snapshot is safe for concurrent use.
 type Snapshot struct {
 	source Source
 
@@ -44,15 +44,15 @@
 	at     time.Time
 }
 
-// New returns the snapshot of a source; it is taken when it is asked for.
+// New returns the snapshot of a source, which is encoded when it is first needed.
 func New(s Source) *Snapshot { return &Snapshot{source: s} }
 
-// Packed returns the fleet, and the last change that is in it. It costs the same for any
-// number of boxes that ask within keptFor.
+// Packed returns the encoded fleet and the number of the last change in it. Calls
+// within maxAge share the result.
 func (s *Snapshot) Packed(now time.Time) (packed string, change int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.packed != "" && now.Sub(s.at) < keptFor {
+	if s.packed != "" && now.Sub(s.at) < maxAge {
 		return s.packed, s.change, nil
 	}
 	list, change := s.source()
@@ -79,10 +79,10 @@
 	return out.String(), nil
 }
 
-// Unpack returns the fleet that another box packed.
+// Unpack decodes a fleet that another box encoded.
 func Unpack(packed string) ([]wire.UpstreamRecord, error) {
 	var list []wire.UpstreamRecord
-	in := io.LimitReader(flate.NewReader(bytes.NewReader([]byte(packed))), unpackedMost)
+	in := io.LimitReader(flate.NewReader(bytes.NewReader([]byte(packed))), maxUnpackedSize)
 	if err := gob.NewDecoder(in).Decode(&list); err != nil {
 		return nil, &Error{err}
 	}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 
 var now = time.Now()
 
-// fleetOf returns a fleet of so many upstreams, with ids and addresses by chance.
+// fleetOf returns a fleet with a number of upstreams, with random ids and addresses.
 func fleetOf(upstreams int) []wire.UpstreamRecord {
 	random := rand.New(rand.NewPCG(1, 1))
 	var list []wire.UpstreamRecord
@@ -27,46 +27,47 @@
 	return list
 }
 
-// TestPacked shows what a box is told by a snapshot, and when one is made anew.
+// TestPacked checks that a decoded snapshot equals the fleet, and when a new one is
+// encoded.
 func TestPacked(t *testing.T) {
 	tests := map[string]struct {
 		upstreams int
-		after     time.Duration // the second box asks
-		made      int
+		after     time.Duration // until the second call
+		encoded   int
 	}{
-		"two at once":          {upstreams: 100, after: 100 * time.Millisecond, made: 1},
-		"one long after":       {upstreams: 100, after: time.Second, made: 2},
-		"an empty fleet":       {made: 1},
-		"as many as there are": {upstreams: 20000, after: time.Millisecond, made: 1},
+		"two at once":          {upstreams: 100, after: 100 * time.Millisecond, encoded: 1},
+		"the second one later": {upstreams: 100, after: time.Second, encoded: 2},
+		"an empty fleet":       {encoded: 1},
+		"a very large fleet":   {upstreams: 20000, after: time.Millisecond, encoded: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			made, list := 0, fleetOf(tt.upstreams)
+			encoded, list := 0, fleetOf(tt.upstreams)
 			s := snapshot.New(func() ([]wire.UpstreamRecord, int) {
-				made++
-				return list, made
+				encoded++
+				return list, encoded
 			})
 			_, _, err := s.Packed(now)
 			is.NoErr(err)
 			packed, change, err := s.Packed(now.Add(tt.after))
 			is.NoErr(err)
-			is.Equal(made, tt.made)
-			is.Equal(change, made)
-			told, err := snapshot.Unpack(packed)
+			is.Equal(encoded, tt.encoded)
+			is.Equal(change, encoded)
+			got, err := snapshot.Unpack(packed)
 			is.NoErr(err)
-			is.Equal(len(told), len(list))
+			is.Equal(len(got), len(list))
 			for i := range list {
-				is.Equal(told[i], list[i])
+				is.Equal(got[i], list[i])
 			}
 			is.True(len(packed) <= 200+32*tt.upstreams) // bytes
 		})
 	}
 }
 
-// TestUnreadable holds that what is no snapshot is an error.
+// TestUnreadable checks that invalid input is an error.
 func TestUnreadable(t *testing.T) {
-	for name, packed := range map[string]string{"nothing": "", "other bytes": "not a fleet", "cut short": cut(t)} {
+	for name, packed := range map[string]string{"nothing": "", "other bytes": "not a fleet", "truncated": truncated(t)} {
 		t.Run(name, func(t *testing.T) {
 			_, err := snapshot.Unpack(packed)
 			is.New(t).True(err != nil)
@@ -74,15 +75,15 @@
 	}
 }
 
-func cut(t *testing.T) string {
+func truncated(t *testing.T) string {
 	t.Helper()
 	packed, _, err := snapshot.New(func() ([]wire.UpstreamRecord, int) { return fleetOf(50), 1 }).Packed(now)
 	is.New(t).NoErr(err)
 	return packed[:len(packed)/2]
 }
 
-// BenchmarkPacked is what one more box costs a hub that tells it all, and what it costs the
-// box, by upstreams.
+// BenchmarkPacked measures the first and further calls on a hub, and decoding on a box,
+// by the number of upstreams.
 func BenchmarkPacked(b *testing.B) {
 	for _, upstreams := range []int{1000, 3000, 10000, 20000} {
 		list := fleetOf(upstreams)
