--- a/fingerprint/fingerprint.go
+++ b/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint tells whether two tries are the same request: the same caller
-// asks for the same, with whatever id, over whatever connection, at whatever box.
+// Package fingerprint identifies equal requests: the same content from the same caller,
+// whatever its id, its connection and the box that receives it.
 package fingerprint
 
 import (
@@ -8,20 +8,20 @@
 	"encoding/binary"
 )
 
-// size in bytes: nobody finds two requests that are alike in so many, so that no
-// caller can have another's request taken for its own.
+// size is the size of a fingerprint in bytes. It is large enough that no caller can
+// construct a collision with another's request.
 const size = 16
 
-// Fingerprint is what the tries of one request have in common. The zero value stands
+// Fingerprint is the hash that all attempts of one request share. The zero value stands
 // for none.
 type Fingerprint [size]byte
 
-// New returns the fingerprint of parts, in their order.
+// New returns the fingerprint of a sequence of parts.
 func New(parts ...[]byte) Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
 	for _, p := range parts {
-		binary.BigEndian.PutUint64(length[:], uint64(len(p))) // where one part ends matters
+		binary.BigEndian.PutUint64(length[:], uint64(len(p))) // delimits the parts
 		hash.Write(length[:])
 		hash.Write(p)
 	}
@@ -30,13 +30,13 @@
 	return f
 }
 
-// SizeError says that a text is no fingerprint.
+// SizeError says that a text is not a valid fingerprint.
 type SizeError struct{ Text string }
 
 // Error implements error.
-func (e *SizeError) Error() string { return "no fingerprint: " + e.Text }
+func (e *SizeError) Error() string { return "invalid fingerprint: " + e.Text }
 
-// Parse returns the fingerprint that String gave a text for.
+// Parse returns the fingerprint for a text that String returned.
 func Parse(text string) (Fingerprint, error) {
 	raw, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil || len(raw) != size {
@@ -45,5 +45,5 @@
 	return Fingerprint(raw), nil
 }
 
-// String returns the fingerprint as it stands in logs and messages.
+// String returns the fingerprint as it is used in logs and messages.
 func (f Fingerprint) String() string { return base64.RawURLEncoding.EncodeToString(f[:]) }
--- a/fingerprint/fingerprint_test.go
+++ b/fingerprint/fingerprint_test.go
@@ -22,11 +22,11 @@
 		a, b fingerprint.Fingerprint
 		same bool
 	}{
-		"the same":                      {of("council", "/x/", "body"), of("council", "/x/", "body"), true},
-		"another body":                  {of("council", "/x/", "body"), of("council", "/x/", "Body"), false},
-		"the last byte of a long body":  {of("council", string(bytes.Repeat([]byte("a"), 1<<20))), of("council", string(bytes.Repeat([]byte("a"), 1<<20-1))+"b"), false},
-		"another caller":                {of("council", "/x/", "body"), of("firm", "/x/", "body"), false},
-		"the same bytes, cut elsewhere": {of("council", "/x/", "body"), of("council", "/x/b", "ody"), false},
+		"the same":                        {of("council", "/x/", "body"), of("council", "/x/", "body"), true},
+		"another body":                    {of("council", "/x/", "body"), of("council", "/x/", "Body"), false},
+		"the last byte of a long body":    {of("council", string(bytes.Repeat([]byte("a"), 1<<20))), of("council", string(bytes.Repeat([]byte("a"), 1<<20-1))+"b"), false},
+		"another caller":                  {of("council", "/x/", "body"), of("firm", "/x/", "body"), false},
+		"the same bytes, split elsewhere": {of("council", "/x/", "body"), of("council", "/x/b", "ody"), false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(tt.a == tt.b, tt.same) })
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkNew is what each request costs: 10 KB are a long prompt's text.
+// BenchmarkNew measures the cost per request; 10 KB are a long prompt.
 func BenchmarkNew(b *testing.B) {
 	body := bytes.Repeat([]byte("a"), 10<<10)
 	b.ReportAllocs()
