--- a/tablesync/tablesync.go
+++ b/tablesync/tablesync.go
@@ -1,5 +1,5 @@
-// Package tablesync keeps up with one table of the platform's store: a listing,
-// then its changes as they come, a listing again when history was forgotten.
+// Package tablesync follows one table of the platform's store: it reads a listing, then
+// the changes, and a new listing when the store no longer has the changes.
 package tablesync
 
 import (
@@ -12,98 +12,99 @@
 )
 
 const (
-	// slack is how much longer than its wait a call may take. A slow store
-	// takes some 300 ms an answer.
-	slack = 600 * time.Millisecond
-	// idleLook is how often a follower that is not needed looks whether it is, and
-	// idleFirst how soon it does again at its start: a box that restarts has learned
-	// within some 10 ms whether it reads, and callers are refused until it has.
-	idleLook  = 100 * time.Millisecond
-	idleFirst = 5 * time.Millisecond
-	// gather is waited after a change before the next call: changes come many at
-	// a time, and each call is paid for.
-	gather = 100 * time.Millisecond
-	// unsureFor is how long after trouble entries that are gone may only have
-	// lapsed: upstreams are listed again within 2 s of the store's return.
-	unsureFor = 3 * time.Second
+	// callSlack is how much longer than its wait a call may take.
+	callSlack = 600 * time.Millisecond
+	// idleInterval is the time between checks whether a follower is needed. idleInitial
+	// is the first one after the start, as requests are rejected until a box has read
+	// the configuration.
+	idleInterval = 100 * time.Millisecond
+	idleInitial  = 5 * time.Millisecond
+	// gatherPause is the pause after a change before the next call, so that one call
+	// returns several changes. Calls are paid for.
+	gatherPause = 100 * time.Millisecond
+	// unsureTime is how long after a failed call missing entries may only have expired.
+	// Upstreams are listed again within 2 s of the store's return.
+	unsureTime = 3 * time.Second
 )
 
-// ErrForgotten says that changes since a mark are no longer to be had.
+// ErrForgotten says that the changes since a version are no longer available.
 var ErrForgotten = errors.New("the store has forgotten its history")
 
-// Source reads a table and applies what it reads. unsure says that the store
-// was away until just now, so that an entry that is gone may only have lapsed.
+// Source reads a table and applies what it reads. outage says that the store was
+// unreachable until recently, so that missing entries may only have expired.
 type Source interface {
-	// List reads and applies all of it; mark is where changes go on from. It takes as long
-	// as the table is large, and ends when a call of it brings nothing.
-	List(ctx context.Context, unsure bool) (mark int64, err error)
-	// Next waits for changes after mark, applies them, and returns the new mark.
-	Next(ctx context.Context, mark int64, wait time.Duration, unsure bool) (int64, error)
+	// List reads and applies the whole table, and returns the version from which
+	// changes follow. Its duration depends on the size of the table; it must fail when
+	// one of its calls returns nothing.
+	List(ctx context.Context, outage bool) (version int64, err error)
+	// Next waits for changes after a version, applies them, and returns the new
+	// version.
+	Next(ctx context.Context, version int64, wait time.Duration, outage bool) (int64, error)
 }
 
-// Pace bounds the waits between failed calls, which are paid for also when the
-// store is down.
+// Pace bounds the pauses between failed calls, which are paid for even if the store is
+// down.
 type Pace struct {
 	Initial time.Duration
 	Max     time.Duration
 }
 
-// Need decides whether calls are made at all.
+// Need decides whether and how often calls are made.
 type Need interface {
-	// Needed tells whether a call is to be made.
+	// Needed reports whether a call is to be made.
 	Needed(now time.Time) bool
-	// Wait returns how long the next call waits for changes, and so how often
-	// the belief is confirmed.
+	// Wait returns how long the next call waits for changes, and so how often the table
+	// is confirmed.
 	Wait() time.Duration
-	// Pace returns the waits between failed calls.
+	// Pace returns the bounds of the pauses between failed calls.
 	Pace() Pace
 }
 
-// Observer takes the store's answers.
+// Observer is notified of the store's answers.
 type Observer interface {
-	// Confirm takes that a call sent at a time has brought all changes until then.
+	// Confirm is called when all changes up to a time are known, by the answer to a
+	// call sent then.
 	Confirm(sent time.Time)
-	// Answered takes that the store answered at a time.
+	// Answered is called when the store answered.
 	Answered(at time.Time)
 }
 
-// Follower runs on one goroutine.
+// Follower follows a table. It is not safe for concurrent use.
 type Follower struct {
-	source Source
-	heard  Observer
-	need   Need
-	log    *logrus.Entry
-	now    func() time.Time
-
-	trouble time.Time // of the last failed call
-	lost    bool
-	sent    time.Time
+	source   Source
+	observer Observer
+	need     Need
+	log      *logrus.Entry
+	now      func() time.Time
+
+	failedAt time.Time // of the last failed call
+	lost     bool
+	sent     time.Time
 }
 
-// New returns a follower, which tells heard of each answer. While it is not
-// needed, because others tell, no calls are made; when it is needed again, it
-// lists.
-func New(name string, source Source, heard Observer, need Need, log *logrus.Entry) *Follower {
-	return &Follower{source: source, heard: heard, need: need, log: log.WithField("table", name), now: time.Now}
+// New returns a follower that notifies o of each answer. It makes no calls while it is
+// not needed, and begins with a listing when it is needed again.
+func New(name string, source Source, o Observer, need Need, log *logrus.Entry) *Follower {
+	return &Follower{source: source, observer: o, need: need, log: log.WithField("table", name), now: time.Now}
 }
 
-// Run follows until ctx ends.
+// Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	mark, listed := int64(0), false
-	pause, idle := time.Duration(0), idleFirst
+	version, listed := int64(0), false
+	pause, idle := time.Duration(0), idleInitial
 	for ctx.Err() == nil {
 		if !f.need.Needed(f.now()) {
 			listed = false
 			sleep(ctx, idle)
-			idle = min(2*idle, idleLook)
+			idle = min(2*idle, idleInterval)
 			continue
 		}
-		before := mark
-		err := f.step(ctx, &mark, &listed)
+		before := version
+		err := f.step(ctx, &version, &listed)
 		if err == nil {
 			pause = 0
-			if mark != before {
-				sleep(ctx, gather)
+			if version != before {
+				sleep(ctx, gatherPause)
 			}
 			continue
 		}
@@ -116,18 +117,18 @@
 }
 
 // step makes one call.
-func (f *Follower) step(ctx context.Context, mark *int64, listed *bool) error {
+func (f *Follower) step(ctx context.Context, version *int64, listed *bool) error {
 	f.sent = f.now()
-	unsure := !f.trouble.IsZero() && f.sent.Sub(f.trouble) < unsureFor
+	outage := !f.failedAt.IsZero() && f.sent.Sub(f.failedAt) < unsureTime
 	var err error
 	var next int64
 	if *listed {
 		wait := f.need.Wait()
-		call, cancel := context.WithTimeout(ctx, wait+slack)
-		next, err = f.source.Next(call, *mark, wait, unsure)
+		call, cancel := context.WithTimeout(ctx, wait+callSlack)
+		next, err = f.source.Next(call, *version, wait, outage)
 		cancel()
 	} else {
-		next, err = f.source.List(ctx, unsure)
+		next, err = f.source.List(ctx, outage)
 	}
 	switch {
 	case errors.Is(err, ErrForgotten):
@@ -135,32 +136,32 @@
 		*listed = false
 		return nil
 	case err != nil && ctx.Err() == nil:
-		f.failed(err)
+		f.recordFailure(err)
 		return err
 	case err != nil:
 		return err
 	}
-	f.worked()
-	*mark, *listed = next, true
+	f.recordSuccess()
+	*version, *listed = next, true
 	return nil
 }
 
-func (f *Follower) failed(err error) {
-	f.trouble = f.now()
+func (f *Follower) recordFailure(err error) {
+	f.failedAt = f.now()
 	if !f.lost {
 		f.lost = true
 		f.log.WithError(err).Warn("store_lost")
 	}
 }
 
-func (f *Follower) worked() {
+func (f *Follower) recordSuccess() {
 	now := f.now()
 	if f.lost {
 		f.lost = false
-		f.log.WithField("away_ms", now.Sub(f.trouble).Milliseconds()).Info("store_regained")
+		f.log.WithField("away_ms", now.Sub(f.failedAt).Milliseconds()).Info("store_regained")
 	}
-	f.heard.Confirm(f.sent)
-	f.heard.Answered(now)
+	f.observer.Confirm(f.sent)
+	f.observer.Answered(now)
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/tablesync/tablesync_test.go
+++ b/tablesync/tablesync_test.go
@@ -18,15 +18,15 @@
 
 var errDown = errors.New("down")
 
-// call is what a scripted source was asked.
+// call is a call of a scripted source.
 type call struct {
-	list   bool
-	mark   int64
-	unsure bool
-	at     time.Duration
+	list    bool
+	version int64
+	outage  bool
+	at      time.Duration
 }
 
-// source answers as its script tells; after it ends, long polls time out.
+// source runs a script of answers; after its end, calls time out without changes.
 type source struct {
 	began  time.Time
 	script []func(ctx context.Context) (int64, error)
@@ -39,7 +39,7 @@
 	if len(s.calls) > len(s.script) {
 		select {
 		case <-time.After(wait):
-			return c.mark, nil
+			return c.version, nil
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		}
@@ -47,25 +47,25 @@
 	return s.script[len(s.calls)-1](ctx)
 }
 
-func (s *source) List(ctx context.Context, unsure bool) (int64, error) {
-	return s.next(ctx, call{list: true, unsure: unsure})
+func (s *source) List(ctx context.Context, outage bool) (int64, error) {
+	return s.next(ctx, call{list: true, outage: outage})
 }
 
-func (s *source) Next(ctx context.Context, mark int64, _ time.Duration, unsure bool) (int64, error) {
-	return s.next(ctx, call{mark: mark, unsure: unsure})
+func (s *source) Next(ctx context.Context, version int64, _ time.Duration, outage bool) (int64, error) {
+	return s.next(ctx, call{version: version, outage: outage})
 }
 
-// heard takes confirmations and answers, by the time since it began.
-type heard struct {
+// observer records confirmations and answers, by the time since the start.
+type observer struct {
 	began               time.Time
 	confirmed, answered []time.Duration
 }
 
-func (h *heard) Confirm(sent time.Time) { h.confirmed = append(h.confirmed, sent.Sub(h.began)) }
+func (o *observer) Confirm(sent time.Time) { o.confirmed = append(o.confirmed, sent.Sub(o.began)) }
 
-func (h *heard) Answered(at time.Time) { h.answered = append(h.answered, at.Sub(h.began)) }
+func (o *observer) Answered(at time.Time) { o.answered = append(o.answered, at.Sub(o.began)) }
 
-// need is always there, or from a time on.
+// need makes a follower needed from a time on.
 type need struct{ from time.Time }
 
 func (n need) Needed(now time.Time) bool { return !now.Before(n.from) }
@@ -76,18 +76,18 @@
 	return tablesync.Pace{Initial: 100 * time.Millisecond, Max: 1200 * time.Millisecond}
 }
 
-func gives(mark int64, err error) func(context.Context) (int64, error) {
-	return func(context.Context) (int64, error) { return mark, err }
+func answers(version int64, err error) func(context.Context) (int64, error) {
+	return func(context.Context) (int64, error) { return version, err }
 }
 
-// takes is a call that gets there in the end, if it is let.
-func takes(d time.Duration, mark int64) func(context.Context) (int64, error) {
+// answersAfter answers after a delay, unless the call is cancelled.
+func answersAfter(d time.Duration, version int64) func(context.Context) (int64, error) {
 	return func(ctx context.Context) (int64, error) {
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		case <-time.After(d):
-			return mark, nil
+			return version, nil
 		}
 	}
 }
@@ -102,24 +102,24 @@
 		script []func(context.Context) (int64, error)
 		calls  []call // the first, without their times
 	}{
-		"lists, then takes changes": {
-			[]func(context.Context) (int64, error){gives(5, nil), gives(8, nil)},
-			[]call{{list: true}, {mark: 5}, {mark: 8}}},
-		"lists anew when history is forgotten": {
-			[]func(context.Context) (int64, error){gives(5, nil), gives(0, tablesync.ErrForgotten), gives(40, nil)},
-			[]call{{list: true}, {mark: 5}, {list: true}, {mark: 40}}},
-		"goes on from its mark after an outage, and is unsure": {
-			[]func(context.Context) (int64, error){gives(5, nil), gives(0, errDown), gives(6, nil)},
-			[]call{{list: true}, {mark: 5}, {mark: 5, unsure: true}, {mark: 6, unsure: true}}},
-		"a call that hangs is given up": {
-			[]func(context.Context) (int64, error){gives(5, nil), hangs, gives(6, nil)},
-			[]call{{list: true}, {mark: 5}, {mark: 5, unsure: true}}},
-		"a listing takes as long as its table is large": {
-			[]func(context.Context) (int64, error){takes(6*time.Second, 5), gives(8, nil)},
-			[]call{{list: true}, {mark: 5}, {mark: 8}}},
-		"a first listing is tried again": {
-			[]func(context.Context) (int64, error){gives(0, errDown), gives(0, errDown), gives(7, nil)},
-			[]call{{list: true}, {list: true, unsure: true}, {list: true, unsure: true}, {mark: 7, unsure: true}}},
+		"a listing, then changes": {
+			[]func(context.Context) (int64, error){answers(5, nil), answers(8, nil)},
+			[]call{{list: true}, {version: 5}, {version: 8}}},
+		"a new listing when the history is forgotten": {
+			[]func(context.Context) (int64, error){answers(5, nil), answers(0, tablesync.ErrForgotten), answers(40, nil)},
+			[]call{{list: true}, {version: 5}, {list: true}, {version: 40}}},
+		"continues from its version after an outage": {
+			[]func(context.Context) (int64, error){answers(5, nil), answers(0, errDown), answers(6, nil)},
+			[]call{{list: true}, {version: 5}, {version: 5, outage: true}, {version: 6, outage: true}}},
+		"a call that hangs times out": {
+			[]func(context.Context) (int64, error){answers(5, nil), hangs, answers(6, nil)},
+			[]call{{list: true}, {version: 5}, {version: 5, outage: true}}},
+		"a long listing does not time out": {
+			[]func(context.Context) (int64, error){answersAfter(6*time.Second, 5), answers(8, nil)},
+			[]call{{list: true}, {version: 5}, {version: 8}}},
+		"a failed first listing is retried": {
+			[]func(context.Context) (int64, error){answers(0, errDown), answers(0, errDown), answers(7, nil)},
+			[]call{{list: true}, {list: true, outage: true}, {list: true, outage: true}, {version: 7, outage: true}}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +128,7 @@
 				s := &source{began: time.Now(), script: tt.script}
 				ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 				defer cancel()
-				f := tablesync.New("t", s, &heard{}, need{}, logs.New(io.Discard, "info", "b"))
+				f := tablesync.New("t", s, &observer{}, need{}, logs.New(io.Discard, "info", "b"))
 				f.Run(ctx)
 				is.True(len(s.calls) >= len(tt.calls))
 				for i, want := range tt.calls {
@@ -136,15 +136,15 @@
 					got.at = 0
 					is.Equal(got, want)
 				}
-				// 3 s after the trouble it is sure again.
-				is.True(!s.calls[len(s.calls)-1].unsure)
+				// 3 s after the failure the outage is over.
+				is.True(!s.calls[len(s.calls)-1].outage)
 			})
 		})
 	}
 }
 
-// TestConfirmedWhenSent shows that an answer confirms the time when its call
-// was sent: what was accepted while it was on its way may be missing from it.
+// TestConfirmedWhenSent checks that an answer confirms the time at which its call was
+// sent, as it may lack later changes.
 func TestConfirmedWhenSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -153,18 +153,18 @@
 			return 1, nil
 		}
 		began := time.Now()
-		s := &source{began: began, script: []func(context.Context) (int64, error){slow, gives(0, errDown)}}
-		h := &heard{began: began}
+		s := &source{began: began, script: []func(context.Context) (int64, error){slow, answers(0, errDown)}}
+		o := &observer{began: began}
 		ctx, cancel := context.WithTimeout(t.Context(), 350*time.Millisecond)
 		defer cancel()
-		f := tablesync.New("t", s, h, need{}, logs.New(io.Discard, "info", "b"))
+		f := tablesync.New("t", s, o, need{}, logs.New(io.Discard, "info", "b"))
 		f.Run(ctx)
-		is.Equal(h.confirmed, []time.Duration{0})
-		is.Equal(h.answered, []time.Duration{300 * time.Millisecond})
+		is.Equal(o.confirmed, []time.Duration{0})
+		is.Equal(o.answered, []time.Duration{300 * time.Millisecond})
 	})
 }
 
-// TestNotNeeded shows that nothing is called, and paid for, while others tell.
+// TestNotNeeded checks that no calls are made while the follower is not needed.
 func TestNotNeeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -172,22 +172,22 @@
 		until := time.Now().Add(5 * time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		tablesync.New("t", s, &heard{}, need{until}, logs.New(io.Discard, "info", "b")).Run(ctx)
+		tablesync.New("t", s, &observer{}, need{until}, logs.New(io.Discard, "info", "b")).Run(ctx)
 		is.True(s.calls[0].at >= 5*time.Second)
 		is.True(s.calls[0].at < 5200*time.Millisecond)
 	})
 }
 
-// needOften is there at times.
-type needOften struct {
+// sometimesNeeded makes a follower needed at certain times.
+type sometimesNeeded struct {
 	need
 	times func(now time.Time) bool
 }
 
-func (n needOften) Needed(now time.Time) bool { return n.times(now) }
+func (n sometimesNeeded) Needed(now time.Time) bool { return n.times(now) }
 
-// TestListsAgain shows that one which was not needed for a while lists, instead
-// of asking for changes since a mark that the store has forgotten.
+// TestListsAgain guards against requesting changes since a version that the store has
+// forgotten, after the follower was not needed for a while.
 func TestListsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -195,8 +195,8 @@
 		s := &source{began: began}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		often := needOften{times: func(now time.Time) bool { return now.Sub(began) < 2*time.Second || now.Sub(began) > 8*time.Second }}
-		tablesync.New("t", s, &heard{}, often, logs.New(io.Discard, "info", "b")).Run(ctx)
+		need := sometimesNeeded{times: func(now time.Time) bool { return now.Sub(began) < 2*time.Second || now.Sub(began) > 8*time.Second }}
+		tablesync.New("t", s, &observer{}, need, logs.New(io.Discard, "info", "b")).Run(ctx)
 		lists := 0
 		for _, c := range s.calls {
 			if c.list {
