--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -1,6 +1,7 @@
-// Package evacuate moves the generations off an upstream that leaves, so that
-// they go on elsewhere as the same runs. Copies of several runs share one link
-// and hold each other up, so that only one run at a time moves off an upstream.
+// Package evacuate moves the runs of a leaving upstream to other upstreams, where they
+// continue. Copies of several runs would share the upstream's link and slow each other
+// down, so that only one run at a time moves off an upstream: the box that may move one
+// holds a turn, the permission to do so.
 package evacuate
 
 import (
@@ -22,121 +23,123 @@
 )
 
 const (
-	// evacuateFor bounds the work at one upstream: most are gone after 2 s, some
-	// serve on for many.
-	evacuateFor = 12 * time.Second
-	// copyTime bounds one copy; it takes 0.1 to 0.5 s alone on its link.
-	copyTime = 3 * time.Second
-	// stopTime bounds the stop with the last of a copy; 25 ms alone, and up to
-	// 1.2 s behind other copies.
-	stopTime = 2 * time.Second
-	// again is the wait before a run is tried that could not be moved just now.
-	again = 60 * time.Millisecond
-	// targetsMost is how many targets are tried for one run at a time.
-	targetsMost = 3
-	// targetsNamed is of how many targets the keeper of the turns may pick one
-	// whose link is free; where many upstreams leave at once, each has a run under
-	// way to another target.
-	targetsNamed = 4
-	// finishing is how much of a stream may be left for it to be moved last: it
-	// may end within the shortest notice there is, 1.5 s.
-	finishing = 600 * time.Millisecond
-	// paceGuess is how long an event takes to make until any stream was seen.
-	paceGuess = 50 * time.Millisecond
+	// evacuateTimeout bounds the work at one upstream. Most stop within 2 s, some serve
+	// for longer.
+	evacuateTimeout = 12 * time.Second
+	// copyTimeout bounds one copy. It takes up to 0.5 s on an idle link.
+	copyTimeout = 3 * time.Second
+	// stopTimeout bounds the stop of a run with the rest of its copy, which may have to
+	// wait for other copies on the link.
+	stopTimeout = 2 * time.Second
+	// retryPause is the pause before a run that could not be moved is tried again.
+	retryPause = 60 * time.Millisecond
+	// maxTargets is the maximum number of targets that are tried in one attempt to move
+	// a run.
+	maxTargets = 3
+	// targetChoices is the number of targets offered to the owner of the turns, which
+	// selects one whose link is free. Several upstreams may leave at once.
+	targetChoices = 4
+	// finishingTime is the expected remaining time below which a run is moved last, as
+	// it may end before the upstream does.
+	finishingTime = 600 * time.Millisecond
+	// defaultPace is the time per event that is assumed before any stream was observed.
+	defaultPace = 50 * time.Millisecond
 )
 
 // What an upstream may answer to a move.
 var (
+	// The errors that an upstream may return for a move.
 	ErrNoRun      = errors.New("no such run")
-	ErrNoCapacity = errors.New("no room for the copy")
-	ErrBusy       = errors.New("a move of the run is under way")
+	ErrNoCapacity = errors.New("no capacity for the copy")
+	ErrBusy       = errors.New("another move of the run is in progress")
 )
 
-// CopyResult is what came of a copy.
+// CopyResult is the result of a copy.
 type CopyResult struct {
 	Copy   exchange.Copy
-	Events int // made when it was complete
+	Events int // generated up to the completion of the copy
 }
 
-// Mover moves the memory of runs.
+// Mover moves the memory of runs between upstreams.
 type Mover interface {
+	// Move copies a run to a target; last stops the run first.
 	Move(ctx context.Context, source, run, target string, last bool) (CopyResult, error)
-	// Release frees a copy that nobody goes on from.
+	// Release frees a copy that is not going to be resumed.
 	Release(ctx context.Context, c exchange.Copy) error
 }
 
-// TurnRequest is what a turn is asked for.
+// TurnRequest is a request for a turn.
 type TurnRequest struct {
 	Source  fleet.Upstream
-	Targets []string // ids, the best first
-	Tokens  int      // of memory that moves
+	Targets []string // ids, best first
+	Tokens  int      // size of the memory to move
 }
 
-// Turns gives the turns to move runs off upstreams.
+// Turns hands out the turns to move runs off upstreams.
 type Turns interface {
-	// Take waits for a turn, and returns which of the targets it is for; it is
-	// given back by the returned function. A box that cannot reach the keeper of
-	// the turns, or waits in vain until ctx ends, goes alone, to the first target.
-	Take(ctx context.Context, ask TurnRequest) (target string, giveBack func())
+	// Take waits for a turn and returns the selected target and a function that gives
+	// the turn back. If the owner of the turns cannot be reached, or ctx ends first, it
+	// returns the first target without a turn.
+	Take(ctx context.Context, request TurnRequest) (target string, giveBack func())
 }
 
 // Services returns a service of the configuration in force.
 type Services func(name string) (route.Service, bool)
 
-// Parts are what an evacuator works with.
+// Parts are the dependencies of an Evacuator.
 type Parts struct {
 	Runs        *runs.Runs
 	Chooser     *picker.Picker
 	Mover       Mover
 	Turns       Turns
 	Services    Services
-	Tally       *upstreamload.Tracker                    // counts copies at their targets
+	Tally       *upstreamload.Tracker                    // counts copies as load of their targets
 	RecordMove  func(outcome string, took time.Duration) // counts moves
-	IsLeaving   func(upstream string) bool               // false once it is back
-	AcceptsWork func(upstream string) bool               // it takes new work
+	IsLeaving   func(upstream string) bool               // false if it does not leave after all
+	AcceptsWork func(upstream string) bool               // reports whether it takes new work
 	Log         *logrus.Entry
 }
 
-// Evacuator is safe for use by several goroutines.
+// Evacuator is safe for concurrent use.
 type Evacuator struct{ Parts }
 
 // New returns an evacuator.
 func New(parts Parts) *Evacuator { return &Evacuator{parts} }
 
-// Evacuate moves what this box has at an upstream that leaves, until nothing is
-// left there, the upstream is gone, or it turns out to stay. Requests that are
-// not answered yet are waited for: they can be moved once they run.
+// Evacuate moves this box's runs off a leaving upstream until none is left, the time is
+// over, or the upstream does not leave after all. Requests that have not been answered
+// yet are moved once they run.
 func (e *Evacuator) Evacuate(ctx context.Context, u fleet.Upstream) {
 	service, ok := e.Services(u.Service)
 	if !ok || service.Engine == nil || !service.Engine.Moves {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, evacuateFor)
+	ctx, cancel := context.WithTimeout(ctx, evacuateTimeout)
 	defer cancel()
-	gaveUp := map[*runs.Run]bool{}
+	done := map[*runs.Run]bool{}
 	for ctx.Err() == nil && e.Tally.Busy(u.ID) && e.IsLeaving(u.ID) {
-		run := e.next(u, gaveUp)
+		run := e.next(u, done)
 		if run == nil {
-			sleep(ctx, again)
+			sleep(ctx, retryPause)
 			continue
 		}
 		if e.move(ctx, run, u, service) {
-			gaveUp[run] = true
+			done[run] = true
 			continue
 		}
-		sleep(ctx, again)
+		sleep(ctx, retryPause)
 	}
 }
 
-// next returns the run to move next: the smallest, as it is the quickest, but
-// last what may end by itself.
-func (e *Evacuator) next(u fleet.Upstream, gaveUp map[*runs.Run]bool) *runs.Run {
+// next returns the run to move next: the smallest one, as it is the fastest, but those
+// that may end by themselves last.
+func (e *Evacuator) next(u fleet.Upstream, done map[*runs.Run]bool) *runs.Run {
 	var last *runs.Run
 	for _, r := range e.Runs.At(u.ID) {
-		if gaveUp[r] {
+		if done[r] {
 			continue
 		}
-		if time.Duration(r.Remaining())*cmp.Or(e.Tally.Pace(), paceGuess) >= finishing {
+		if time.Duration(r.Remaining())*cmp.Or(e.Tally.Pace(), defaultPace) >= finishingTime {
 			return r
 		}
 		if last == nil {
@@ -146,20 +149,20 @@
 	return last
 }
 
-// move moves one run when it is this box's turn. It reports false if that may be
-// tried again.
+// move moves one run when this box has the turn. It reports false if it should be tried
+// again.
 func (e *Evacuator) move(ctx context.Context, run *runs.Run, u fleet.Upstream, service route.Service) (done bool) {
 	began := time.Now()
 	log := e.Log.WithFields(logrus.Fields{"request": run.Request.ID, "from": u.ID, "tokens": run.Tokens(), "events": run.Events()})
 	avoid := []string{u.ID}
 	err := ErrNoCapacity
-	for tries := 0; tries < targetsMost && errors.Is(err, ErrNoCapacity); tries++ {
+	for tries := 0; tries < maxTargets && errors.Is(err, ErrNoCapacity); tries++ {
 		ranked := e.Chooser.Ranked(time.Now(), picker.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.Gap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
 		ranked = slices.DeleteFunc(ranked, func(c picker.Choice) bool { return c.Held })
 		if len(ranked) == 0 {
 			break
 		}
-		target, giveBack := e.take(ctx, run, u, ranked[:min(len(ranked), targetsNamed)])
+		target, giveBack := e.take(ctx, run, u, ranked[:min(len(ranked), targetChoices)])
 		avoid = append(avoid, target.Upstream.ID)
 		log = log.WithFields(logrus.Fields{"to": target.Upstream.ID, "load": target.Load, "cost": target.Cost, "waited_ms": time.Since(began).Milliseconds()})
 		err = e.moveTo(ctx, run, u, target.Upstream)
@@ -186,21 +189,21 @@
 	return true
 }
 
-// take waits for the turn to move a run to one of some targets.
+// take waits for the turn to move a run to one of the ranked targets.
 func (e *Evacuator) take(ctx context.Context, run *runs.Run, u fleet.Upstream, ranked []picker.Choice) (target picker.Choice, giveBack func()) {
-	ask := TurnRequest{Source: u, Tokens: run.Tokens()}
+	request := TurnRequest{Source: u, Tokens: run.Tokens()}
 	for _, c := range ranked {
-		ask.Targets = append(ask.Targets, c.Upstream.ID)
+		request.Targets = append(request.Targets, c.Upstream.ID)
 	}
-	id, giveBack := e.Turns.Take(ctx, ask)
-	return ranked[max(slices.Index(ask.Targets, id), 0)], giveBack
+	id, giveBack := e.Turns.Take(ctx, request)
+	return ranked[max(slices.Index(request.Targets, id), 0)], giveBack
 }
 
-// moveTo copies a run while it goes on, then stops it with the rest.
+// moveTo copies a run while it continues, then stops it and copies the rest.
 func (e *Evacuator) moveTo(ctx context.Context, run *runs.Run, source, target fleet.Upstream) error {
 	entry := e.Tally.Begin(target.ID, upstreamload.Load{Requests: 1, Tokens: run.Tokens(), Coming: run.Left()})
 	defer entry.End()
-	copying, cancel := context.WithTimeout(ctx, copyTime)
+	copying, cancel := context.WithTimeout(ctx, copyTimeout)
 	first, err := e.Mover.Move(copying, source.Address, run.Request.ID, target.Address, false)
 	cancel()
 	if err != nil {
@@ -216,8 +219,8 @@
 		e.release(first.Copy)
 		return ErrNoRun
 	}
-	// Stopping is not broken off with ctx: where the run is then must be known.
-	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTime)
+	// The stop is not cancelled with ctx, as the state of the run would be unknown.
+	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	last, err := e.Mover.Move(stopping, source.Address, run.Request.ID, target.Address, true)
 	if last.Copy.ID != "" {
@@ -231,12 +234,12 @@
 	return err
 }
 
-// notFound settles a run that its upstream does not know when it is to stop. It has
-// ended meanwhile, or it is preempted: its stream goes on once it is read anew, it
-// can be moved then, and until then its copy is what is left of it.
+// notFound handles a run that its upstream does not know when it is to be stopped.
+// Either it has ended, or it is preempted: then it can be moved once its prompt has
+// been read again, and until then the copy is all that is left of it.
 func (e *Evacuator) notFound(ctx context.Context, run *runs.Run, c exchange.Copy) error {
 	run.GoesOn()
-	sleep(ctx, again)
+	sleep(ctx, retryPause)
 	if !run.Ended() {
 		return ErrBusy
 	}
@@ -244,10 +247,10 @@
 	return ErrNoRun
 }
 
-// release frees the copy of a run that has ended: it would hold memory and a
-// slot at its target for seconds.
+// release frees the copy of a run that has ended, which would otherwise hold memory and
+// a slot at its target for seconds.
 func (e *Evacuator) release(c exchange.Copy) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopTime)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	if err := e.Mover.Release(ctx, c); err != nil {
 		e.Log.WithError(err).WithField("copy", c.ID).Info("copy_not_released")
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -26,33 +26,34 @@
 	"petrelstep/upstreamload"
 )
 
-// Figures of the engines that the link below stands for.
+// Properties of the simulated engines.
 const (
-	perToken = 56 * time.Microsecond // 131 KB at 19,000 Mbit/s
+	perToken = 56 * time.Microsecond // time to copy the 131 KB of a token at 19,000 Mbit/s
 	setup    = time.Millisecond
 	notice   = 1700 * time.Millisecond
 )
 
-var errGone = errors.New("connection refused")
+// errClosed is returned by an upstream that has stopped.
+var errClosed = errors.New("connection refused")
 
-// links are those of upstreams that leave and of the targets: a copy takes both
-// its ends', and copies on one link go one after another.
+// links simulates the links of upstreams. A copy occupies the links of both its ends,
+// and copies on one link run one after another.
 type links struct {
-	mu     sync.Mutex
-	busy   map[string]chan struct{} // holds the copy under way, by address
-	dies   time.Time
-	pauses map[string]time.Duration // from a run's stop to its copy's end
-	moved  map[string]string
-	copied map[string]bool
+	mu      sync.Mutex
+	busy    map[string]chan struct{} // holds the running copy, by address
+	stopsAt time.Time                // of the leaving upstreams
+	pauses  map[string]time.Duration // from the stop of a run to the end of its copy
+	moved   map[string]string
+	copied  map[string]bool
 
 	closed   map[string]bool // streams that have closed
-	ends     map[string]bool // runs that end by themselves when they are to be stopped
-	released []string        // copies that were freed
+	ends     map[string]bool // runs that end by themselves before they can be stopped
+	released []string        // ids of released copies
 	fail     func(run, target string, last bool) error
 	tokens   map[string]int
 }
 
-// use waits for a link.
+// use occupies a link until end is called.
 func (l *links) use(address string) (end func()) {
 	l.mu.Lock()
 	busy, ok := l.busy[address]
@@ -71,7 +72,7 @@
 	defer l.use(target)()
 	if l.fail != nil {
 		if err := l.fail(run, target, last); err != nil {
-			l.close(run, last && (err == errGone || l.ends[run]))
+			l.close(run, last && (err == errClosed || l.ends[run]))
 			return evacuate.CopyResult{}, err
 		}
 	}
@@ -83,9 +84,9 @@
 		took += time.Duration(l.tokens[run]) * perToken
 	}
 	time.Sleep(took)
-	if time.Now().After(l.dies) {
+	if time.Now().After(l.stopsAt) {
 		l.close(run, true)
-		return evacuate.CopyResult{}, errGone
+		return evacuate.CopyResult{}, errClosed
 	}
 	l.close(run, last)
 	l.mu.Lock()
@@ -117,43 +118,43 @@
 
 func newLinks() *links {
 	return &links{
-		dies: time.Now().Add(notice), pauses: map[string]time.Duration{}, moved: map[string]string{}, copied: map[string]bool{},
+		stopsAt: time.Now().Add(notice), pauses: map[string]time.Duration{}, moved: map[string]string{}, copied: map[string]bool{},
 		tokens: map[string]int{}, busy: map[string]chan struct{}{}, closed: map[string]bool{}, ends: map[string]bool{},
 	}
 }
 
-// alone is the baseline: no box waits for any other.
-type alone struct{}
+// noTurns is the baseline: each box moves its runs at once.
+type noTurns struct{}
 
-func (alone) Take(_ context.Context, ask evacuate.TurnRequest) (string, func()) {
-	return ask.Targets[0], func() {}
+func (noTurns) Take(_ context.Context, request evacuate.TurnRequest) (string, func()) {
+	return request.Targets[0], func() {}
 }
 
-// byTurns gives one box at a time the turn.
-type byTurns struct {
+// scheduledTurns takes turns from a scheduler.
+type scheduledTurns struct {
 	turns *moveturns.Scheduler
 	box   string
 }
 
-func (b byTurns) Take(ctx context.Context, ask evacuate.TurnRequest) (string, func()) {
-	target, ok := b.turns.Take(ctx, moveturns.Ask{Box: b.box, Source: ask.Source.ID, Targets: ask.Targets, Tokens: ask.Tokens})
+func (b scheduledTurns) Take(ctx context.Context, request evacuate.TurnRequest) (string, func()) {
+	target, ok := b.turns.Take(ctx, moveturns.Ask{Box: b.box, Source: request.Source.ID, Targets: request.Targets, Tokens: request.Tokens})
 	if !ok {
-		return ask.Targets[0], func() {}
+		return request.Targets[0], func() {}
 	}
-	return target, func() { b.turns.GiveBack(ask.Source.ID, b.box) }
+	return target, func() { b.turns.GiveBack(request.Source.ID, b.box) }
 }
 
 var leaving = fleet.Upstream{ID: "old", Service: "llm", Address: "10.0.0.1:1", Hall: "leith"}
 
-// alsoLeaving leaves at the same time.
+// alsoLeaving leaves at the same time as leaving.
 var alsoLeaving = fleet.Upstream{ID: "old2", Service: "llm", Address: "10.0.0.2:1", Hall: "leith"}
 
-// box is one box's evacuator with its own runs.
+// box is the evacuator of one box with its runs.
 type box struct {
 	runs  *runs.Runs
 	tally *upstreamload.Tracker
-	stays bool            // the upstream is back
-	full  map[string]bool // targets that take nothing new
+	stays bool            // the upstream does not leave after all
+	full  map[string]bool // targets that take no new work
 	*evacuate.Evacuator
 }
 
@@ -179,7 +180,7 @@
 	return b
 }
 
-// run adds a run at an upstream that leaves.
+// run adds a run at a leaving upstream.
 func (b *box) run(at fleet.Upstream, id string, prompt, left, events int) (*runs.Run, func()) {
 	r := runs.NewRun(&exchange.Request{ID: id, Prompt: prompt}, at, 4, func(int) int { return left }, time.Now())
 	for range events {
@@ -193,8 +194,7 @@
 	}
 }
 
-// relay takes runs off as the relay does once their streams have closed, and it
-// goes on with them elsewhere.
+// relay waits for a run's stream to close, and resumes the run elsewhere.
 func relay(ctx context.Context, l *links, r *runs.Run, end func(), result *sync.Map) {
 	for !l.hasClosed(r.Request.ID) {
 		select {
@@ -213,14 +213,14 @@
 	end()
 }
 
-// inTime moves runs, each at a box of its own, off upstreams that leave
-// together, and returns how many were moved and how many of their streams paused
-// no longer than one in time may. The upstreams serve on for a while.
-func inTime(t *testing.T, from []fleet.Upstream, boxes int, serves time.Duration, turnsOf func(name string) evacuate.Turns) (moved, count int) {
-	const pauseMost = 180 * time.Millisecond
+// inTime moves runs, each of its own box, off upstreams that leave together and stop
+// after a while. It returns the number of runs that were moved, and of those whose
+// pause was short enough.
+func inTime(t *testing.T, from []fleet.Upstream, boxes int, serves time.Duration, turnsOf func(name string) evacuate.Turns) (moved, good int) {
+	const maxPause = 180 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		l := newLinks()
-		l.dies = time.Now().Add(serves)
+		l.stopsAt = time.Now().Add(serves)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		var all sync.WaitGroup
@@ -238,49 +238,49 @@
 		all.Wait()
 		moved = len(l.moved)
 		for _, p := range l.pauses {
-			if p <= pauseMost {
-				count++
+			if p <= maxPause {
+				good++
 			}
 		}
 	})
-	return moved, count
+	return moved, good
 }
 
-// TestTurnsAgainstAlone holds turns against the baseline that each box moves
-// its own runs at once.
-func TestTurnsAgainstAlone(t *testing.T) {
+// TestTurns compares scheduled turns with the baseline in which each box moves its runs
+// at once.
+func TestTurns(t *testing.T) {
 	is := is.New(t)
 	one, two := []fleet.Upstream{leaving}, []fleet.Upstream{leaving, alsoLeaving}
-	byTurns := func() func(name string) evacuate.Turns {
-		keeper := moveturns.New()
-		return func(name string) evacuate.Turns { return byTurns{keeper, name} }
+	scheduled := func() func(name string) evacuate.Turns {
+		scheduler := moveturns.New()
+		return func(name string) evacuate.Turns { return scheduledTurns{scheduler, name} }
 	}
-	alone := func(string) evacuate.Turns { return alone{} }
-	// The copies take 1.5 s of the 1.7 s that there are.
-	moved, good := inTime(t, one, 7, notice, byTurns())
+	unscheduled := func(string) evacuate.Turns { return noTurns{} }
+	// The copies take 1.5 s of the 1.7 s of notice.
+	moved, good := inTime(t, one, 7, notice, scheduled())
 	is.Equal(moved, 7)
 	is.True(good >= 5)
-	moved, good = inTime(t, one, 7, notice, alone)
+	moved, good = inTime(t, one, 7, notice, unscheduled)
 	is.Equal(moved, 7)
 	is.True(good <= 2)
-	// All see the same targets in the same order: alone, copies of both upstreams
-	// meet at the first, whose link has no time for all.
-	moved, good = inTime(t, two, 8, notice, byTurns())
+	// All boxes rank the targets equally: without turns, the copies of both upstreams
+	// share the link of the first target.
+	moved, good = inTime(t, two, 8, notice, scheduled())
 	is.Equal(moved, 8)
 	is.Equal(good, 8)
-	_, good = inTime(t, two, 8, notice, alone)
+	_, good = inTime(t, two, 8, notice, unscheduled)
 	is.True(good <= 4)
-	// One that serves on for longer: nobody goes without a turn meanwhile.
-	moved, good = inTime(t, one, 12, 4*time.Second, byTurns())
+	// An upstream that serves for longer: no box moves a run without a turn.
+	moved, good = inTime(t, one, 12, 4*time.Second, scheduled())
 	is.Equal(moved, 12)
 	is.Equal(good, 12)
 }
 
-// TestStays shows that nothing is moved from an upstream that is back.
+// TestStays checks that nothing is moved off an upstream that does not leave after all.
 func TestStays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newLinks()
-		b := newBox(l, alone{}, 3)
+		b := newBox(l, noTurns{}, 3)
 		b.stays = true
 		_, end := b.run(leaving, "r", 3000, 900, 10)
 		defer end()
@@ -289,14 +289,14 @@
 	})
 }
 
-// TestTargetCloses evacuates a target's hall while a run is copied there: the run
-// goes on elsewhere, and the copy is freed.
+// TestTargetCloses checks that a run moves to another target, and its copy is released,
+// when the hall of its target is evacuated during the copy.
 func TestTargetCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newLinks()
 		l.tokens["r"] = 3000
-		b := newBox(l, alone{}, 3)
+		b := newBox(l, noTurns{}, 3)
 		b.full = map[string]bool{}
 		l.fail = func(_, target string, last bool) error {
 			if len(b.full) == 0 && !last {
@@ -321,8 +321,8 @@
 	})
 }
 
-// TestLeaves moves one run under what may happen on the way.
-func TestLeaves(t *testing.T) {
+// TestEvacuate moves one run under various failures.
+func TestEvacuate(t *testing.T) {
 	once := func(err error, on func(target string, last bool) bool) func(string, string, bool) error {
 		done := false
 		return func(_, target string, last bool) error {
@@ -336,25 +336,25 @@
 	first := func(_ string, last bool) bool { return !last }
 	last := func(_ string, last bool) bool { return last }
 	tests := map[string]struct {
-		fail   func(run, target string, last bool) error
-		events int
-		left   int           // tokens of its answer that are expected yet
-		later  time.Duration // when the run begins to be answered
-		moved  bool
-		goesOn bool // from a copy, also where it was not stopped
-		ends   bool // by itself, when it is to be stopped
-		freed  bool // its copy
+		fail     func(run, target string, last bool) error
+		events   int
+		left     int           // expected remaining tokens of its answer
+		later    time.Duration // until the run is answered
+		moved    bool
+		resumed  bool // from a copy, even if it was not stopped
+		ends     bool // by itself, before it can be stopped
+		released bool // its copy
 	}{
-		"moved":                                  {events: 10, left: 900, moved: true, goesOn: true},
-		"long, and it is expected to go on":      {events: 300, left: 800, moved: true, goesOn: true},
-		"near its expected end, moved last":      {events: 99, left: 4, moved: true, goesOn: true},
-		"answered only after the notice":         {events: 1, left: 900, later: 400 * time.Millisecond, moved: true, goesOn: true},
-		"the first target has no room":           {fail: once(evacuate.ErrNoCapacity, first), events: 10, left: 900, moved: true, goesOn: true},
-		"a move is under way":                    {fail: once(evacuate.ErrBusy, first), events: 10, left: 900, moved: true, goesOn: true},
-		"it has ended meanwhile":                 {fail: once(evacuate.ErrNoRun, first), events: 10, left: 900},
-		"the upstream dies before the stop":      {fail: once(errGone, last), events: 10, left: 900, goesOn: true},
-		"preempted when it is to stop":           {fail: once(evacuate.ErrNoRun, last), events: 10, left: 900, goesOn: true, moved: true},
-		"it ended between its copy and its stop": {fail: once(evacuate.ErrNoRun, last), events: 10, left: 900, ends: true, freed: true},
+		"moved":                                  {events: 10, left: 900, moved: true, resumed: true},
+		"long, and expected to continue":         {events: 300, left: 800, moved: true, resumed: true},
+		"near its expected end":                  {events: 99, left: 4, moved: true, resumed: true},
+		"answered only after the notice":         {events: 1, left: 900, later: 400 * time.Millisecond, moved: true, resumed: true},
+		"the first target has no capacity":       {fail: once(evacuate.ErrNoCapacity, first), events: 10, left: 900, moved: true, resumed: true},
+		"another move is running":                {fail: once(evacuate.ErrBusy, first), events: 10, left: 900, moved: true, resumed: true},
+		"it has ended":                           {fail: once(evacuate.ErrNoRun, first), events: 10, left: 900},
+		"the upstream stops before the run does": {fail: once(errClosed, last), events: 10, left: 900, resumed: true},
+		"preempted when it is to be stopped":     {fail: once(evacuate.ErrNoRun, last), events: 10, left: 900, resumed: true, moved: true},
+		"it ended between its copy and its stop": {fail: once(evacuate.ErrNoRun, last), events: 10, left: 900, ends: true, released: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -362,7 +362,7 @@
 				is := is.New(t)
 				l := newLinks()
 				l.fail, l.tokens["r"], l.ends["r"] = tt.fail, 3000, tt.ends
-				b := newBox(l, alone{}, 3)
+				b := newBox(l, noTurns{}, 3)
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
 				var all sync.WaitGroup
@@ -375,9 +375,9 @@
 				all.Go(func() { relay(ctx, l, r, end, &result) })
 				all.Wait()
 				is.Equal(l.moved["r"] != "", tt.moved)
-				goesOn, _ := result.Load("r")
-				is.Equal(goesOn == true, tt.goesOn)
-				is.Equal(len(l.released) == 1, tt.freed)
+				resumed, _ := result.Load("r")
+				is.Equal(resumed == true, tt.resumed)
+				is.Equal(len(l.released) == 1, tt.released)
 			})
 		})
 	}
