--- a/edge/cluster_test.go
+++ b/edge/cluster_test.go
@@ -465,10 +465,10 @@
 }
 
 // waitAll waits until f holds for all boxes and returns how long that took.
-func (c *cluster) waitAll(t testing.TB, what string, highest time.Duration, f func(e *Edge) bool) time.Duration {
+func (c *cluster) waitAll(t testing.TB, what string, timeout time.Duration, f func(e *Edge) bool) time.Duration {
 	t.Helper()
 	began := time.Now()
-	for time.Since(began) < highest {
+	for time.Since(began) < timeout {
 		if !slices.ContainsFunc(c.all, func(e *Edge) bool { return !f(e) }) {
 			return time.Since(began)
 		}
@@ -480,7 +480,7 @@
 			missing++
 		}
 	}
-	t.Fatalf("timeout waiting for %q at %d of %d boxes after %v", what, missing, len(c.all), highest)
+	t.Fatalf("timeout waiting for %q at %d of %d boxes after %v", what, missing, len(c.all), timeout)
 	return 0
 }
 
@@ -606,14 +606,14 @@
 
 // disagreeing returns how many boxes name other hubs than the majority.
 func (c *cluster) disagreeing() int {
-	byName := map[string]int{}
-	highest := 0
+	votes := map[string]int{}
+	majority := 0
 	for _, e := range c.all {
 		hubs := fmt.Sprint(e.members.Hubs(time.Now()))
-		byName[hubs]++
-		highest = max(highest, byName[hubs])
+		votes[hubs]++
+		majority = max(majority, votes[hubs])
 	}
-	return len(c.all) - highest
+	return len(c.all) - majority
 }
 
 // TestFetchedConfigurationAge checks that a configuration fetched from a hub takes its
@@ -694,8 +694,8 @@
 	return randomUpTo(random, 100*time.Millisecond) + randomUpTo(random, 3)/2*randomUpTo(random, 1500*time.Millisecond)
 }
 
-func randomUpTo(random *rand.Rand, highest time.Duration) time.Duration {
-	return time.Duration(random.Int64N(int64(highest)))
+func randomUpTo(random *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(random.Int64N(int64(limit)))
 }
 
 func testHubsKilled(t *testing.T, seed uint64) {
@@ -751,10 +751,10 @@
 	}
 	for range calls {
 		began := time.Now()
-		say := e.Say(hub.members.Self())
-		size := encodedSize(b, say)
+		request := e.Say(hub.members.Self())
+		size := encodedSize(b, request)
 		requested := time.Now()
-		answer := hub.Heard(say)
+		answer := hub.Heard(request)
 		size += encodedSize(b, answer)
 		answered := time.Now()
 		e.Hear(answer, began)
@@ -820,14 +820,14 @@
 // that isn't a hub and of its primary hub.
 func (c *cluster) gossipRound(b *testing.B, byName map[string]*Edge, box, hub *gossipCost) {
 	one := c.all[slices.IndexFunc(c.all, func(e *Edge) bool { return !e.IsHub() })]
-	nearest := one.members.Nearest(time.Now()).Name
+	primary := one.members.Nearest(time.Now()).Name
 	for _, e := range c.all {
 		for _, h := range e.members.Asks(time.Now()) {
 			by, at := &gossipCost{}, &gossipCost{}
 			if e == one {
 				by = box
 			}
-			if h.Name == nearest {
+			if h.Name == primary {
 				at = hub
 			}
 			c.gossip(b, e, byName[h.Name], by, at)
--- a/edge/start_test.go
+++ b/edge/start_test.go
@@ -180,7 +180,7 @@
 		c.startAllFull(ctx, false)
 		c.all = all
 		c.waitAll(t, "serves", 3*time.Second, (*Edge).ready)
-		t.Log("all count all after", c.waitAll(t, "counts all", 10*time.Second, func(e *Edge) bool { return e.Count() == boxes+more }))
+		t.Log("all count all boxes after", c.waitAll(t, "counts all", 10*time.Second, func(e *Edge) bool { return e.Count() == boxes+more }))
 		_, _, after := c.table.readStats()
 		t.Log("calls that write:", after-before)
 		is.True(after-before <= more/10+2*len(c.hubs())+halls*maxRegisterCalls)
