--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -178,8 +178,8 @@
 	d.front = front.New(front.Parts{
 		Box: c.Box, Resources: d.resources, Dispatcher: dispatcher, Engines: d.engines, Services: service.New(serviceTime),
 		Ledger: d.ledger, Flights: d.flights, Tickets: ticket.New(c.SharedKey()), Budget: budget,
-		Metrics: d.metrics, Log: d.log, TellTaken: d.tellTaken, Ready: d.configured,
-		BodyMost: c.Limits.BodyBytes, Streams: c.Limits.Streams,
+		Metrics: d.metrics, Log: d.log, NotifyResumed: d.tellTaken, Ready: d.configured,
+		MaxBodySize: c.Limits.BodyBytes, MaxStreams: c.Limits.Streams,
 	})
 	declarer := configwriter.New(d.table, verify.New(), d.resources, d.catchUp.Run)
 	d.admin = admin.New(admin.Parts{
--- a/front/front.go
+++ b/front/front.go
@@ -34,21 +34,21 @@
 
 // Parts are what the front works with.
 type Parts struct {
-	Box        string
-	Resources  *resource.Resources
-	Dispatcher *dispatch.Dispatcher
-	Engines    *engine.Engine
-	Services   *service.Service
-	Ledger     *ledger.Ledger
-	Flights    *inflight.Tracker
-	Tickets    *ticket.Ticket
-	Budget     *retry.Budget
-	Metrics    *metrics.Metrics
-	Log        *logrus.Entry
-	TellTaken  func(box, attempt string) // that this box goes on with a generation
-	Ready      func() bool
-	BodyMost   int
-	Streams    int
+	Box           string
+	Resources     *resource.Resources
+	Dispatcher    *dispatch.Dispatcher
+	Engines       *engine.Engine
+	Services      *service.Service
+	Ledger        *ledger.Ledger
+	Flights       *inflight.Tracker
+	Tickets       *ticket.Ticket
+	Budget        *retry.Budget
+	Metrics       *metrics.Metrics
+	Log           *logrus.Entry
+	NotifyResumed func(box, attempt string) // that this box goes on with a generation
+	Ready         func() bool
+	MaxBodySize   int
+	MaxStreams    int
 }
 
 // Front is safe for use by several goroutines.
@@ -123,7 +123,7 @@
 	if !f.Ready() {
 		return caller{}, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(comeAgain)
 	}
-	if serving > f.Streams {
+	if serving > f.MaxStreams {
 		return caller{}, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(comeAgain)
 	}
 	return f.authenticate(r)
@@ -174,7 +174,7 @@
 
 // body reads a request's body within bounds.
 func (f *Front) body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(f.BodyMost)))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(f.MaxBodySize)))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
--- a/front/generation.go
+++ b/front/generation.go
@@ -214,7 +214,7 @@
 		from = n + 1
 	}
 	if !f.Flights.TakenUp(claims.Attempt) && claims.Box != f.Box {
-		f.TellTaken(claims.Box, claims.Attempt)
+		f.NotifyResumed(claims.Box, claims.Attempt)
 	}
 	return id, f.takeUp(w, r, id, claims, from)
 }
