--- a/unknownfields/unknownfields.go
+++ b/unknownfields/unknownfields.go
@@ -50,9 +50,9 @@
 	return v
 }
 
-// Hear counts a word that is not known, and logs it once a minute; speaker names who said
+// Observe counts a word that is not known, and logs it once a minute; speaker names who said
 // it. A nil vocabulary knows every word.
-func (v *Reporter) Hear(now time.Time, speaker, word, value string) {
+func (v *Reporter) Observe(now time.Time, speaker, word, value string) {
 	if v == nil || v.known[word] {
 		return
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// Unreadable counts a known word whose value cannot be read, and logs it once a minute.
-func (v *Reporter) Unreadable(now time.Time, speaker, word, value string) {
+// Invalid counts a known word whose value cannot be read, and logs it once a minute.
+func (v *Reporter) Invalid(now time.Time, speaker, word, value string) {
 	if v == nil {
 		return
 	}
--- a/unknownfields/unknownfields_test.go
+++ b/unknownfields/unknownfields_test.go
@@ -45,7 +45,7 @@
 			c := counts{}
 			v := unknownfields.New("heads", []string{"Date"}, c, logs.New(&out, "info", "b"))
 			for i, word := range tt.words {
-				v.Hear(now.Add(time.Duration(i)*tt.after), "u1", word, "1")
+				v.Observe(now.Add(time.Duration(i)*tt.after), "u1", word, "1")
 			}
 			is.Equal(map[string]int(c), tt.count)
 			is.Equal(strings.Count(out.String(), "event=word_unread"), tt.lines)
@@ -61,12 +61,12 @@
 	c := counts{}
 	v := unknownfields.New("heads", nil, c, logs.New(&out, "info", "b"))
 	for i := range 1000 {
-		v.Hear(time.Now(), "u1", fmt.Sprint("word", i), strings.Repeat("x", 1<<20))
+		v.Observe(time.Now(), "u1", fmt.Sprint("word", i), strings.Repeat("x", 1<<20))
 	}
 	is.Equal(len(c), 33)
 	is.Equal(c["heads/"+unknownfields.Other], 1000-32)
 	is.True(out.Len() < 32*400)
 	var none *unknownfields.Reporter
-	none.Hear(time.Now(), "u1", "word", "")
-	none.Unreadable(time.Now(), "u1", "word", "")
+	none.Observe(time.Now(), "u1", "word", "")
+	none.Invalid(time.Now(), "u1", "word", "")
 }
