--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -320,13 +320,13 @@
 	m.rests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", change)))
 }
 
-// WordUnread counts a word of another system that is not read.
-func (m *Metrics) WordUnread(place, word string) {
+// UnknownField counts a word of another system that is not read.
+func (m *Metrics) UnknownField(place, word string) {
 	m.unread.Add(context.Background(), 1, metric.WithAttributes(attribute.String("place", place), attribute.String("word", word)))
 }
 
-// WordUnreadable counts a word of another system whose value cannot be read.
-func (m *Metrics) WordUnreadable(place, word string) {
+// InvalidField counts a word of another system whose value cannot be read.
+func (m *Metrics) InvalidField(place, word string) {
 	m.spoilt.Add(context.Background(), 1, metric.WithAttributes(attribute.String("place", place), attribute.String("word", word)))
 }
 
--- a/unknownfields/unknownfields.go
+++ b/unknownfields/unknownfields.go
@@ -25,8 +25,8 @@
 
 // Counter counts words that are not read, and values that cannot be.
 type Counter interface {
-	WordUnread(place, word string)
-	WordUnreadable(place, word string)
+	UnknownField(place, word string)
+	InvalidField(place, word string)
 }
 
 // Reporter is that of one place, such as the heads of one system's answers. It is safe
@@ -57,7 +57,7 @@
 		return
 	}
 	counted, due := v.note(now, word)
-	v.counter.WordUnread(v.place, counted)
+	v.counter.UnknownField(v.place, counted)
 	if due {
 		v.line(speaker, word, value).Warn("word_unread")
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	counted, due := v.note(now, word)
-	v.counter.WordUnreadable(v.place, counted)
+	v.counter.InvalidField(v.place, counted)
 	if due {
 		v.line(speaker, word, value).Warn("word_unreadable")
 	}
--- a/unknownfields/unknownfields_test.go
+++ b/unknownfields/unknownfields_test.go
@@ -15,11 +15,11 @@
 
 type counts map[string]int
 
-// WordUnread implements unknownfields.Counter.
-func (c counts) WordUnread(place, word string) { c[place+"/"+word]++ }
+// UnknownField implements unknownfields.Counter.
+func (c counts) UnknownField(place, word string) { c[place+"/"+word]++ }
 
-// WordUnreadable implements unknownfields.Counter.
-func (c counts) WordUnreadable(place, word string) { c["unreadable "+place+"/"+word]++ }
+// InvalidField implements unknownfields.Counter.
+func (c counts) InvalidField(place, word string) { c["unreadable "+place+"/"+word]++ }
 
 // TestHear shows which words are counted and logged.
 func TestHear(t *testing.T) {
