--- a/edge/edge.go
+++ b/edge/edge.go
@@ -193,7 +193,7 @@
 		peers:       peer.New(nil),
 		turns:       moveturns.New(),
 		localTrials: moveturns.New(),
-		upstreams:   upstream.New().WithUnread(counts, log),
+		upstreams:   upstream.New().WithUnknownFields(counts, log),
 		fleetPacer:  pacer{rate: fleetLinkFraction * max(s.LinkMbit, minLinkMbit) * bytesPerMbit},
 		drain:       make(chan struct{}),
 		random:      rand.New(rand.NewPCG(uint64(now.UnixNano()), 2)),
--- a/edge/protocol_test.go
+++ b/edge/protocol_test.go
@@ -108,7 +108,7 @@
 
 // connect makes a box send to the workers with the platform's client.
 func (p *protocol) connect(e *Edge) {
-	e.relay.Sender = upstream.NewDialing(func(ctx context.Context, _, address string) (net.Conn, error) {
+	e.relay.Sender = upstream.NewWithDial(func(ctx context.Context, _, address string) (net.Conn, error) {
 		w, ok := p.byAddr[address]
 		if !ok {
 			return nil, &net.OpError{Op: "dial", Err: io.EOF}
