--- a/edge/cluster_test.go
+++ b/edge/cluster_test.go
@@ -114,7 +114,7 @@
 	t.put(table, key, "")
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.rows[len(t.rows)-1].Gone = true
+	t.rows[len(t.rows)-1].Removed = true
 }
 
 // storeClient is a box's client for the store.
@@ -132,7 +132,7 @@
 		return nil, 0, err
 	}
 	rows, last, _ := r.changesAfter(of.Table, 0)
-	rows = slices.DeleteFunc(rows, func(o store.Row) bool { return o.Gone })
+	rows = slices.DeleteFunc(rows, func(o store.Row) bool { return o.Removed })
 	r.mu.Lock()
 	r.listings[r.box]++
 	switch of.Table {
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -184,7 +184,7 @@
 		log:         log,
 		timer:       timer.New(),
 		metrics:     counts,
-		store:       store.New(c.Platform.Address, counts).WithUnread(counts, log),
+		store:       store.New(c.Platform.Address, counts).WithUnknownFields(counts, log),
 		routes:      routecache.New(config.Millis(s.KeyAgeMs) - keyAgeMargin),
 		fleet:       fleet.New(time.Duration(missingFraction * float64(config.Millis(s.LeaveMs)))),
 		loads:       upstreamload.New(),
--- a/standin/platform/rows.go
+++ b/standin/platform/rows.go
@@ -56,7 +56,7 @@
 	}
 	for _, r := range tx.Remove {
 		delete(s.rows, keyOf(r))
-		r.Version, r.Gone, r.Value = s.version, true, nil
+		r.Version, r.Removed, r.Value = s.version, true, nil
 		s.history = append(s.history, r)
 	}
 	close(s.changed)
