--- a/edge/answers.go
+++ b/edge/answers.go
@@ -138,7 +138,7 @@
 	if table == nil {
 		return wire.Configuration{}
 	}
-	return wire.Configuration{Version: table.Version(), Encoded: string(e.configuration.Newest())}
+	return wire.Configuration{Version: table.Version(), Encoded: string(e.configuration.Encoded())}
 }
 
 // answerFleet adds the changes since the caller's cursor. A caller without one that
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -323,7 +323,7 @@
 		var answer wire.Configuration
 		err := e.peers.Repeat(ctx, hub.Address, peer.Configuration, wire.Nothing{}, &answer)
 		if err == nil && answer.Version > 0 {
-			err = e.configuration.Take([]byte(answer.Encoded), hub.Box)
+			err = e.configuration.ApplyEncoded([]byte(answer.Encoded), hub.Box)
 		}
 		if err != nil {
 			e.log.WithError(err).WithFields(logrus.Fields{"peer": hub.Box, "version": version}).Warn("configuration_not_taken")
--- a/edge/registrar.go
+++ b/edge/registrar.go
@@ -62,7 +62,7 @@
 		rows = append(rows, box)
 	}
 	slices.SortFunc(rows, func(a, b wire.BoxRecord) int { return a.Incarnation - b.Incarnation })
-	return rows[:min(len(rows), manifest.JoinMost)]
+	return rows[:min(len(rows), manifest.MaxJoinBatch)]
 }
 
 func (r *registrar) remove(rows []wire.BoxRecord) {
