--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -231,8 +231,8 @@
 // Answered records a whole answer that is no stream.
 func (m *Metrics) Answered(took time.Duration) { m.whole.Record(context.Background(), took.Seconds()) }
 
-// Stored records a call to the platform's store.
-func (m *Metrics) Stored(call, outcome string, took time.Duration) {
+// StoreCalled records a call to the platform's store.
+func (m *Metrics) StoreCalled(call, outcome string, took time.Duration) {
 	m.store.Record(context.Background(), took.Seconds(),
 		metric.WithAttributes(attribute.String("call", call), attribute.String("outcome", outcome)))
 }
