--- a/admin/admin.go
+++ b/admin/admin.go
@@ -32,8 +32,8 @@
 // statusEvery is how often a watch is sent the state, in force or not.
 const statusEvery = time.Second
 
-// Parts are what the interface works with.
-type Parts struct {
+// Components are what the interface works with.
+type Components struct {
 	Resources   *resource.Resources
 	Write       func(ctx context.Context, r wire.Resource) (wire.Resource, error)
 	Status      func() wire.Status
@@ -46,12 +46,14 @@
 
 // Admin is safe for use by several goroutines.
 type Admin struct {
-	Parts
+	Components
 	resource *schemacheck.Checker
 }
 
 // New returns the interface.
-func New(parts Parts) *Admin { return &Admin{Parts: parts, resource: schemacheck.New("Resource")} }
+func New(parts Components) *Admin {
+	return &Admin{Components: parts, resource: schemacheck.New("Resource")}
+}
 
 // Handler serves the operators' address.
 func (a *Admin) Handler() http.Handler {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -175,14 +175,14 @@
 		Health: d.health, Lengths: d.lengths, Quota: d.quota, Budget: budget, Flights: d.flights, Placer: d.pick,
 		Metrics: d.metrics,
 	})
-	d.front = front.New(front.Parts{
+	d.front = front.New(front.Components{
 		Box: c.Box, Resources: d.resources, Dispatcher: dispatcher, Engines: d.engines, Services: service.New(serviceTime),
 		Ledger: d.ledger, Flights: d.flights, Tickets: ticket.New(c.SharedKey()), Budget: budget,
 		Metrics: d.metrics, Log: d.log, NotifyResumed: d.tellTaken, Ready: d.configured,
 		MaxBodySize: c.Limits.BodyBytes, MaxStreams: c.Limits.Streams,
 	})
 	declarer := configwriter.New(d.table, verify.New(), d.resources, d.catchUp.Run)
-	d.admin = admin.New(admin.Parts{
+	d.admin = admin.New(admin.Components{
 		Resources: d.resources, Write: d.write(declarer), Status: d.status, Drain: d.Drain, Ready: d.ready,
 		Metrics: d.metrics, OperatorKey: c.OperatorKeyHash, Log: d.log,
 	})
--- a/front/front.go
+++ b/front/front.go
@@ -32,8 +32,8 @@
 // comeAgain is when to come back where nothing better is known.
 const comeAgain = time.Second
 
-// Parts are what the front works with.
-type Parts struct {
+// Components are what the front works with.
+type Components struct {
 	Box           string
 	Resources     *resource.Resources
 	Dispatcher    *dispatch.Dispatcher
@@ -53,7 +53,7 @@
 
 // Front is safe for use by several goroutines.
 type Front struct {
-	Parts
+	Components
 	generation *schemacheck.Checker
 	streams    atomic.Int64
 	draining   atomic.Bool
@@ -61,8 +61,8 @@
 }
 
 // New returns a front.
-func New(parts Parts) *Front {
-	return &Front{Parts: parts, generation: schemacheck.New("GenerationRequest")}
+func New(parts Components) *Front {
+	return &Front{Components: parts, generation: schemacheck.New("GenerationRequest")}
 }
 
 // Drain makes the front take nothing new.
