--- a/front/front.go
+++ b/front/front.go
@@ -1,5 +1,5 @@
-// Package front serves callers over HTTP: generations as server-sent events,
-// and plain services.
+// Package front is the HTTP interface for callers: generations as server-sent
+// events, and calls to plain services.
 package front
 
 import (
@@ -29,10 +29,10 @@
 	"petrelstep/wire"
 )
 
-// comeAgain is when to come back where nothing better is known.
-const comeAgain = time.Second
+// defaultRetryAfter is the Retry-After of refusals that have no better estimate.
+const defaultRetryAfter = time.Second
 
-// Components are what the front works with.
+// Components are the dependencies and limits of a Front.
 type Components struct {
 	Box           string
 	Resources     *resource.Resources
@@ -45,39 +45,39 @@
 	Budget        *retry.Budget
 	Metrics       *metrics.Metrics
 	Log           *logrus.Entry
-	NotifyResumed func(box, attempt string) // that this box goes on with a generation
+	NotifyResumed func(box, attempt string) // notifies a box that this one resumed a generation that it started
 	Ready         func() bool
-	MaxBodySize   int
-	MaxStreams    int
+	MaxBodySize   int // in bytes
+	MaxStreams    int // requests served at the same time
 }
 
 // Front is safe for use by several goroutines.
 type Front struct {
 	Components
 	generation *schemacheck.Checker
-	streams    atomic.Int64
+	streams    atomic.Int64 // requests being served
 	draining   atomic.Bool
-	turn       atomic.Uint64
+	rotation   atomic.Uint64 // rotates the order of a service's upstreams
 }
 
 // New returns a front.
-func New(parts Components) *Front {
-	return &Front{Components: parts, generation: schemacheck.New("GenerationRequest")}
+func New(c Components) *Front {
+	return &Front{Components: c, generation: schemacheck.New("GenerationRequest")}
 }
 
-// Drain makes the front take nothing new.
+// Drain makes the front reject new requests; streams can still be resumed.
 func (f *Front) Drain() { f.draining.Store(true) }
 
-// Serving returns how many requests are being served.
+// Serving returns the number of requests being served.
 func (f *Front) Serving() int { return int(f.streams.Load()) }
 
-// Handler serves the callers' addresses.
+// Handler returns the HTTP handler for callers.
 func (f *Front) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/generations", f.serving(f.serveGeneration)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/generations/{id}", f.serving(f.serveTakeUp)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/generations/{id}", f.serving(f.serveCancel)).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/services/{service}/{path:.*}", f.serving(f.serveService))
+	r.HandleFunc("/v1/generations", f.admitted(f.serveGeneration)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/generations/{id}", f.admitted(f.serveResume)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/generations/{id}", f.admitted(f.serveCancel)).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/services/{service}/{path:.*}", f.admitted(f.serveService))
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.refuse(w, r, "", refusal.New(refusal.UnknownResource, "no such path: "+r.URL.Path))
 	})
@@ -92,10 +92,9 @@
 
 type handler func(w http.ResponseWriter, r *http.Request, c caller) (id string, err error)
 
-// serving holds a request against what goes before all else: the box is
-// ready, the caller is known, there is room. What the handler returns as an
-// error is written as the answer.
-func (f *Front) serving(next handler) http.HandlerFunc {
+// admitted calls next only for requests that pass admit. An error from either is
+// written as the response.
+func (f *Front) admitted(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n := f.streams.Add(1)
 		defer f.streams.Add(-1)
@@ -115,16 +114,18 @@
 	}
 }
 
+// admit checks that the box serves requests and has capacity for one more, and
+// authenticates the caller. A draining box admits only resumed streams.
 func (f *Front) admit(r *http.Request, serving int) (caller, error) {
-	taking := r.Method == http.MethodGet && strings.HasPrefix(r.URL.Path, "/v1/generations/")
-	if f.draining.Load() && !taking {
-		return caller{}, refusal.New(refusal.Draining, "this box is leaving").WithRetryAfter(comeAgain)
+	resuming := r.Method == http.MethodGet && strings.HasPrefix(r.URL.Path, "/v1/generations/")
+	if f.draining.Load() && !resuming {
+		return caller{}, refusal.New(refusal.Draining, "this box is shutting down").WithRetryAfter(defaultRetryAfter)
 	}
 	if !f.Ready() {
-		return caller{}, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(comeAgain)
+		return caller{}, refusal.New(refusal.NotReady, "no configuration yet").WithRetryAfter(defaultRetryAfter)
 	}
 	if serving > f.MaxStreams {
-		return caller{}, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(comeAgain)
+		return caller{}, refusal.New(refusal.BoxFull, "too many requests at this box").WithRetryAfter(defaultRetryAfter)
 	}
 	return f.authenticate(r)
 }
@@ -142,14 +143,14 @@
 	return caller{name: name, terms: view.Organisations[name]}, nil
 }
 
-// HashKey returns the form in which API keys are kept: SHA-256, hexadecimal.
-// Keys are long and random, so that a plain hash is enough.
+// HashKey returns the form in which API keys are stored: SHA-256 in hexadecimal.
+// Keys are long and random, so they need no salt or slow hash.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// refuse answers, counts and logs a refusal.
+// refuse writes a refusal as the response, counts it and logs it.
 func (f *Front) refuse(w http.ResponseWriter, r *http.Request, id string, refused refusal.Refusal) {
 	f.Metrics.Refused(refused.Reason())
 	f.Metrics.Ended(refused.Outcome())
@@ -160,35 +161,36 @@
 	refused.WithRequest(id).Write(w)
 }
 
-// pathOf returns a path fit for a log line: request ids in it are long.
+// pathOf returns the path for the log, truncated because request ids in it are long.
 func pathOf(r *http.Request) string {
-	const most = 60
-	return r.URL.Path[:min(len(r.URL.Path), most)]
+	const maxLength = 60
+	return r.URL.Path[:min(len(r.URL.Path), maxLength)]
 }
 
-// short returns the part of a request id that logs carry.
+// short returns the beginning of a request id for the log.
 func short(id string) string {
-	const part = 24
-	return id[:min(len(id), part)]
+	const maxLength = 24
+	return id[:min(len(id), maxLength)]
 }
 
-// body reads a request's body within bounds.
-func (f *Front) body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+// readBody reads a request's body, up to MaxBodySize bytes.
+func (f *Front) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(f.MaxBodySize)))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
 		return nil, refusal.New(refusal.TooLarge, "the body is too large")
 	case err != nil:
-		return nil, refusal.New(refusal.BadRequest, "the body did not come whole")
+		return nil, refusal.New(refusal.BadRequest, "the body is incomplete")
 	}
 	return raw, nil
 }
 
-func mistakes(err error) error {
+// badRequest returns the refusal for a request that does not match the schema.
+func badRequest(err error) error {
 	var m *schemacheck.Mistakes
 	if errors.As(err, &m) {
-		return refusal.New(refusal.BadRequest, "the request has mistakes").WithPlaces(m.Places)
+		return refusal.New(refusal.BadRequest, "the request does not match the schema").WithPlaces(m.Places)
 	}
 	return refusal.New(refusal.BadRequest, err.Error())
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -25,48 +25,49 @@
 
 const attempt = "a1"
 
-// stream returns an engine's stream of so many tokens.
-func stream(tokens int) []byte {
+// stream returns an engine's stream of n tokens.
+func stream(n int) []byte {
 	b := sse.AppendEvent(nil, sse.Start, mustJSON(wire.EngineStart{Attempt: attempt}))
-	for i := range tokens {
+	for i := range n {
 		b = sse.AppendToken(b, i, mustJSON(text.Token(attempt, i)))
 	}
-	return sse.AppendEvent(b, sse.End, mustJSON(wire.EngineEnd{Attempt: attempt, Count: tokens, Why: wire.EngineEndWhyDone}))
+	return sse.AppendEvent(b, sse.End, mustJSON(wire.EngineEnd{Attempt: attempt, Count: n, Why: wire.EngineEndWhyDone}))
 }
 
-// fixed is an engine that sends one stream, a bit at a time.
-type fixed struct {
-	raw  []byte
-	each int // bytes that arrive together, 0 for all
+// fakeEngine is an engine that always sends the same stream.
+type fakeEngine struct {
+	raw       []byte
+	chunkSize int // maximum bytes per read; 0 for no limit
 }
 
-func (f fixed) Generate(context.Context, string, wire.EngineJob) (*engine.Stream, error) {
-	return engine.NewStream(io.NopCloser(&dribble{raw: f.raw, each: f.each})), nil
+func (f fakeEngine) Generate(context.Context, string, wire.EngineJob) (*engine.Stream, error) {
+	return engine.NewStream(io.NopCloser(&chunkReader{raw: f.raw, chunkSize: f.chunkSize})), nil
 }
 
-func (f fixed) Resume(ctx context.Context, _, _ string, _ int) (*engine.Stream, error) {
+func (f fakeEngine) Resume(ctx context.Context, _, _ string, _ int) (*engine.Stream, error) {
 	return f.Generate(ctx, "", wire.EngineJob{})
 }
 
-type dribble struct {
-	raw  []byte
-	each int
+// chunkReader reads raw in chunks of at most chunkSize bytes.
+type chunkReader struct {
+	raw       []byte
+	chunkSize int
 }
 
-func (d *dribble) Read(p []byte) (int, error) {
+func (d *chunkReader) Read(p []byte) (int, error) {
 	if len(d.raw) == 0 {
 		return 0, io.EOF
 	}
 	n := len(p)
-	if d.each > 0 {
-		n = min(n, d.each)
+	if d.chunkSize > 0 {
+		n = min(n, d.chunkSize)
 	}
 	n = copy(p[:n], d.raw)
 	d.raw = d.raw[n:]
 	return n, nil
 }
 
-// discard is a caller that takes everything.
+// discard is a caller that drops everything it receives.
 type discard struct{ header http.Header }
 
 func (d *discard) Header() http.Header         { return d.header }
@@ -74,7 +75,7 @@
 func (d *discard) WriteHeader(int)             {}
 func (d *discard) Flush()                      {}
 
-func open(tb testing.TB, f fixed) *dispatch.Running {
+func open(tb testing.TB, f fakeEngine) *dispatch.Running {
 	tb.Helper()
 	g, err := generation.New(context.Background(), f, "", wire.EngineJob{Attempt: attempt}, func() {})
 	if err != nil {
@@ -84,20 +85,20 @@
 	return dispatch.NewRunning(g, &inflight.Generation{Attempt: attempt}, flights)
 }
 
-// TestRelay holds what a caller is sent against what the engine sent, from an
-// offset on.
+// TestRelay checks that a caller receives exactly the engine's tokens from an offset
+// on, however they are split into reads.
 func TestRelay(t *testing.T) {
-	tests := map[string]struct{ from, each int }{
+	tests := map[string]struct{ from, chunkSize int }{
 		"all at once":      {},
-		"a byte at a time": {each: 1},
-		"from an offset":   {from: 7, each: 100},
+		"a byte at a time": {chunkSize: 1},
+		"from an offset":   {from: 7, chunkSize: 100},
 		"from the end":     {from: 20},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			const tokens = 20
-			running := open(t, fixed{raw: stream(tokens), each: tt.each})
+			running := open(t, fakeEngine{raw: stream(tokens), chunkSize: tt.chunkSize})
 			recorder := httptest.NewRecorder()
 			out := newWriter(recorder, time.Now())
 			err := new(Front).relay(context.Background(), out, running, tt.from)
@@ -113,16 +114,16 @@
 	}
 }
 
-// BenchmarkRelay is a box's own work for each token of a stream, without the
-// network: one operation is one token.
+// BenchmarkRelay measures a box's work for each token of a stream, without the
+// network. One operation is one token.
 func BenchmarkRelay(b *testing.B) {
-	for name, each := range map[string]int{"tokens together": 0, "each alone": 26} {
+	for name, chunkSize := range map[string]int{"many tokens per read": 0, "one token per read": 26} {
 		b.Run(name, func(b *testing.B) {
 			const tokens = 10_000
 			raw := stream(tokens)
 			b.ReportAllocs()
 			for left := b.N; left > 0; left -= tokens {
-				running := open(b, fixed{raw: raw, each: each})
+				running := open(b, fakeEngine{raw: raw, chunkSize: chunkSize})
 				out := newWriter(&discard{header: http.Header{}}, time.Now())
 				if err := new(Front).relay(context.Background(), out, running, 0); err != io.EOF {
 					b.Fatal(err)
@@ -133,12 +134,12 @@
 	}
 }
 
-// BenchmarkRelayNetwork is one token from an engine through a box to a caller,
-// each alone, over loopback connections: the processor time of the engine's
-// and the caller's ends is in it too.
+// BenchmarkRelayNetwork measures single tokens from an engine through a box to a
+// caller over loopback connections. It includes the processor time of the engine and
+// the caller.
 func BenchmarkRelayNetwork(b *testing.B) {
 	raw := stream(1)
-	per := len(stream(1001)) - len(raw)
+	size := len(stream(1001)) - len(raw) // of 1000 tokens
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		out := http.NewResponseController(w)
 		_, _ = w.Write(sse.AppendEvent(nil, sse.Start, mustJSON(wire.EngineStart{Attempt: attempt})))
@@ -162,7 +163,7 @@
 		_ = out.flush()
 	}))
 	defer box.Close()
-	b.SetBytes(int64(per / 1000))
+	b.SetBytes(int64(size / 1000))
 	b.ResetTimer()
 	resp, err := http.Get(box.URL)
 	if err != nil {
@@ -175,8 +176,8 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// TestAnswerAgain guards against a caller that is not told when a service wants it back.
-func TestAnswerAgain(t *testing.T) {
+// TestAnswerRetryAfter guards against an answer that loses the service's Retry-After.
+func TestAnswerRetryAfter(t *testing.T) {
 	is := is.New(t)
 	counts, err := metrics.New()
 	is.NoErr(err)
--- a/front/generation.go
+++ b/front/generation.go
@@ -23,24 +23,24 @@
 	"petrelstep/wire"
 )
 
-// Bounds beyond which waiting counts as stall; see docs/MEASURES.md.
+// Waiting beyond these bounds counts as stall; see docs/MEASURES.md.
 const (
-	firstBound = 440 * time.Millisecond
-	gapBound   = 200 * time.Millisecond
+	maxFirstDelay = 440 * time.Millisecond // from the request to the first token
+	maxGap        = 200 * time.Millisecond // between tokens
 )
 
-// wholeTries is how often an answer that is delivered whole is generated anew
-// after its engine was lost.
-const wholeTries = 3
+// maxWholeTries bounds the attempts at an answer that is delivered whole, as the
+// engine of each may be lost.
+const maxWholeTries = 3
 
 func (f *Front) serveGeneration(w http.ResponseWriter, r *http.Request, c caller) (string, error) {
-	raw, err := f.body(w, r)
+	raw, err := f.readBody(w, r)
 	if err != nil {
 		return "", err
 	}
 	var body wire.GenerationRequest
 	if err := f.generation.Decode(raw, &body); err != nil {
-		return "", mistakes(err)
+		return "", badRequest(err)
 	}
 	view := f.Resources.View()
 	if len(c.terms.Models) > 0 && !slices.Contains(c.terms.Models, body.Model) {
@@ -51,19 +51,21 @@
 	}
 	req := dispatch.Request{Organisation: c.name, Terms: c.terms, Body: body}
 	if body.Deliver == wire.GenerationRequestDeliverWhole {
-		return f.whole(w, r, req)
+		return f.serveWhole(w, r, req)
 	}
-	return f.stream(w, r, req)
+	return f.serveStream(w, r, req)
 }
 
-func (f *Front) seal(c string, running *dispatch.Running, model string) string {
+// seal returns the request id: a sealed ticket that any box can open to resume or
+// cancel the generation.
+func (f *Front) seal(organisation string, running *dispatch.Running, model string) string {
 	return f.Tickets.Seal(ticket.Claims{
-		Attempt: running.Attempt, Engine: running.Engine, Address: running.Address, Organisation: c, Model: model, Box: f.Box,
+		Attempt: running.Attempt, Engine: running.Engine, Address: running.Address, Organisation: organisation, Model: model, Box: f.Box,
 	})
 }
 
-// stream passes tokens on as they come.
-func (f *Front) stream(w http.ResponseWriter, r *http.Request, req dispatch.Request) (string, error) {
+// serveStream forwards tokens as they arrive.
+func (f *Front) serveStream(w http.ResponseWriter, r *http.Request, req dispatch.Request) (string, error) {
 	began := time.Now()
 	running, err := f.Dispatcher.Start(r.Context(), req)
 	if err != nil {
@@ -73,11 +75,11 @@
 	out := newWriter(w, began)
 	out.start(id)
 	err = f.relay(r.Context(), out, running, 0)
-	f.ended(r.Context(), running, out, id, err)
+	f.finish(r.Context(), running, out, id, err)
 	return id, nil
 }
 
-// relay passes on the tokens from an offset on until the generation ends.
+// relay forwards the tokens from an offset on until the generation ends.
 func (f *Front) relay(ctx context.Context, out *writer, running *dispatch.Running, from int) error {
 	if !running.Empty {
 		if err := out.token(running.First, from); err != nil {
@@ -101,17 +103,17 @@
 	}
 }
 
-// ended writes the last event and settles the generation.
-func (f *Front) ended(ctx context.Context, running *dispatch.Running, out *writer, id string, err error) {
+// finish writes the end event and settles the generation. If the caller has
+// disconnected, the generation stays at its engine to be resumed.
+func (f *Front) finish(ctx context.Context, running *dispatch.Running, out *writer, id string, err error) {
 	log := f.Log.WithFields(logrus.Fields{"request": short(id), "engine": running.Engine, "attempt": running.Attempt, "tokens": running.Count()})
 	if ctx.Err() != nil || errors.As(err, new(*writeError)) {
-		// The caller hung up; it has a while to come back.
 		running.Abandon()
 		f.Metrics.Streamed(out.sent, out.first.Seconds(), out.longest.Seconds(), out.stall.Seconds())
 		log.Info("caller_gone")
 		return
 	}
-	end := f.endOf(running, err)
+	end := f.endEvent(running, err)
 	out.end(end)
 	running.End(err != io.EOF)
 	f.Metrics.Streamed(out.sent, out.first.Seconds(), out.longest.Seconds(), out.stall.Seconds())
@@ -122,7 +124,7 @@
 	log.WithFields(logrus.Fields{"ending": end.Ending, "reason": end.Reason, "first_ms": out.first.Milliseconds()}).Info("generation_ended")
 }
 
-func (f *Front) endOf(running *dispatch.Running, err error) wire.EndEvent {
+func (f *Front) endEvent(running *dispatch.Running, err error) wire.EndEvent {
 	end := wire.EndEvent{Count: running.Count(), Generation: running.Attempt}
 	switch {
 	case err == io.EOF:
@@ -131,17 +133,17 @@
 		end.Ending, end.Reason = wire.EndEventEndingFailed, string(refusal.GenerationCancel)
 	default:
 		end.Ending, end.Reason = wire.EndEventEndingFailed, string(refusal.GenerationLost)
-		end.RetryAfterMs = int(comeAgain.Milliseconds())
+		end.RetryAfterMs = int(defaultRetryAfter.Milliseconds())
 	}
 	return end
 }
 
-// whole passes nothing on until all is there, so that a lost engine's work is
-// done again unseen.
-func (f *Front) whole(w http.ResponseWriter, r *http.Request, req dispatch.Request) (string, error) {
+// serveWhole forwards nothing until the generation is complete, so that it can be
+// started again if its engine is lost.
+func (f *Front) serveWhole(w http.ResponseWriter, r *http.Request, req dispatch.Request) (string, error) {
 	began := time.Now()
 	var last error
-	for n := range wholeTries {
+	for n := range maxWholeTries {
 		if n > 0 {
 			if !f.Budget.Spend() {
 				break
@@ -156,50 +158,51 @@
 			return "", err
 		}
 		id := f.seal(req.Organisation, running, req.Body.Model)
-		held := &buffer{}
-		err = f.collect(r.Context(), running, held)
+		buffered := &buffer{}
+		err = f.collect(r.Context(), running, buffered)
 		if err == io.EOF {
 			out := newWriter(w, began)
 			out.start(id)
-			out.all(held)
-			f.ended(r.Context(), running, out, id, err)
+			out.tokens(buffered)
+			f.finish(r.Context(), running, out, id, err)
 			return id, nil
 		}
 		running.End(true)
 		if r.Context().Err() != nil || errors.As(err, new(*generation.CancelledError)) {
-			f.cancelQuietly(running)
+			f.cancelAbandoned(running)
 			return id, refusal.New(refusal.GenerationCancel, "cancelled")
 		}
-		last = refusal.New(refusal.GenerationLost, "the engine was lost").WithRetryAfter(comeAgain)
+		last = refusal.New(refusal.GenerationLost, "the engine was lost").WithRetryAfter(defaultRetryAfter)
 	}
 	return "", last
 }
 
-// cancelQuietly frees an engine from work that nobody waits for.
-func (f *Front) cancelQuietly(running *dispatch.Running) {
-	ctx, cancel := context.WithTimeout(context.Background(), comeAgain)
+// cancelAbandoned cancels a generation that has no caller any more.
+func (f *Front) cancelAbandoned(running *dispatch.Running) {
+	ctx, cancel := context.WithTimeout(context.Background(), defaultRetryAfter)
 	defer cancel()
-	// The engine may be gone; then there is nothing to free.
+	// If the engine is unreachable, there is nothing to cancel.
 	_, _ = f.Engines.Cancel(ctx, running.Address, running.Attempt)
 }
 
-func (f *Front) collect(ctx context.Context, running *dispatch.Running, held *buffer) error {
+// collect buffers the tokens of a generation until it ends.
+func (f *Front) collect(ctx context.Context, running *dispatch.Running, out *buffer) error {
 	if !running.Empty {
-		held.add(running.First)
+		out.add(running.First)
 	}
 	for {
 		token, err := running.Next(ctx)
 		if err != nil {
 			return err
 		}
-		held.add(token)
+		out.add(token)
 		running.Progress()
 	}
 }
 
-// serveTakeUp goes on with a stream after the token that the caller has, at
-// this box or any other.
-func (f *Front) serveTakeUp(w http.ResponseWriter, r *http.Request, c caller) (string, error) {
+// serveResume resumes a stream after the last token that the caller received. Any
+// box may have started it.
+func (f *Front) serveResume(w http.ResponseWriter, r *http.Request, c caller) (string, error) {
 	id := mux.Vars(r)["id"]
 	claims, err := f.claims(id, c)
 	if err != nil {
@@ -209,37 +212,39 @@
 	if last := r.Header.Get("Last-Event-ID"); last != "" {
 		n, err := strconv.Atoi(last)
 		if err != nil || n < 0 {
-			return id, refusal.New(refusal.BadRequest, "the header is no offset").WithPlaces([]string{"Last-Event-ID"})
+			return id, refusal.New(refusal.BadRequest, "the header is not an offset").WithPlaces([]string{"Last-Event-ID"})
 		}
 		from = n + 1
 	}
 	if !f.Flights.TakenUp(claims.Attempt) && claims.Box != f.Box {
 		f.NotifyResumed(claims.Box, claims.Attempt)
 	}
-	return id, f.takeUp(w, r, id, claims, from)
+	return id, f.resume(w, r, id, claims, from)
 }
 
-func (f *Front) takeUp(w http.ResponseWriter, r *http.Request, id string, claims ticket.Claims, from int) error {
+func (f *Front) resume(w http.ResponseWriter, r *http.Request, id string, claims ticket.Claims, from int) error {
 	g, err := generation.Resume(r.Context(), f.Engines, claims.Address, claims.Attempt, func() { f.Metrics.Retried(metrics.RetryResume) })
 	if err != nil {
 		if engine.KindOf(err) == engine.Gone {
-			return refusal.New(refusal.GenerationLost, "the engine no longer has it").WithRetryAfter(comeAgain)
+			return refusal.New(refusal.GenerationLost, "the engine no longer has it").WithRetryAfter(defaultRetryAfter)
 		}
-		return refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(comeAgain)
+		return refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(defaultRetryAfter)
 	}
 	f.Metrics.Retried(metrics.RetryResume)
 	running := f.Dispatcher.TakenUp(claims, g)
 	out := newWriter(w, time.Now())
 	out.start(id)
 	err = f.relay(r.Context(), out, running, from)
-	f.ended(r.Context(), running, out, id, err)
+	f.finish(r.Context(), running, out, id, err)
 	return nil
 }
 
+// claims opens a request id of the caller's organisation.
 func (f *Front) claims(id string, c caller) (ticket.Claims, error) {
 	claims, err := f.Tickets.Open(id)
 	if err != nil || claims.Organisation != c.name {
-		// A stranger's id is answered like a wrong one: it tells nothing.
+		// An id of another organisation is refused like an invalid one, so that the
+		// response does not reveal whether it exists.
 		return claims, refusal.New(refusal.UnknownRequest, "no such request of this organisation")
 	}
 	return claims, nil
@@ -253,7 +258,7 @@
 	}
 	answer, err := f.Engines.Cancel(r.Context(), claims.Address, claims.Attempt)
 	if err != nil {
-		return id, refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(comeAgain)
+		return id, refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(defaultRetryAfter)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	return id, json.NewEncoder(w).Encode(answer)
@@ -270,24 +275,24 @@
 	b.ends = append(b.ends, len(b.data))
 }
 
-// writeError says that the caller could not be written to.
+// writeError is a failed write to the caller.
 type writeError struct{ err error }
 
 func (e *writeError) Error() string { return "caller: " + e.err.Error() }
 
 func (e *writeError) Unwrap() error { return e.err }
 
-// writer writes a caller's event stream and measures it.
+// writer writes a caller's event stream and measures its delays.
 type writer struct {
 	out     http.ResponseWriter
 	control *http.ResponseController
 	buf     []byte
 	began   time.Time
-	last    time.Time
-	first   time.Duration
-	longest time.Duration
-	stall   time.Duration
-	sent    int
+	last    time.Time     // of the last write
+	first   time.Duration // until the first write
+	longest time.Duration // longest gap between writes
+	stall   time.Duration // sum of all waiting beyond the bounds
+	sent    int           // tokens
 }
 
 func newWriter(w http.ResponseWriter, began time.Time) *writer {
@@ -302,7 +307,8 @@
 	w.buf = sse.AppendEvent(w.buf, sse.Start, mustJSON(wire.StartEvent{Request: id}))
 }
 
-// token adds a token unless the caller has it already.
+// token appends a token unless it lies before the offset from, which means that the
+// caller has it already. A large buffer is flushed.
 func (w *writer) token(t generation.Token, from int) error {
 	if t.Offset < from {
 		return nil
@@ -316,16 +322,17 @@
 	return nil
 }
 
-func (w *writer) all(b *buffer) {
-	at := 0
+// tokens appends all tokens of a buffer.
+func (w *writer) tokens(b *buffer) {
+	start := 0
 	for i, end := range b.ends {
-		// A failed write shows again at the last event.
-		_ = w.token(generation.Token{Offset: i, Data: b.data[at:end]}, 0)
-		at = end
+		// If a write fails, so does that of the end event.
+		_ = w.token(generation.Token{Offset: i, Data: b.data[start:end]}, 0)
+		start = end
 	}
 }
 
-// flush sends what is there; one write for all tokens that came together.
+// flush sends the appended events to the caller by a single write.
 func (w *writer) flush() error {
 	if len(w.buf) == 0 {
 		return nil
@@ -345,24 +352,24 @@
 func (w *writer) measure(now time.Time) {
 	if w.last.IsZero() {
 		w.first = now.Sub(w.began)
-		w.stall += max(w.first-firstBound, 0)
+		w.stall += max(w.first-maxFirstDelay, 0)
 	} else {
 		gap := now.Sub(w.last)
 		w.longest = max(w.longest, gap)
-		w.stall += max(gap-gapBound, 0)
+		w.stall += max(gap-maxGap, 0)
 	}
 	w.last = now
 }
 
 func (w *writer) end(e wire.EndEvent) {
 	w.buf = sse.AppendEvent(w.buf, sse.End, mustJSON(e))
-	_ = w.flush() // the caller may be gone by now
+	_ = w.flush() // the caller may have disconnected
 }
 
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only wire types come here
+		panic(err) // cannot happen: v is always a wire type
 	}
 	return b
 }
--- a/front/service.go
+++ b/front/service.go
@@ -28,7 +28,7 @@
 	if len(f.Resources.View().Services(name)) == 0 {
 		return "", refusal.New(refusal.UnknownService, name)
 	}
-	body, err := f.body(w, r)
+	body, err := f.readBody(w, r)
 	if err != nil {
 		return "", err
 	}
@@ -38,26 +38,27 @@
 	}
 	targets := f.targets(name)
 	if len(targets) == 0 {
-		return "", refusal.New(refusal.NoUpstream, "no upstream of "+name+" is open").WithRetryAfter(comeAgain)
+		return "", refusal.New(refusal.NoUpstream, "no upstream of "+name+" is available").WithRetryAfter(defaultRetryAfter)
 	}
 	key := r.Header.Get("Idempotency-Key")
 	if slices.Contains(targets[0].upstream.Repeatable, r.Method) {
-		return "", f.repeatable(w, r, call, targets)
+		return "", f.callRepeatable(w, r, call, targets)
 	}
 	if key == "" {
-		return "", f.once(w, r, call, targets)
+		return "", f.callOnce(w, r, call, targets)
 	}
-	return key, f.keyed(w, r, c, call, targets, key)
+	return key, f.callKeyed(w, r, c, call, targets, key)
 }
 
-// targets returns the open upstreams of a service, each time another first.
+// targets returns the upstreams of a service that are not leaving, rotated by one
+// position with each call.
 func (f *Front) targets(name string) []target {
 	view := f.Resources.View()
 	names := view.Services(name)
 	var open []target
-	turn := int(f.turn.Add(1) % uint64(max(len(names), 1)))
+	start := int(f.rotation.Add(1) % uint64(max(len(names), 1)))
 	for i := range names {
-		n := names[(i+turn)%len(names)]
+		n := names[(i+start)%len(names)]
 		if u := view.Upstreams[n]; !u.Leaving {
 			open = append(open, target{n, u})
 		}
@@ -65,8 +66,9 @@
 	return open
 }
 
-// repeatable tries a call elsewhere until it is answered, within the budget.
-func (f *Front) repeatable(w http.ResponseWriter, r *http.Request, call service.Call, targets []target) error {
+// callRepeatable makes an idempotent call and retries it at the next upstream if it
+// fails, within the retry budget.
+func (f *Front) callRepeatable(w http.ResponseWriter, r *http.Request, call service.Call, targets []target) error {
 	var last error
 	for n := range retry.MaxTries {
 		if n > 0 {
@@ -88,25 +90,26 @@
 		}
 	}
 	if service.NotSent(last) {
-		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(comeAgain)
+		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(defaultRetryAfter)
 	}
-	return refusal.New(refusal.UpstreamLost, "the service gave no answer").WithOutcome(refusal.Unknown).WithRetryAfter(comeAgain)
+	return refusal.New(refusal.UpstreamLost, "the service gave no answer").WithOutcome(refusal.Unknown).WithRetryAfter(defaultRetryAfter)
 }
 
-// once carries out a call without a key: elsewhere only while no byte of it
-// has left this box.
-func (f *Front) once(w http.ResponseWriter, r *http.Request, call service.Call, targets []target) error {
+// callOnce makes a call that is neither idempotent nor has an idempotency key. It is
+// retried only while no byte of it has been sent.
+func (f *Front) callOnce(w http.ResponseWriter, r *http.Request, call service.Call, targets []target) error {
 	answer, err := f.firstReached(r, call, targets)
 	if err == nil {
 		f.answer(w, answer)
 		return nil
 	}
 	if service.NotSent(err) {
-		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(comeAgain)
+		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(defaultRetryAfter)
 	}
 	return refusal.New(refusal.UnknownOutcome, "the service gave no answer")
 }
 
+// firstReached makes a call at the first upstream that can be reached.
 func (f *Front) firstReached(r *http.Request, call service.Call, targets []target) (service.Answer, error) {
 	var last error
 	for _, t := range targets {
@@ -121,27 +124,27 @@
 	return service.Answer{}, last
 }
 
-// keyed carries out a call that must not be repeated, at most once whatever
-// fails and however often it is sent.
-func (f *Front) keyed(w http.ResponseWriter, r *http.Request, c caller, call service.Call, targets []target, key string) error {
-	entry, kept, err := f.Ledger.Begin(r.Context(), ledger.Call{
+// callKeyed makes a call with an idempotency key: it runs at most once, however often
+// the caller sends it and whatever fails.
+func (f *Front) callKeyed(w http.ResponseWriter, r *http.Request, c caller, call service.Call, targets []target, key string) error {
+	entry, stored, err := f.Ledger.Begin(r.Context(), ledger.Call{
 		Organisation: c.name, Key: key, BodyHash: ledger.HashOf(call.Method, r.URL.Path, call.Body),
 	})
 	if err != nil {
 		return err
 	}
-	if kept != nil {
+	if stored != nil {
 		w.Header().Set("Petrelstep-Replayed", "true")
-		f.answer(w, service.Answer{Status: kept.Status, Type: kept.ContentType, Body: []byte(kept.Body)})
+		f.answer(w, service.Answer{Status: stored.Status, Type: stored.ContentType, Body: []byte(stored.Body)})
 		return nil
 	}
 	if r.Context().Err() != nil {
 		f.Ledger.NotRun(entry)
-		return refusal.New(refusal.Deadline, "the caller hung up")
+		return refusal.New(refusal.Deadline, "the caller disconnected")
 	}
 	call.Attempt = entry.Token
-	// Once it is sent, the call is not broken off by a caller that hangs up:
-	// its outcome would be lost.
+	// Once sent, the call continues if the caller disconnects: its outcome would be
+	// lost otherwise.
 	answer, err := f.firstReached(r.WithContext(detached(r)), call, targets)
 	log := f.Log.WithFields(logrus.Fields{"attempt": entry.Token, "organisation": c.name})
 	switch {
@@ -152,13 +155,14 @@
 		return nil
 	case service.NotSent(err):
 		f.Ledger.NotRun(entry)
-		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(comeAgain)
+		return refusal.New(refusal.NoUpstream, "the service cannot be reached").WithRetryAfter(defaultRetryAfter)
 	}
 	f.Ledger.Unknown(entry)
 	log.WithError(errors.Unwrap(err)).Warn("call_unknown")
 	return refusal.New(refusal.UnknownOutcome, "the service gave no answer")
 }
 
+// answer forwards a service's answer to the caller.
 func (f *Front) answer(w http.ResponseWriter, a service.Answer) {
 	f.Metrics.Ended(refusal.Done)
 	if a.Type != "" {
@@ -169,8 +173,8 @@
 	}
 	w.Header().Set("Petrelstep-Ending", string(refusal.Done))
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // the caller may be gone by now
+	_, _ = w.Write(a.Body) // the caller may have disconnected
 }
 
-// detached returns a request's context without its end.
+// detached returns a request's context without its cancellation and deadline.
 func detached(r *http.Request) context.Context { return context.WithoutCancel(r.Context()) }
