--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves operators: the resource interface, the state of the
-// whole, health and metrics.
+// Package admin is the HTTP interface for operators: resources, status, health and
+// metrics.
 package admin
 
 import (
@@ -26,13 +26,13 @@
 	"petrelstep/wire"
 )
 
-// bodyMost bounds a resource, in bytes.
-const bodyMost = 1 << 20
+// maxBodySize bounds the body of a resource, in bytes.
+const maxBodySize = 1 << 20
 
-// statusEvery is how often a watch is sent the state, in force or not.
-const statusEvery = time.Second
+// statusInterval is the time between status events of a watch without changes.
+const statusInterval = time.Second
 
-// Components are what the interface works with.
+// Components are the dependencies of an Admin.
 type Components struct {
 	Resources   *resource.Resources
 	Write       func(ctx context.Context, r wire.Resource) (wire.Resource, error)
@@ -51,11 +51,11 @@
 }
 
 // New returns the interface.
-func New(parts Components) *Admin {
-	return &Admin{Components: parts, resource: schemacheck.New("Resource")}
+func New(c Components) *Admin {
+	return &Admin{Components: c, resource: schemacheck.New("Resource")}
 }
 
-// Handler serves the operators' address.
+// Handler returns the HTTP handler for operators.
 func (a *Admin) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.Handle("/metrics", a.Metrics.Handler())
@@ -82,7 +82,8 @@
 
 type handler func(w http.ResponseWriter, r *http.Request) error
 
-// operator lets only operators through and writes errors as refusals.
+// operator calls next only for requests of operators. An error is written as a
+// refusal.
 func (a *Admin) operator(next handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		err := a.authorise(r)
@@ -115,9 +116,9 @@
 	name, ok := view.Keys[hash]
 	switch {
 	case !ok:
-		return refusal.New(refusal.WrongKey, "the key belongs to nobody")
+		return refusal.New(refusal.WrongKey, "the key belongs to no organisation")
 	case !view.Organisations[name].Operator:
-		return refusal.New(refusal.NotAllowed, name+" is no operator")
+		return refusal.New(refusal.NotAllowed, name+" is not an operator")
 	}
 	return nil
 }
@@ -148,15 +149,15 @@
 }
 
 func (a *Admin) servePut(w http.ResponseWriter, r *http.Request) error {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodySize))
 	if err != nil {
-		return refusal.New(refusal.TooLarge, "the resource did not come whole, or is too large")
+		return refusal.New(refusal.TooLarge, "the resource is incomplete or too large")
 	}
 	var item wire.Resource
 	if err := a.resource.Decode(raw, &item); err != nil {
 		var m *schemacheck.Mistakes
 		errors.As(err, &m)
-		return refusal.New(refusal.BadRequest, "the resource has mistakes").WithPlaces(m.Places)
+		return refusal.New(refusal.BadRequest, "the resource does not match the schema").WithPlaces(m.Places)
 	}
 	vars := mux.Vars(r)
 	if string(item.Kind) != vars["kind"] || item.Name != vars["name"] {
@@ -174,7 +175,7 @@
 	if given := r.URL.Query().Get("version"); given != "" {
 		version, err := strconv.Atoi(given)
 		if err != nil {
-			return refusal.New(refusal.BadRequest, "version is no number").WithPlaces([]string{"?version"})
+			return refusal.New(refusal.BadRequest, "version is not a number").WithPlaces([]string{"?version"})
 		}
 		item.Version = version
 	}
@@ -183,7 +184,7 @@
 }
 
 func (a *Admin) write(w http.ResponseWriter, r *http.Request, item wire.Resource) error {
-	// An operator that hangs up does not break a write off half-way.
+	// The write continues if the operator disconnects.
 	done, err := a.Write(context.WithoutCancel(r.Context()), item)
 	if err != nil {
 		return err
@@ -194,15 +195,16 @@
 	return send(w, done)
 }
 
-// serveWatch sends each change after a revision, and the state each second.
+// serveWatch streams each change after a revision. It sends the status with each
+// change, and otherwise at every statusInterval.
 func (a *Admin) serveWatch(w http.ResponseWriter, r *http.Request) error {
 	since, err := strconv.Atoi("0" + r.URL.Query().Get("revision"))
 	if err != nil {
-		return refusal.New(refusal.BadRequest, "revision is no number").WithPlaces([]string{"?revision"})
+		return refusal.New(refusal.BadRequest, "revision is not a number").WithPlaces([]string{"?revision"})
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
-	tick := time.NewTicker(statusEvery)
+	tick := time.NewTicker(statusInterval)
 	defer tick.Stop()
 	for {
 		changed := a.Resources.Changed()
@@ -214,7 +216,7 @@
 		since = max(since, set.Revision)
 		buf = sse.AppendEvent(buf, "status", mustJSON(a.Status()))
 		if _, err := w.Write(buf); err != nil || control.Flush() != nil {
-			return nil // the operator hung up
+			return nil // the operator disconnected
 		}
 		select {
 		case <-r.Context().Done():
@@ -236,14 +238,14 @@
 
 func send(w http.ResponseWriter, v any) error {
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(mustJSON(v), '\n')) // the operator may be gone by now
+	_, _ = w.Write(append(mustJSON(v), '\n')) // the operator may have disconnected
 	return nil
 }
 
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only wire types come here
+		panic(err) // cannot happen: v is always a wire type
 	}
 	return b
 }
