--- a/config/balance.go
+++ b/config/balance.go
@@ -6,7 +6,7 @@
 	"petrelstep/wire"
 )
 
-// Balances tells whether a part of the decisions under load is on.
-func (c Config) Balances(part wire.EdgeBalanceElem) bool {
-	return c.Edge != nil && slices.Contains(c.Edge.Balance, part)
+// Balances reports whether a feature of load balancing is enabled.
+func (c Config) Balances(feature wire.EdgeBalanceElem) bool {
+	return c.Edge != nil && slices.Contains(c.Edge.Balance, feature)
 }
--- a/config/balance_test.go
+++ b/config/balance_test.go
@@ -14,11 +14,11 @@
 		edge *wire.Edge
 		want bool
 	}{
-		"no edge":      {},
-		"none are on":  {edge: &wire.Edge{}},
-		"another is":   {edge: &wire.Edge{Balance: []wire.EdgeBalanceElem{wire.EdgeBalanceElemShares}}},
-		"it is":        {edge: &wire.Edge{Balance: []wire.EdgeBalanceElem{wire.EdgeBalanceElemBuffers}}, want: true},
-		"among others": {edge: &wire.Edge{Balance: []wire.EdgeBalanceElem{wire.EdgeBalanceElemShares, wire.EdgeBalanceElemBuffers}}, want: true},
+		"no edge section":      {},
+		"none enabled":         {edge: &wire.Edge{}},
+		"only another enabled": {edge: &wire.Edge{Balance: []wire.EdgeBalanceElem{wire.EdgeBalanceElemShares}}},
+		"enabled":              {edge: &wire.Edge{Balance: []wire.EdgeBalanceElem{wire.EdgeBalanceElemBuffers}}, want: true},
+		"enabled with others":  {edge: &wire.Edge{Balance: []wire.EdgeBalanceElem{wire.EdgeBalanceElemShares, wire.EdgeBalanceElemBuffers}}, want: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := config.Config{Settings: wire.Settings{Edge: tt.edge}}
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the JSON settings of a daemon. No other
-// package opens the settings file.
+// Package config reads and validates the JSON settings of a daemon. No other package
+// opens the settings file.
 package config
 
 import (
@@ -12,13 +12,13 @@
 	"petrelstep/wire"
 )
 
-// Config is a checked set of settings.
+// Config is a valid set of settings.
 type Config struct{ wire.Settings }
 
-// Error lists all mistakes of a settings file with their places.
+// Error lists all mistakes in a settings file.
 type Error struct {
 	File   string
-	Places []string
+	Places []string // JSON pointers or field names, most with an explanation
 }
 
 // Error implements error.
@@ -30,7 +30,7 @@
 	return text
 }
 
-// New reads the file and checks everything in it; the error is an *Error.
+// New reads and validates a settings file. The error is an *Error.
 func New(file string) (Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -49,11 +49,11 @@
 	return c, nil
 }
 
-// defaults fills the sections that the file leaves out: the generated decoder
-// gives a missing section no defaults of its own.
+// defaults fills in the sections that the file omits: the generated decoder applies
+// the defaults of fields only within sections that are present.
 func (c *Config) defaults(raw []byte) {
 	var given map[string]json.RawMessage
-	_ = json.Unmarshal(raw, &given) // it was decoded before
+	_ = json.Unmarshal(raw, &given) // cannot fail: the schema decoder has parsed it
 	if given["limits"] == nil {
 		_ = json.Unmarshal([]byte("{}"), &c.Limits)
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// mistakes finds what a schema cannot say.
+// mistakes checks the constraints that the schema cannot express.
 func (c Config) mistakes() []string {
 	var places []string
 	l := c.Listen
@@ -70,7 +70,7 @@
 		places = append(places, "/listen: the three addresses must differ")
 	}
 	if (c.TLS.Certificate == "") != (c.TLS.Key == "") {
-		places = append(places, "/tls: certificate and key go together")
+		places = append(places, "/tls: certificate and key must be set together")
 	}
 	for _, file := range []string{c.TLS.Certificate, c.TLS.Key, c.TLS.PeerAuthority} {
 		if file == "" {
@@ -86,12 +86,12 @@
 	return places
 }
 
-// Millis turns a setting into a duration.
+// Millis converts a setting in milliseconds into a duration.
 func Millis[N int | float64](ms N) time.Duration {
 	return time.Duration(float64(ms) * float64(time.Millisecond))
 }
 
-// StopTime returns how long a planned stop of this box may take.
+// StopTime returns the maximum duration of a planned stop of this box.
 func (c Config) StopTime() time.Duration {
 	if c.Edge != nil && c.Edge.StopS > 0 {
 		return Millis(c.Edge.StopS * 1000)
@@ -99,8 +99,7 @@
 	return Millis(c.DrainMs)
 }
 
-// SharedKey returns the secret that all boxes share; empty where the settings
-// need none.
+// SharedKey returns the secret that all boxes share; empty if it is not set.
 func (c Config) SharedKey() string {
 	if c.RequestKey == nil {
 		return ""
