--- a/protect/buffers/buffers.go
+++ b/protect/buffers/buffers.go
@@ -1,7 +1,7 @@
-// Package buffers bounds what a box holds for callers that read slowly. Each stream
-// has a buffer between the task that reads the upstream and the one that writes to
-// the caller; what all of them hold is bounded for the box, and the slowest reader
-// is ended before faster ones wait.
+// Package buffers bounds the memory that a box uses for callers that read slowly. Each
+// stream has a buffer between the goroutine that reads from the upstream and the one
+// that writes to the caller. If all buffers together reach the limit of the box, the
+// stream of the slowest reader is ended so that faster ones need not wait.
 package buffers
 
 import (
@@ -12,82 +12,84 @@
 )
 
 const (
-	// slowAfter is how long a stream has made no progress before it may be ended for
-	// the others' sake: a lost packet is sent again well within it on a good link.
+	// slowAfter is the time without progress after which a stream may be ended. A good
+	// link retransmits a lost packet well within it.
 	slowAfter = 200 * time.Millisecond
-	// keptBytes is the buffer that a stream keeps when it is empty: some events.
-	keptBytes = 4 << 10
+	// maxSpareSize bounds the buffer that a stream keeps for reuse, in bytes: some events.
+	maxSpareSize = 4 << 10
 )
 
-// Limits bound what is held, in bytes. Values are immutable.
+// Limits bound the buffered bytes. Values are immutable.
 type Limits struct {
-	Stream int // for one stream; one event more where it is empty
-	Box    int // for all
+	Stream int // of one stream; a larger event is accepted if the stream is empty
+	Box    int // of all streams together
 }
 
-// SlowError says that a stream was ended as the slowest reader of a full box.
+// SlowError is the cause of a stream ended as the slowest reader of a full box.
 type SlowError struct {
-	Held    int           // bytes
-	Stalled time.Duration // since it last made progress
-	Box     int           // bytes that all streams held
+	Held    int           // bytes of this stream
+	Stalled time.Duration // time since it last made progress
+	Box     int           // bytes of all streams
 }
 
 // Error implements error.
 func (*SlowError) Error() string { return "the caller reads too slowly for a full box" }
 
-// Buffers is one box's. It is safe for use by several goroutines.
+// Buffers holds the buffers of all streams of a box. It is safe for use by several
+// goroutines.
 type Buffers struct {
 	limits Limits
 
 	mu      sync.Mutex
 	held    int
-	streams map[*Stream]struct{} // those that are open
-	waiting map[*Stream]struct{} // those that wait for room in the box
+	streams map[*Stream]struct{} // open streams
+	waiting map[*Stream]struct{} // streams that wait for capacity in the box
 }
 
-// New returns buffers that hold nothing.
+// New returns Buffers without streams.
 func New(limits Limits) *Buffers {
 	return &Buffers{limits: limits, streams: map[*Stream]struct{}{}, waiting: map[*Stream]struct{}{}}
 }
 
-// Held returns how many bytes all streams hold.
+// Held returns the number of bytes that all streams hold.
 func (b *Buffers) Held() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held
 }
 
-// Stream is the buffer of one stream, between a task that appends and one that takes.
+// Stream is the buffer of one stream, between a goroutine that appends and one that
+// takes.
 type Stream struct {
 	buffers *Buffers
 	end     func(err error)
-	room    chan struct{} // wakes the task that appends
-	ready   chan struct{} // wakes the task that takes
+	drained chan struct{} // wakes the goroutine that appends
+	ready   chan struct{} // wakes the goroutine that takes
 
 	// Guarded by the lock of buffers.
-	pending  []byte // appended and not taken
-	spare    []byte // of the one taken last, to be used again
-	held     int    // pending, and what was taken and is not sent
-	progress time.Time
-	closed   bool // nothing more is appended
+	pending  []byte    // appended and not taken
+	spare    []byte    // the slice taken last, for reuse
+	held     int       // bytes pending, or taken and not yet sent
+	progress time.Time // last time bytes were sent, or appended to an empty stream
+	closed   bool      // nothing more is appended
 	err      error
 }
 
-// Open returns an empty buffer. end is called once if the stream is ended for the
-// others' sake; it may not wait.
+// Open returns an empty buffer. end is called once if the stream is ended as the
+// slowest reader; it must not block.
 func (b *Buffers) Open(end func(err error)) *Stream {
-	s := &Stream{buffers: b, end: end, room: make(chan struct{}, 1), ready: make(chan struct{}, 1)}
+	s := &Stream{buffers: b, end: end, drained: make(chan struct{}, 1), ready: make(chan struct{}, 1)}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.streams[s] = struct{}{}
 	return s
 }
 
-// Append adds a copy of some bytes. It waits while the stream or the box is full.
+// Append adds a copy of p. It waits while the stream or the box is full.
 func (s *Stream) Append(ctx context.Context, p []byte) error { return s.add(ctx, len(p), p) }
 
-// Reserve counts bytes that are held elsewhere until they are Sent. It waits as Append
-// does.
+// Reserve counts n bytes that are held elsewhere until they are passed to Sent. It
+// waits as Append does.
 func (s *Stream) Reserve(ctx context.Context, n int) error { return s.add(ctx, n, nil) }
 
 func (s *Stream) add(ctx context.Context, n int, p []byte) error {
@@ -100,22 +102,22 @@
 			return err
 		}
 		if ended != nil {
-			continue // for the room that it has left
+			continue // its capacity is free now
 		}
-		look := time.NewTimer(slowAfter) // somebody may count as slow by then
+		retry := time.NewTimer(slowAfter) // a stream may count as slow by then
 		select {
-		case <-s.room:
-		case <-look.C:
+		case <-s.drained:
+		case <-retry.C:
 		case <-ctx.Done():
-			look.Stop()
+			retry.Stop()
 			return ctx.Err()
 		}
-		look.Stop()
+		retry.Stop()
 	}
 }
 
-// tryAdd adds bytes if there is room for them. Where the box is full it ends the
-// slowest reader, which it returns.
+// tryAdd adds n bytes if neither the stream nor the box is full. If the box is full, it
+// ends the stream of the slowest reader and returns that stream.
 func (s *Stream) tryAdd(now time.Time, n int, p []byte) (added bool, ended *Stream, err error) {
 	b := s.buffers
 	b.mu.Lock()
@@ -145,25 +147,25 @@
 	return true, nil, nil
 }
 
-// slowest returns the stream that holds the most bytes for the longest time without
-// progress; nil if all made some of late.
+// slowest returns the stream with the largest product of bytes held and time without
+// progress; nil if all streams have made progress recently.
 func (b *Buffers) slowest(now time.Time) *Stream {
 	var found *Stream
-	var most float64
+	var maxCost float64
 	for s := range b.streams {
 		stalled := now.Sub(s.progress)
 		if s.held == 0 || stalled < slowAfter {
 			continue
 		}
-		if cost := float64(s.held) * stalled.Seconds(); cost > most {
-			found, most = s, cost
+		if cost := float64(s.held) * stalled.Seconds(); cost > maxCost {
+			found, maxCost = s, cost
 		}
 	}
 	return found
 }
 
-// Take waits for bytes and returns all that there are, until the next call. It
-// returns io.EOF after the last of a closed stream.
+// Take waits for bytes and returns all that are pending. They are valid until the next
+// call. It returns io.EOF after the last bytes of a closed stream.
 func (s *Stream) Take(ctx context.Context) ([]byte, error) {
 	for {
 		p, err := s.take()
@@ -188,7 +190,7 @@
 	case len(s.pending) > 0:
 		taken := s.pending
 		s.pending, s.spare = s.spare[:0], taken
-		if cap(s.spare) > keptBytes {
+		if cap(s.spare) > maxSpareSize {
 			s.spare = nil
 		}
 		return taken, nil
@@ -198,19 +200,19 @@
 	return nil, nil
 }
 
-// Sent notes that bytes which were taken have gone out.
+// Sent records that n bytes that were taken have been sent.
 func (s *Stream) Sent(now time.Time, n int) {
 	b := s.buffers
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s.err != nil {
-		return // they are counted no longer
+		return // its bytes are no longer counted
 	}
 	s.progress = now
 	s.release(n)
 }
 
-// Close notes that nothing more is appended.
+// Close records that nothing more is appended.
 func (s *Stream) Close() {
 	s.buffers.mu.Lock()
 	defer s.buffers.mu.Unlock()
@@ -218,7 +220,7 @@
 	wake(s.ready)
 }
 
-// Fail ends the stream: what it holds is dropped. The first cause counts.
+// Fail ends the stream and drops its bytes. Only the first cause is kept.
 func (s *Stream) Fail(err error) {
 	s.buffers.mu.Lock()
 	defer s.buffers.mu.Unlock()
@@ -235,28 +237,29 @@
 	s.pending, s.spare = nil, nil
 	s.release(s.held)
 	wake(s.ready)
-	wake(s.room)
+	wake(s.drained)
 }
 
-// Err returns why the stream has ended; nil while it has not.
+// Err returns the cause if the stream was ended; nil if it was not.
 func (s *Stream) Err() error {
 	s.buffers.mu.Lock()
 	defer s.buffers.mu.Unlock()
 	return s.err
 }
 
-// release takes bytes off the counts and wakes those that wait for room.
+// release subtracts n bytes from the counts and wakes the goroutines that wait to
+// append.
 func (s *Stream) release(n int) {
 	b := s.buffers
 	s.held -= n
 	b.held -= n
-	wake(s.room)
+	wake(s.drained)
 	for o := range b.waiting {
-		wake(o.room)
+		wake(o.drained)
 	}
 }
 
-// wake lets a waiting task look again.
+// wake makes a waiting goroutine check again.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/protect/buffers/buffers_test.go
+++ b/protect/buffers/buffers_test.go
@@ -14,15 +14,15 @@
 	"petrelstep/protect/buffers"
 )
 
-// step is what one stream does, and the pause after it.
+// step appends to a stream and sends from it.
 type step struct {
-	stream int
-	add    int // bytes; it must not have to wait
-	send   int // bytes that were taken before
-	pause  time.Duration
+	stream int           // index
+	add    int           // bytes to append, which must not block
+	send   int           // bytes to send
+	pause  time.Duration // after the step
 }
 
-func (s step) play(t *testing.T, at *buffers.Stream) {
+func (s step) run(t *testing.T, at *buffers.Stream) {
 	is := is.New(t)
 	is.NoErr(at.Append(t.Context(), make([]byte, s.add)))
 	if s.send > 0 {
@@ -34,26 +34,25 @@
 }
 
 var (
-	errGone = errors.New("gone")
-	limits  = buffers.Limits{Stream: 100, Box: 250}
+	errDisconnected = errors.New("disconnected")
+	limits          = buffers.Limits{Stream: 100, Box: 250}
 )
 
-// TestSlowest shows who is ended as one more event comes to a full box, by what the
-// streams did before.
+// TestSlowest checks which stream is ended when an event arrives at a full box.
 func TestSlowest(t *testing.T) {
-	const quick, slow = 10 * time.Millisecond, time.Second
+	const short, long = 10 * time.Millisecond, time.Second
 	tests := map[string]struct {
 		before []step
 		ended  int // stream; -1 for none
 		held   int
 	}{
-		"room for all":                  {[]step{{0, 90, 0, slow}, {1, 90, 0, slow}}, -1, 180 + 60},
-		"the one that holds most":       {[]step{{0, 100, 0, 0}, {1, 60, 0, 0}, {2, 70, 0, slow}}, 0, 60 + 70 + 60},
-		"the one that stands longest":   {[]step{{0, 70, 0, 4 * slow}, {1, 80, 0, 0}, {2, 100, 0, slow}}, 0, 80 + 100 + 60},
-		"one that has just taken some":  {[]step{{0, 100, 0, 0}, {1, 60, 0, 0}, {2, 90, 0, slow}, {0, 0, 10, 0}}, 2, 90 + 60 + 60},
-		"empty ones are left":           {[]step{{0, 100, 100, 0}, {1, 100, 0, 0}, {2, 90, 0, slow}, {3, 50, 0, 0}}, 1, 90 + 50 + 60},
-		"none has stood for any time":   {[]step{{0, 100, 0, 0}, {1, 60, 0, 0}, {2, 70, 0, quick}}, -1, 230},
-		"the one to which it is passed": {[]step{{4, 40, 0, 10 * slow}, {1, 100, 0, 0}, {2, 100, 0, quick}}, 4, 200},
+		"capacity for all":                   {[]step{{0, 90, 0, long}, {1, 90, 0, long}}, -1, 180 + 60},
+		"the stream with the most bytes":     {[]step{{0, 100, 0, 0}, {1, 60, 0, 0}, {2, 70, 0, long}}, 0, 60 + 70 + 60},
+		"the stream stalled longest":         {[]step{{0, 70, 0, 4 * long}, {1, 80, 0, 0}, {2, 100, 0, long}}, 0, 80 + 100 + 60},
+		"not a stream with recent progress":  {[]step{{0, 100, 0, 0}, {1, 60, 0, 0}, {2, 90, 0, long}, {0, 0, 10, 0}}, 2, 90 + 60 + 60},
+		"not an empty stream":                {[]step{{0, 100, 100, 0}, {1, 100, 0, 0}, {2, 90, 0, long}, {3, 50, 0, 0}}, 1, 90 + 50 + 60},
+		"none if none is stalled":            {[]step{{0, 100, 0, 0}, {1, 60, 0, 0}, {2, 70, 0, short}}, -1, 230},
+		"the stream that receives the event": {[]step{{4, 40, 0, 10 * long}, {1, 100, 0, 0}, {2, 100, 0, short}}, 4, 200},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -69,11 +68,11 @@
 					}))
 				}
 				for _, s := range tt.before {
-					s.play(t, streams[s.stream])
+					s.run(t, streams[s.stream])
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 				defer cancel()
-				_ = streams[4].Append(ctx, make([]byte, 60)) // what came of it is in held
+				_ = streams[4].Append(ctx, make([]byte, 60)) // its outcome is checked by Held
 				is.Equal(ended, tt.ended)
 				is.Equal(b.Held(), tt.held)
 			})
@@ -81,18 +80,18 @@
 	}
 }
 
-// TestAppendWaits shows until when a task that appends to a full stream waits.
+// TestAppendWaits checks what ends the wait of Append at a full stream or box.
 func TestAppendWaits(t *testing.T) {
 	tests := map[string]struct {
 		limits buffers.Limits
-		other  int                            // bytes that another stream holds
-		then   func(s, other *buffers.Stream) // after a second
+		other  int                            // bytes that the other stream holds
+		then   func(s, other *buffers.Stream) // called after a second
 		err    error
 	}{
-		"until some has gone out":    {limits, 0, func(s, _ *buffers.Stream) { s.Sent(time.Now(), 60) }, nil},
-		"until its caller is gone":   {limits, 0, func(s, _ *buffers.Stream) { s.Fail(errGone) }, errGone},
-		"until another's is gone":    {buffers.Limits{Stream: 1000, Box: 150}, 100, func(_, o *buffers.Stream) { o.Fail(errGone) }, nil},
-		"until another's makes room": {buffers.Limits{Stream: 1000, Box: 150}, 100, func(_, o *buffers.Stream) { o.Sent(time.Now(), 60) }, nil},
+		"bytes are sent":       {limits, 0, func(s, _ *buffers.Stream) { s.Sent(time.Now(), 60) }, nil},
+		"the stream fails":     {limits, 0, func(s, _ *buffers.Stream) { s.Fail(errDisconnected) }, errDisconnected},
+		"another stream fails": {buffers.Limits{Stream: 1000, Box: 150}, 100, func(_, o *buffers.Stream) { o.Fail(errDisconnected) }, nil},
+		"another stream sends": {buffers.Limits{Stream: 1000, Box: 150}, 100, func(_, o *buffers.Stream) { o.Sent(time.Now(), 60) }, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +103,7 @@
 				is.NoErr(s.Append(t.Context(), make([]byte, 50)))
 				began := time.Now()
 				go func() {
-					for range 10 { // both make some progress, so that neither counts as slow
+					for range 10 { // both make progress, so that neither counts as slow
 						time.Sleep(100 * time.Millisecond)
 						s.Sent(time.Now(), 0)
 						other.Sent(time.Now(), 0)
@@ -119,8 +118,8 @@
 	}
 }
 
-// TestOrder passes events through a small buffer to a caller that reads by turns fast
-// and slowly, and holds that all come once, in order, within the limit.
+// TestOrder checks that a caller whose reading speed varies receives every event once
+// and in order, while the buffer stays within its limit.
 func TestOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -152,7 +151,7 @@
 	})
 }
 
-// TestLarge holds that an event above the limit passes an empty buffer.
+// TestLarge checks that an empty buffer accepts an event larger than the limit.
 func TestLarge(t *testing.T) {
 	is := is.New(t)
 	s := buffers.New(limits).Open(func(error) {})
