--- a/unknownfields/unknownfields.go
+++ b/unknownfields/unknownfields.go
@@ -1,5 +1,6 @@
-// Package unknownfields notices words of another system that this one does not read. Such a
-// word may be new to the other system's protocol and bind whoever hears it.
+// Package unknownfields reports headers and fields from other systems that this one does
+// not know, and known ones whose values are invalid. An unknown field may be new in the
+// other system's protocol and require something of the receiver.
 package unknownfields
 
 import (
@@ -11,88 +12,89 @@
 )
 
 const (
-	// wordsMost bounds the words of one place that are counted by name; the rest are
+	// maxNames bounds the fields of one place that are counted by name; the rest are
 	// counted as Other.
-	wordsMost = 32
-	// noteEvery is how often the same word is logged.
-	noteEvery = time.Minute
-	// textMost bounds a word and its value in the log, in bytes.
-	textMost = 64
+	maxNames = 32
+	// logInterval is the minimum time between log lines about the same field.
+	logInterval = time.Minute
+	// maxTextSize bounds a field's name and value in the log, in bytes.
+	maxTextSize = 64
 )
 
-// Other stands for words beyond the first wordsMost.
+// Other is the name under which fields beyond the first maxNames are counted.
 const Other = "other"
 
-// Counter counts words that are not read, and values that cannot be.
+// Counter counts unknown fields, and known fields with invalid values.
 type Counter interface {
-	UnknownField(place, word string)
-	InvalidField(place, word string)
+	UnknownField(place, name string)
+	InvalidField(place, name string)
 }
 
-// Reporter is that of one place, such as the heads of one system's answers. It is safe
-// for use by several goroutines.
+// Reporter counts and logs the fields of one place, such as the headers of another
+// system's answers. It is safe for use by several goroutines.
 type Reporter struct {
 	place   string
 	known   map[string]bool
 	counter Counter
 	log     *logrus.Entry
 
-	mu    sync.Mutex
-	noted map[string]time.Time // when a word was last logged
+	mu     sync.Mutex
+	logged map[string]time.Time // when a field was last logged, by name
 }
 
-// New returns the vocabulary of a place whose words are known.
+// New returns a reporter for a place whose known fields are given.
 func New(place string, known []string, counter Counter, log *logrus.Entry) *Reporter {
-	v := &Reporter{place: place, known: map[string]bool{}, counter: counter, log: log, noted: map[string]time.Time{}}
-	for _, word := range known {
-		v.known[word] = true
+	r := &Reporter{place: place, known: map[string]bool{}, counter: counter, log: log, logged: map[string]time.Time{}}
+	for _, name := range known {
+		r.known[name] = true
 	}
-	return v
+	return r
 }
 
-// Observe counts a word that is not known, and logs it once a minute; speaker names who said
-// it. A nil vocabulary knows every word.
-func (v *Reporter) Observe(now time.Time, speaker, word, value string) {
-	if v == nil || v.known[word] {
+// Observe counts a field if it is unknown, and logs it at most once per logInterval;
+// sender names the system that sent it. A nil reporter does nothing.
+func (r *Reporter) Observe(now time.Time, sender, name, value string) {
+	if r == nil || r.known[name] {
 		return
 	}
-	counted, due := v.note(now, word)
-	v.counter.UnknownField(v.place, counted)
+	counted, due := r.record(now, name)
+	r.counter.UnknownField(r.place, counted)
 	if due {
-		v.line(speaker, word, value).Warn("word_unread")
+		r.entry(sender, name, value).Warn("word_unread")
 	}
 }
 
-// Invalid counts a known word whose value cannot be read, and logs it once a minute.
-func (v *Reporter) Invalid(now time.Time, speaker, word, value string) {
-	if v == nil {
+// Invalid counts a known field with an invalid value, and logs it at most once per
+// logInterval. A nil reporter does nothing.
+func (r *Reporter) Invalid(now time.Time, sender, name, value string) {
+	if r == nil {
 		return
 	}
-	counted, due := v.note(now, word)
-	v.counter.InvalidField(v.place, counted)
+	counted, due := r.record(now, name)
+	r.counter.InvalidField(r.place, counted)
 	if due {
-		v.line(speaker, word, value).Warn("word_unreadable")
+		r.entry(sender, name, value).Warn("word_unreadable")
 	}
 }
 
-func (v *Reporter) line(speaker, word, value string) *logrus.Entry {
-	return v.log.WithFields(logrus.Fields{"place": v.place, "word": quoted(word), "value": quoted(value), "speaker": speaker})
+func (r *Reporter) entry(sender, name, value string) *logrus.Entry {
+	return r.log.WithFields(logrus.Fields{"place": r.place, "word": quoted(name), "value": quoted(value), "speaker": sender})
 }
 
-// note returns the name under which a word is counted, and whether it is to be logged.
-func (v *Reporter) note(now time.Time, word string) (counted string, due bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	at, noted := v.noted[word]
+// record returns the name under which a field is counted, and whether to log it.
+func (r *Reporter) record(now time.Time, name string) (counted string, due bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	at, logged := r.logged[name]
 	switch {
-	case noted && now.Sub(at) < noteEvery:
-		return word, false
-	case !noted && len(v.noted) >= wordsMost:
+	case logged && now.Sub(at) < logInterval:
+		return name, false
+	case !logged && len(r.logged) >= maxNames:
 		return Other, false
 	}
-	v.noted[word] = now
-	return word, true
+	r.logged[name] = now
+	return name, true
 }
 
-// quoted returns the beginning of a text as it may stand in a line.
-func quoted(text string) string { return strconv.QuoteToASCII(text[:min(len(text), textMost)]) }
+// quoted returns the beginning of a text, escaped for the log.
+func quoted(text string) string { return strconv.QuoteToASCII(text[:min(len(text), maxTextSize)]) }
