--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -231,8 +231,8 @@
 // Answered records a whole answer that is no stream.
 func (m *Metrics) Answered(took time.Duration) { m.whole.Record(context.Background(), took.Seconds()) }
 
-// Stored records a call to the platform's store.
-func (m *Metrics) Stored(call, outcome string, took time.Duration) {
+// StoreCalled records a call to the platform's store.
+func (m *Metrics) StoreCalled(call, outcome string, took time.Duration) {
 	m.store.Record(context.Background(), took.Seconds(),
 		metric.WithAttributes(attribute.String("call", call), attribute.String("outcome", outcome)))
 }
@@ -320,13 +320,13 @@
 	m.rests.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", change)))
 }
 
-// WordUnread counts a word of another system that is not read.
-func (m *Metrics) WordUnread(place, word string) {
+// UnknownField counts a word of another system that is not read.
+func (m *Metrics) UnknownField(place, word string) {
 	m.unread.Add(context.Background(), 1, metric.WithAttributes(attribute.String("place", place), attribute.String("word", word)))
 }
 
-// WordUnreadable counts a word of another system whose value cannot be read.
-func (m *Metrics) WordUnreadable(place, word string) {
+// InvalidField counts a word of another system whose value cannot be read.
+func (m *Metrics) InvalidField(place, word string) {
 	m.spoilt.Add(context.Background(), 1, metric.WithAttributes(attribute.String("place", place), attribute.String("word", word)))
 }
 
