--- a/edge/peers.go
+++ b/edge/peers.go
@@ -47,7 +47,7 @@
 	limits      cursor
 }
 
-// ReportFor implements gossip.Box.
+// ReportFor implements gossip.Handler.
 func (e *Edge) ReportFor(hub members.Box) wire.Gossip {
 	now := time.Now()
 	version := 0
@@ -152,7 +152,7 @@
 	return wire.GossipScopeNone
 }
 
-// HandleAnswer implements gossip.Box.
+// HandleAnswer implements gossip.Handler.
 func (e *Edge) HandleAnswer(a wire.GossipAnswer, sent time.Time) {
 	now := time.Now()
 	e.recordBox(now, a.Sender, a.Leaving)
--- a/edge/run.go
+++ b/edge/run.go
@@ -168,10 +168,10 @@
 	confirm, answered func(at time.Time)
 }
 
-// Confirm implements tablesync.Heard.
+// Confirm implements tablesync.Observer.
 func (h storeAnswers) Confirm(sent time.Time) { h.confirm(sent) }
 
-// Answered implements tablesync.Heard.
+// Answered implements tablesync.Observer.
 func (h storeAnswers) Answered(at time.Time) { h.answered(at) }
 
 // recordStoreAnswer records when the store answered this box or a hub.
