--- a/members/hubs.go
+++ b/members/hubs.go
@@ -32,11 +32,11 @@
 	at    time.Time
 }
 
-// Hubs returns the boxes that follow the store for all others: of each hall the first
-// hub-eligible box in rendezvous order that has not failed recently, further ones up to
-// minHubs, and in a large fleet one for each boxesPerHub boxes of a hall. A box that
-// was never heard from may be a hub; calls to it fail if it is not there. The returned
-// slice is shared and must not be modified.
+// Hubs returns the boxes that aggregate the reports of all others: of each hall the
+// first hub-eligible box in rendezvous order that has not failed recently, further ones
+// up to minHubs, and in a large fleet one for each boxesPerHub boxes of a hall. A box
+// that was never heard from may be a hub; calls to it fail if it is not there. The
+// returned slice is shared and must not be modified.
 //
 // The result is cached until a box changes or a failure expires.
 func (m *Members) Hubs(now time.Time) []Box {
@@ -227,8 +227,8 @@
 	return []Box{near[0], near[backup]}
 }
 
-// IsBackupHub reports whether this box uses a hub only as a backup, as in a large fleet
-// its primary hub sends it all reports.
+// IsBackupHub reports whether a hub is only a backup for this box: the fleet is large,
+// this box is not a hub, and another hub is its primary one.
 func (m *Members) IsBackupHub(now time.Time, hub Box) bool {
 	_, is := m.IsHub(now)
 	return !is && m.LargeFleetCounts(now) != nil && m.PrimaryHub(now).Name != hub.Name
@@ -266,9 +266,9 @@
 // sorted sorts candidates by preference: hub-eligible boxes first, then by weight.
 func sorted(list []candidate) []candidate {
 	slices.SortFunc(list, func(a, b candidate) int { return cmp.Compare(b.weight, a.weight) })
-	strong := func(c candidate) bool { return c.box.HubEligible }
-	weak := slices.DeleteFunc(slices.Clone(list), strong)
-	return append(slices.DeleteFunc(list, func(c candidate) bool { return !strong(c) }), weak...)
+	eligible := func(c candidate) bool { return c.box.HubEligible }
+	others := slices.DeleteFunc(slices.Clone(list), eligible)
+	return append(slices.DeleteFunc(list, func(c candidate) bool { return !eligible(c) }), others...)
 }
 
 // mayBeHub reports whether this box may be a hub, given the number of other candidates.
