--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -100,7 +100,8 @@
 	Log         *logrus.Entry
 }
 
-// Evacuator is safe for concurrent use.
+// Evacuator moves the runs of one box off leaving upstreams. It is safe for concurrent
+// use.
 type Evacuator struct{ Parts }
 
 // New returns an evacuator.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -80,7 +80,7 @@
 // source names where the update came from, for the log.
 type Listener func(u Upstream, source string)
 
-// Fleet is safe for concurrent use.
+// Fleet is the set of known upstreams. It is safe for concurrent use.
 type Fleet struct {
 	mu               sync.Mutex
 	grace            time.Duration
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// historyRetention is how far back ChangeAt can answer. It is longer than a serving box
-// goes without an update of the fleet.
+// historyRetention is how far back ChangeAt can answer. It is longer than the time
+// between updates of a serving box.
 const historyRetention = 10 * time.Second
 
 // checkpoint is the number of the last change at a time.
--- a/halls/halls.go
+++ b/halls/halls.go
@@ -22,7 +22,7 @@
 // Halls. source names where the update came from, for the log.
 type Listener func(s Status, source string)
 
-// Halls is safe for concurrent use.
+// Halls holds the newest known status of each hall. It is safe for concurrent use.
 type Halls struct {
 	changed Listener
 
--- a/health/health.go
+++ b/health/health.go
@@ -35,7 +35,7 @@
 	lastDispatch time.Time
 }
 
-// Health is safe for concurrent use.
+// Health holds the health of each upstream. It is safe for concurrent use.
 type Health struct {
 	mu      sync.Mutex
 	records map[string]*record
--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -56,7 +56,7 @@
 	at      time.Time
 }
 
-// Liveness is safe for concurrent use.
+// Liveness checks upstreams whose connections broke. It is safe for concurrent use.
 type Liveness struct {
 	prober Prober
 	fleet  Fleet
--- a/members/members.go
+++ b/members/members.go
@@ -61,7 +61,7 @@
 	firstSeen time.Time
 }
 
-// Members is safe for concurrent use.
+// Members is the membership as known to one box. It is safe for concurrent use.
 type Members struct {
 	mu    sync.Mutex
 	self  Box
@@ -245,7 +245,7 @@
 	m.changed()
 }
 
-// MarkNamedAsHub records that another box takes this one for a hub.
+// MarkNamedAsHub records that another box named this one as a hub.
 func (m *Members) MarkNamedAsHub(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -53,7 +53,7 @@
 
 // Limits handles the limits that upstreams report.
 type Limits interface {
-	Observe(now, sent time.Time, u fleet.Upstream, said exchange.Limit, whole bool)
+	Observe(now, sent time.Time, u fleet.Upstream, limit exchange.Limit, whole bool)
 }
 
 // Reports reads the report of an upstream.
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -117,7 +117,8 @@
 	Delete(fp fingerprint.Fingerprint)
 }
 
-// Quarantine is safe for concurrent use. A nil Quarantine treats all requests as free.
+// Quarantine holds the requests that are suspected of ending upstreams. It is safe for
+// concurrent use. A nil Quarantine treats all requests as free.
 type Quarantine struct {
 	counter Counter
 	store   Store
--- a/reliability/reliability.go
+++ b/reliability/reliability.go
@@ -48,7 +48,8 @@
 	Count
 }
 
-// Reliability is safe for concurrent use.
+// Reliability holds the recent outcomes of requests by upstream. It is safe for
+// concurrent use.
 type Reliability struct {
 	mu      sync.Mutex
 	records map[string]*record
--- a/routecache/routecache.go
+++ b/routecache/routecache.go
@@ -13,7 +13,7 @@
 // so that it can be reported to other boxes and added to.
 const unconfirmedAge = time.Hour
 
-// Cache is safe for concurrent use.
+// Cache holds the newest known configuration. It is safe for concurrent use.
 type Cache struct {
 	mu        sync.Mutex
 	table     *route.Table
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -34,7 +34,7 @@
 // Source returns the complete fleet and the number of its last change.
 type Source func() (list []wire.UpstreamRecord, change int)
 
-// Snapshot is safe for concurrent use.
+// Snapshot caches an encoded fleet. It is safe for concurrent use.
 type Snapshot struct {
 	source Source
 
