--- a/front/generation.go
+++ b/front/generation.go
@@ -29,8 +29,8 @@
 	maxGap        = 200 * time.Millisecond // between tokens
 )
 
-// maxWholeTries bounds the attempts at an answer that is delivered whole, as the
-// engine of each may be lost.
+// maxWholeTries bounds the attempts to generate an answer that is delivered whole: if an
+// engine is lost, the next attempt starts from the beginning.
 const maxWholeTries = 3
 
 func (f *Front) serveGeneration(w http.ResponseWriter, r *http.Request, c caller) (string, error) {
--- a/front/service.go
+++ b/front/service.go
@@ -124,8 +124,8 @@
 	return service.Answer{}, last
 }
 
-// callKeyed makes a call with an idempotency key: it runs at most once, however often
-// the caller sends it and whatever fails.
+// callKeyed makes a call with an idempotency key. The call runs at most once, even if the
+// caller repeats it; the ledger stores its outcome.
 func (f *Front) callKeyed(w http.ResponseWriter, r *http.Request, c caller, call service.Call, targets []target, key string) error {
 	entry, stored, err := f.Ledger.Begin(r.Context(), ledger.Call{
 		Organisation: c.name, Key: key, BodyHash: ledger.HashOf(call.Method, r.URL.Path, call.Body),
--- a/protect/buffers/buffers.go
+++ b/protect/buffers/buffers.go
@@ -58,18 +58,18 @@
 	return b.held
 }
 
-// Stream is the buffer of one stream, between a goroutine that appends and one that
-// takes.
+// Stream is the buffer of one stream, between a goroutine that calls Append and one that
+// calls Take.
 type Stream struct {
 	buffers *Buffers
 	end     func(err error)
-	drained chan struct{} // wakes the goroutine that appends
-	ready   chan struct{} // wakes the goroutine that takes
+	drained chan struct{} // wakes Append
+	ready   chan struct{} // wakes Take
 
 	// Guarded by the lock of buffers.
-	pending  []byte    // appended and not taken
-	spare    []byte    // the slice taken last, for reuse
-	held     int       // bytes pending, or taken and not yet sent
+	pending  []byte    // appended and not yet returned by Take
+	spare    []byte    // last slice returned by Take, for reuse
+	held     int       // bytes appended or reserved and not yet sent
 	progress time.Time // last time bytes were sent, or appended to an empty stream
 	closed   bool      // nothing more is appended
 	err      error
@@ -200,7 +200,7 @@
 	return nil, nil
 }
 
-// Sent records that n bytes that were taken have been sent.
+// Sent records that n bytes returned by Take, or reserved, have been sent.
 func (s *Stream) Sent(now time.Time, n int) {
 	b := s.buffers
 	b.mu.Lock()
