--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -216,7 +216,7 @@
 
 // Cached takes a cache event.
 func (d *Daemon) Cached(engine string, seq int, stored bool, block uint64) {
-	d.grants.Cached(d.cellsNow().Of(engine), engine, seq, stored, block)
+	d.grants.RecordCacheEvent(d.cellsNow().Of(engine), engine, seq, stored, block)
 }
 
 // Runs tells whether a box still runs as the incarnation that owns a row of
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -135,7 +135,7 @@
 // shareRoom lets home boxes of parted sides spend their parts only.
 func (d *Daemon) shareRoom(now time.Time) {
 	reached, all := d.members.CountReachable(now)
-	d.grants.Share(float64(reached) / float64(all))
+	d.grants.SetShare(float64(reached) / float64(all))
 }
 
 func (d *Daemon) httpServers(all *sync.WaitGroup, open listeners) []*http.Server {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -42,7 +42,7 @@
 
 // Homes asks home boxes for room.
 type Homes interface {
-	Ask(ctx context.Context, ask wire.Ask) (wire.Grant, string, error)
+	Request(ctx context.Context, ask wire.Ask) (wire.Grant, string, error)
 }
 
 // Engines is what dispatch needs of the engines' client.
@@ -185,7 +185,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	grant, home, err := d.Homes.Ask(ctx, wire.Ask{
+	grant, home, err := d.Homes.Request(ctx, wire.Ask{
 		Cell: cell, Attempt: t.attempt, Box: d.Box, Organisation: req.Organisation, Model: req.Body.Model,
 		Adapter: req.Body.Adapter, Class: string(req.Body.Class), Prompt: prompt, MaxTokens: req.Body.MaxTokens,
 		Priority: req.Terms.Priority, Weight: req.Terms.Weight, Prefix: chain(req.Body.Prompt),
--- a/experiment/box.go
+++ b/experiment/box.go
@@ -76,7 +76,7 @@
 	for i := range names {
 		names[i] = b.w.engines[i].name
 	}
-	b.home.Engines(names)
+	b.home.SetEngines(names)
 	if len(b.w.boxes) == boxCount {
 		b.shareRoom()
 	}
@@ -259,7 +259,7 @@
 		}
 		at := b.w.now
 		b.w.message(digestBytes)
-		b.w.after(digestLag, func() { other.home.Announced(at, engine, tokens) })
+		b.w.after(digestLag, func() { other.home.RecordAnnouncement(at, engine, tokens) })
 	}
 }
 
--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -18,15 +18,15 @@
 
 // Need is one generation's demand for memory.
 type Need struct {
-	Prompt int // tokens
-	Tokens int // generated so far
-	Most   int // limit on its tokens
-	Curve  *survival.Curve
+	Prompt    int // tokens
+	Tokens    int // generated so far
+	MaxTokens int // limit on its tokens
+	Curve     *survival.Curve
 }
 
 // At returns mean and variance of the memory held so many tokens from now.
 func (n Need) at(t int) (mean, variance float64) {
-	if n.Tokens+t > n.Most {
+	if n.Tokens+t > n.MaxTokens {
 		return 0, 0
 	}
 	held := float64(n.Prompt + n.Tokens + t)
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -11,7 +11,7 @@
 )
 
 func need(prompt, tokens, length int) forecast.Need {
-	return forecast.Need{Prompt: prompt, Tokens: tokens, Most: 32768, Curve: survival.Known(length)}
+	return forecast.Need{Prompt: prompt, Tokens: tokens, MaxTokens: 32768, Curve: survival.Known(length)}
 }
 
 // TestPeak holds forecasts of known lengths against sums by hand.
@@ -25,7 +25,7 @@
 		"one, grows":         {[]forecast.Need{need(100, 0, 200)}, 100 + 192},
 		"two, one after":     {[]forecast.Need{need(100, 0, 100), need(100, 0, 2000)}, 100 + 1024},
 		"two grow together":  {[]forecast.Need{need(100, 0, 500), need(100, 0, 500)}, 2 * (100 + 448)},
-		"bounded by its own": {[]forecast.Need{{Prompt: 100, Most: 60, Curve: survival.Known(5000)}}, 100},
+		"bounded by its own": {[]forecast.Need{{Prompt: 100, MaxTokens: 60, Curve: survival.Known(5000)}}, 100},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 				for r := range hazards {
 					hazards[r] = 0.2
 				}
-				needs = append(needs, forecast.Need{Prompt: 1000, Tokens: 100 * i, Most: 32768, Curve: survival.New(hazards)})
+				needs = append(needs, forecast.Need{Prompt: 1000, Tokens: 100 * i, MaxTokens: 32768, Curve: survival.New(hazards)})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/grantclient/grantclient.go
+++ b/grantclient/grantclient.go
@@ -54,9 +54,9 @@
 	return ok && home.Name == h.members.Self().Name
 }
 
-// Ask waits for room on an engine of a cell until ctx ends. It returns the
+// Request waits for room on an engine of a cell until ctx ends. It returns the
 // grant and the box that gave it; the error is a refusal.Refusal.
-func (h *Client) Ask(ctx context.Context, ask wire.Ask) (wire.Grant, string, error) {
+func (h *Client) Request(ctx context.Context, ask wire.Ask) (wire.Grant, string, error) {
 	began := time.Now()
 	for {
 		home, ok := h.Home(ask.Cell)
@@ -83,7 +83,7 @@
 // askOne asks one box; again says that the next in the order should be asked.
 func (h *Client) askOne(ctx context.Context, home members.Box, ask wire.Ask) (grant wire.Grant, again bool) {
 	if home.Name == h.members.Self().Name {
-		grant = h.grants.Ask(ctx, time.Now(), ask)
+		grant = h.grants.Request(ctx, time.Now(), ask)
 		return grant, grant.Reason == string(refusal.Draining)
 	}
 	call, cancel := context.WithCancel(ctx)
--- a/grantserver/grantserver.go
+++ b/grantserver/grantserver.go
@@ -43,13 +43,13 @@
 	g.params = params
 	for id, c := range g.cells {
 		c.home.SetParams(params)
-		c.home.Engines(g.engines(id))
+		c.home.SetEngines(g.engines(id))
 	}
 }
 
-// Share sets the part of the free memory that is granted: less than all while
+// SetShare sets the part of the free memory that is granted: less than all while
 // boxes are cut off, whose side may have a home box of its own.
-func (g *Server) Share(share float64) {
+func (g *Server) SetShare(share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.params.Share == share {
@@ -61,9 +61,9 @@
 	}
 }
 
-// Ask waits for the answer to an ask. When ctx ends first the request is
+// Request waits for the answer to an ask. When ctx ends first the request is
 // taken out of the queue, and a grant that crossed with it is given back.
-func (g *Server) Ask(ctx context.Context, now time.Time, ask wire.Ask) wire.Grant {
+func (g *Server) Request(ctx context.Context, now time.Time, ask wire.Ask) wire.Grant {
 	waiter, refused := g.enter(now, ask)
 	if refused != nil {
 		return *refused
@@ -173,7 +173,7 @@
 	c, ok := g.cells[id]
 	if !ok {
 		c = &cell{home: home.New(g.params, g.lengths, g.health), waiters: map[string]chan wire.Grant{}}
-		c.home.Engines(g.engines(id))
+		c.home.SetEngines(g.engines(id))
 		g.cells[id] = c
 	}
 	return c
@@ -196,11 +196,11 @@
 	}
 }
 
-// Cached takes a cache event of an engine of a cell.
-func (g *Server) Cached(cellID, engine string, seq int, stored bool, block uint64) {
+// RecordCacheEvent takes a cache event of an engine of a cell.
+func (g *Server) RecordCacheEvent(cellID, engine string, seq int, stored bool, block uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c, ok := g.cells[cellID]; ok {
-		c.home.Cached(engine, seq, stored, block)
+		c.home.RecordCacheEvent(engine, seq, stored, block)
 	}
 }
--- a/home/engine.go
+++ b/home/engine.go
@@ -161,10 +161,10 @@
 
 func (h *Home) needOf(e *engine, r *run, now time.Time) forecast.Need {
 	return forecast.Need{
-		Prompt: r.prompt,
-		Tokens: e.tokensOf(r, now),
-		Most:   r.most,
-		Curve:  h.lengths.Curve(r.key),
+		Prompt:    r.prompt,
+		Tokens:    e.tokensOf(r, now),
+		MaxTokens: r.most,
+		Curve:     h.lengths.Curve(r.key),
 	}
 }
 
--- a/home/home.go
+++ b/home/home.go
@@ -82,8 +82,8 @@
 	h.params = p
 }
 
-// Engines names the engines of the cell that serve the model.
-func (h *Home) Engines(names []string) {
+// SetEngines names the engines of the cell that serve the model.
+func (h *Home) SetEngines(names []string) {
 	h.names = append([]string{}, names...)
 	sort.Strings(h.names)
 	declared := map[string]bool{}
@@ -291,9 +291,9 @@
 
 func (h *Home) need(ask wire.Ask) forecast.Need {
 	return forecast.Need{
-		Prompt: ask.Prompt,
-		Most:   ask.MaxTokens,
-		Curve:  h.lengths.Curve(keyOf(ask.Organisation, ask.Model, ask.Class)),
+		Prompt:    ask.Prompt,
+		MaxTokens: ask.MaxTokens,
+		Curve:     h.lengths.Curve(keyOf(ask.Organisation, ask.Model, ask.Class)),
 	}
 }
 
@@ -333,14 +333,14 @@
 
 const sweepEvery = time.Second
 
-// Announced takes a peer's word that it sent a prompt of so many tokens to an
+// RecordAnnouncement takes a peer's word that it sent a prompt of so many tokens to an
 // engine, where no home box grants.
-func (h *Home) Announced(at time.Time, engine string, tokens int) {
+func (h *Home) RecordAnnouncement(at time.Time, engine string, tokens int) {
 	e := h.engine(engine)
 	e.announced = append(e.announced, announcement{at: at, tokens: tokens})
 }
 
-// Cached takes a cache event of an engine.
-func (h *Home) Cached(engine string, seq int, stored bool, block uint64) {
+// RecordCacheEvent takes a cache event of an engine.
+func (h *Home) RecordCacheEvent(engine string, seq int, stored bool, block uint64) {
 	h.engine(engine).prefixes.Event(seq, stored, block)
 }
--- a/home/home_test.go
+++ b/home/home_test.go
@@ -40,7 +40,7 @@
 	for i := range engines {
 		f.names = append(f.names, fmt.Sprintf("e%d", i))
 	}
-	f.Engines(f.names)
+	f.SetEngines(f.names)
 	f.reports(start, nil)
 	return f
 }
--- a/peer/endpoint/endpoint.go
+++ b/peer/endpoint/endpoint.go
@@ -56,7 +56,7 @@
 	// waiting, which tells when to come back, is first.
 	ctx, cancel := context.WithTimeout(e.ctx, time.Duration(ask.WaitMs)*time.Millisecond+time.Second)
 	defer cancel()
-	*grant = e.grants.Ask(ctx, time.Now(), ask)
+	*grant = e.grants.Request(ctx, time.Now(), ask)
 	return nil
 }
 
