--- a/broadcast/broadcast.go
+++ b/broadcast/broadcast.go
@@ -30,8 +30,8 @@
 // New returns a way to tell the boxes that m knows.
 func New(m *members.Members, p Peers) *Broadcaster { return &Broadcaster{members: m, peers: p} }
 
-// Accepted tells of a change that was accepted here.
-func (s *Broadcaster) Accepted(ctx context.Context, set wire.ChangeSet) {
+// Broadcast tells of a change that was accepted here.
+func (s *Broadcaster) Broadcast(ctx context.Context, set wire.ChangeSet) {
 	now := time.Now()
 	self := s.members.Self()
 	halls := map[string][]members.Box{}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -170,7 +170,7 @@
 func (d *Daemon) serve() {
 	c := d.config
 	budget := retry.New()
-	dispatcher := dispatch.New(dispatch.Parts{
+	dispatcher := dispatch.New(dispatch.Components{
 		Box: c.Box, Resources: d.resources, Cells: d.cellsNow, Homes: d.homes, Engines: d.engines, Loads: d.loads,
 		Health: d.health, Lengths: d.lengths, Quota: d.quota, Budget: budget, Flights: d.flights, Placer: d.pick,
 		Metrics: d.metrics,
@@ -197,7 +197,7 @@
 		}
 		set := wire.ChangeSet{Revision: done.Revision, Since: done.Revision - 1, Items: []wire.Resource{done}}
 		d.resources.Apply(set)
-		d.spread.Accepted(ctx, set)
+		d.spread.Broadcast(ctx, set)
 		return done, nil
 	}
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -147,7 +147,7 @@
 }
 
 // TakenUp learns that another box goes on with a generation.
-func (d *Daemon) TakenUp(attempt string) { d.flights.Handed(attempt) }
+func (d *Daemon) TakenUp(attempt string) { d.flights.ResumedElsewhere(attempt) }
 
 // tellTaken tells the box that dispatched a generation that this one goes on
 // with it, so that it is not cancelled there. Until it is told, the caller's
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -58,8 +58,8 @@
 	Body         wire.GenerationRequest
 }
 
-// Parts are what a dispatcher works with.
-type Parts struct {
+// Components are what a dispatcher works with.
+type Components struct {
 	Box       string
 	Resources *resource.Resources
 	Cells     func() *cells.Cells
@@ -76,10 +76,10 @@
 }
 
 // Dispatcher is safe for use by several goroutines.
-type Dispatcher struct{ Parts }
+type Dispatcher struct{ Components }
 
 // New returns a dispatcher.
-func New(parts Parts) *Dispatcher { return &Dispatcher{parts} }
+func New(parts Components) *Dispatcher { return &Dispatcher{parts} }
 
 // try is one attempt of a request.
 type try struct {
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -38,9 +38,9 @@
 	r.flights.Abandon(r.Attempt)
 }
 
-// TakenUp wraps a generation that a caller takes up at this box. What another
+// Resume wraps a generation that a caller takes up at this box. What another
 // box dispatched is settled by nobody here; its home box lets it lapse.
-func (d *Dispatcher) TakenUp(c ticket.Claims, g *generation.Generation) *Running {
+func (d *Dispatcher) Resume(c ticket.Claims, g *generation.Generation) *Running {
 	f := &inflight.Generation{
 		Attempt: c.Attempt, Engine: c.Engine, Address: c.Address, Cell: d.Cells().Of(c.Engine),
 		Key: outputlen.Key{Organisation: c.Organisation, Model: c.Model},
--- a/front/generation.go
+++ b/front/generation.go
@@ -216,7 +216,7 @@
 		}
 		from = n + 1
 	}
-	if !f.Flights.TakenUp(claims.Attempt) && claims.Box != f.Box {
+	if !f.Flights.Resumed(claims.Attempt) && claims.Box != f.Box {
 		f.NotifyResumed(claims.Box, claims.Attempt)
 	}
 	return id, f.resume(w, r, id, claims, from)
@@ -231,7 +231,7 @@
 		return refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(defaultRetryAfter)
 	}
 	f.Metrics.Retried(metrics.RetryResume)
-	running := f.Dispatcher.TakenUp(claims, g)
+	running := f.Dispatcher.Resume(claims, g)
 	out := newWriter(w, time.Now())
 	out.start(id)
 	err = f.relay(r.Context(), out, running, from)
--- a/home/home.go
+++ b/home/home.go
@@ -342,5 +342,5 @@
 
 // RecordCacheEvent takes a cache event of an engine.
 func (h *Home) RecordCacheEvent(engine string, seq int, stored bool, block uint64) {
-	h.engine(engine).prefixes.Event(seq, stored, block)
+	h.engine(engine).prefixes.Apply(seq, stored, block)
 }
--- a/inflight/inflight.go
+++ b/inflight/inflight.go
@@ -123,9 +123,9 @@
 	f.comeback = time.AfterFunc(s.comeback, func() { s.giveUp(f) })
 }
 
-// TakenUp learns that a caller came back, here or at another box: then the
+// Resumed learns that a caller came back, here or at another box: then the
 // generation is not cancelled. It reports whether it was in flight here.
-func (s *Tracker) TakenUp(attempt string) bool {
+func (s *Tracker) Resumed(attempt string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.all[attempt]
@@ -136,8 +136,8 @@
 	return ok
 }
 
-// Handed takes a generation out that another box goes on with.
-func (s *Tracker) Handed(attempt string) {
+// ResumedElsewhere takes a generation out that another box goes on with.
+func (s *Tracker) ResumedElsewhere(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f, ok := s.all[attempt]; ok && f.comeback != nil {
--- a/inflight/inflight_test.go
+++ b/inflight/inflight_test.go
@@ -112,9 +112,9 @@
 		left      int // in flight
 	}{
 		"stays away":             {func(*inflight.Tracker) {}, 1, 0},
-		"comes back here":        {func(s *inflight.Tracker) { s.TakenUp("x") }, 0, 1},
-		"comes back elsewhere":   {func(s *inflight.Tracker) { s.Handed("x") }, 0, 0},
-		"comes back, goes again": {func(s *inflight.Tracker) { s.TakenUp("x"); s.Abandon("x") }, 1, 0},
+		"comes back here":        {func(s *inflight.Tracker) { s.Resumed("x") }, 0, 1},
+		"comes back elsewhere":   {func(s *inflight.Tracker) { s.ResumedElsewhere("x") }, 0, 0},
+		"comes back, goes again": {func(s *inflight.Tracker) { s.Resumed("x"); s.Abandon("x") }, 1, 0},
 		"box ends":               {func(s *inflight.Tracker) { s.Close() }, 0, 1},
 	}
 	for name, tt := range tests {
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Event applies a cache event. Over a gap, evictions may have been missed:
+// Apply applies a cache event. Over a gap, evictions may have been missed:
 // half of what is believed, the older half, is given up.
-func (p *Prefixes) Event(seq int, stored bool, block uint64) {
+func (p *Prefixes) Apply(seq int, stored bool, block uint64) {
 	if p.seq != 0 && seq > p.seq+1 {
 		p.shrink(p.recent.Len() / 2)
 	}
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -29,11 +29,11 @@
 	}{
 		"nothing":           {func(*prefix.Prefixes) {}, 0},
 		"dispatched":        {func(p *prefix.Prefixes) { p.Dispatched(chain) }, 4},
-		"evicted":           {func(p *prefix.Prefixes) { p.Dispatched(chain); p.Event(1, false, 3) }, 2},
-		"stored":            {func(p *prefix.Prefixes) { p.Event(1, true, 1); p.Event(2, true, 2) }, 2},
-		"gap halves":        {func(p *prefix.Prefixes) { p.Dispatched([]uint64{4, 3, 2, 1}); p.Event(1, true, 1); p.Event(9, true, 1) }, 2},
+		"evicted":           {func(p *prefix.Prefixes) { p.Dispatched(chain); p.Apply(1, false, 3) }, 2},
+		"stored":            {func(p *prefix.Prefixes) { p.Apply(1, true, 1); p.Apply(2, true, 2) }, 2},
+		"gap halves":        {func(p *prefix.Prefixes) { p.Dispatched([]uint64{4, 3, 2, 1}); p.Apply(1, true, 1); p.Apply(9, true, 1) }, 2},
 		"beyond capacity":   {func(p *prefix.Prefixes) { p.Dispatched(chain); p.Dispatched([]uint64{11, 12, 13, 14, 15, 16}) }, 0},
-		"evicted out of it": {func(p *prefix.Prefixes) { p.Event(1, false, 99); p.Dispatched(chain[:1]) }, 1},
+		"evicted out of it": {func(p *prefix.Prefixes) { p.Apply(1, false, 99); p.Dispatched(chain[:1]) }, 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
