--- a/grantclient/grantclient.go
+++ b/grantclient/grantclient.go
@@ -1,6 +1,6 @@
-// Package grantclient is the askers' side of grants: it finds the home box of a
-// cell, which may be this one, and goes on to the next in the order when it
-// is gone, leaving or cut off.
+// Package grantclient requests grants from the home box of a cell, which may be
+// this box. It fails over to the next box in the order when the home box is
+// removed, leaving or unreachable.
 package grantclient
 
 import (
@@ -17,11 +17,11 @@
 )
 
 const (
-	// lookEvery is how often a waiting asker looks whether its home box is
-	// still live.
-	lookEvery = 500 * time.Millisecond
-	// settleTime bounds a call that tells a home box how things go on.
-	settleTime = 2 * time.Second
+	// checkInterval is how often a waiting request checks that its home box is
+	// still the cell's home box.
+	checkInterval = 500 * time.Millisecond
+	// settleTimeout bounds a settle or withdraw call to a home box.
+	settleTimeout = 2 * time.Second
 )
 
 // Client is safe for use by several goroutines.
@@ -32,41 +32,41 @@
 	metrics *metrics.Metrics
 }
 
-// New returns the way to all home boxes; own grants are asked of g.
+// New returns a client of all home boxes; g serves the cells of this box.
 func New(m *members.Members, p *peer.Peers, g *grantserver.Server, counts *metrics.Metrics) *Client {
 	return &Client{members: m, peers: p, grants: g, metrics: counts}
 }
 
 // Home returns the home box of a cell, as this box sees it.
-func (h *Client) Home(cell string) (members.Box, bool) {
-	return h.members.First(time.Now(), cell, cells.Hall(cell))
+func (c *Client) Home(cell string) (members.Box, bool) {
+	return c.members.First(time.Now(), cell, cells.Hall(cell))
 }
 
 // HomeOf returns the name of a cell's home box; empty if no box is live.
-func (h *Client) HomeOf(cell string) string {
-	home, _ := h.Home(cell)
+func (c *Client) HomeOf(cell string) string {
+	home, _ := c.Home(cell)
 	return home.Name
 }
 
-// IsHome tells whether this box is the home box of a cell.
-func (h *Client) IsHome(cell string) bool {
-	home, ok := h.Home(cell)
-	return ok && home.Name == h.members.Self().Name
+// IsHome reports whether this box is the home box of a cell.
+func (c *Client) IsHome(cell string) bool {
+	home, ok := c.Home(cell)
+	return ok && home.Name == c.members.Self().Name
 }
 
-// Request waits for room on an engine of a cell until ctx ends. It returns the
-// grant and the box that gave it; the error is a refusal.Refusal.
-func (h *Client) Request(ctx context.Context, ask wire.Ask) (wire.Grant, string, error) {
+// Request waits for memory on an engine of a cell until ctx ends. It returns the
+// grant and the box that issued it; the error is a refusal.Refusal.
+func (c *Client) Request(ctx context.Context, ask wire.Ask) (wire.Grant, string, error) {
 	began := time.Now()
 	for {
-		home, ok := h.Home(ask.Cell)
+		home, ok := c.Home(ask.Cell)
 		if !ok {
 			return wire.Grant{}, "", refusal.New(refusal.HomeUnreachable, "no live box").WithRetryAfter(time.Second)
 		}
 		ask.WaitedMs = int(time.Since(began).Milliseconds())
-		grant, again := h.askOne(ctx, home, ask)
-		if again && ctx.Err() == nil {
-			h.metrics.Retried(metrics.RetryHomeGone)
+		grant, retry := c.requestFrom(ctx, home, ask)
+		if retry && ctx.Err() == nil {
+			c.metrics.Retried(metrics.RetryHomeGone)
 			continue
 		}
 		if ctx.Err() != nil && grant.Engine == "" && grant.Reason == "" {
@@ -76,14 +76,15 @@
 			return grant, home.Name, nil
 		}
 		after := time.Duration(grant.RetryAfterMs) * time.Millisecond
-		return grant, "", refusal.New(refusal.Reason(grant.Reason), "no room for the model").WithRetryAfter(after)
+		return grant, "", refusal.New(refusal.Reason(grant.Reason), "no free memory for the model").WithRetryAfter(after)
 	}
 }
 
-// askOne asks one box; again says that the next in the order should be asked.
-func (h *Client) askOne(ctx context.Context, home members.Box, ask wire.Ask) (grant wire.Grant, again bool) {
-	if home.Name == h.members.Self().Name {
-		grant = h.grants.Request(ctx, time.Now(), ask)
+// requestFrom requests a grant from one box; retry reports whether to try the
+// next box in the order.
+func (c *Client) requestFrom(ctx context.Context, home members.Box, ask wire.Ask) (grant wire.Grant, retry bool) {
+	if home.Name == c.members.Self().Name {
+		grant = c.grants.Request(ctx, time.Now(), ask)
 		return grant, grant.Reason == string(refusal.Draining)
 	}
 	call, cancel := context.WithCancel(ctx)
@@ -95,36 +96,36 @@
 	answers := make(chan answer, 1)
 	go func() {
 		var g wire.Grant
-		err := h.peers.Call(call, home.Address, peer.Ask, ask, &g)
+		err := c.peers.Call(call, home.Address, peer.Ask, ask, &g)
 		answers <- answer{g, err}
 	}()
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	check := time.NewTicker(checkInterval)
+	defer check.Stop()
 	for {
 		select {
 		case a := <-answers:
-			return h.answered(ctx, home, ask, a.grant, a.err)
-		case <-look.C:
-			if now, ok := h.Home(ask.Cell); ok && now.Name != home.Name {
-				h.withdraw(home, ask)
+			return c.handleAnswer(ctx, home, ask, a.grant, a.err)
+		case <-check.C:
+			if now, ok := c.Home(ask.Cell); ok && now.Name != home.Name {
+				c.withdraw(home, ask)
 				return wire.Grant{}, true
 			}
 		}
 	}
 }
 
-func (h *Client) answered(ctx context.Context, home members.Box, ask wire.Ask, g wire.Grant, err error) (wire.Grant, bool) {
+func (c *Client) handleAnswer(ctx context.Context, home members.Box, ask wire.Ask, g wire.Grant, err error) (wire.Grant, bool) {
 	switch {
 	case err == nil && g.Reason == string(refusal.Draining):
-		h.members.MarkSeen(time.Now(), withState(home, members.Leaving))
+		c.members.MarkSeen(time.Now(), withState(home, members.Leaving))
 		return wire.Grant{}, true
 	case err == nil:
 		return g, false
 	case ctx.Err() != nil:
-		h.withdraw(home, ask)
+		c.withdraw(home, ask)
 		return wire.Grant{Reason: string(refusal.Deadline)}, false
 	}
-	h.members.MarkFailed(time.Now(), home.Name)
+	c.members.MarkFailed(time.Now(), home.Name)
 	return wire.Grant{}, true
 }
 
@@ -133,39 +134,39 @@
 	return b
 }
 
-// withdraw takes an ask back without waiting for the answer: the home box
-// drops what is not settled all the same.
-func (h *Client) withdraw(home members.Box, ask wire.Ask) {
+// withdraw cancels a request without waiting for the answer: the home box
+// drops grants that are not settled anyway.
+func (c *Client) withdraw(home members.Box, ask wire.Ask) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
 		var done wire.Nothing
-		_ = h.peers.Call(ctx, home.Address, peer.Withdraw, wire.Withdraw{Cell: ask.Cell, Attempt: ask.Attempt}, &done)
+		_ = c.peers.Call(ctx, home.Address, peer.Withdraw, wire.Withdraw{Cell: ask.Cell, Attempt: ask.Attempt}, &done)
 	}()
 }
 
-// Settle tells the home box of a cell how generations go on, and returns the
-// box that was told. introduce is asked for the full items when the box is
-// not the one that knows them.
-func (h *Client) Settle(ctx context.Context, cell string, items func(home string) []wire.SettleItem) bool {
-	home, ok := h.Home(cell)
+// Settle reports the progress of generations to the home box of a cell, and
+// whether the box received it. items returns the items for a home box, with
+// full details if the box does not know the generations yet.
+func (c *Client) Settle(ctx context.Context, cell string, items func(home string) []wire.SettleItem) bool {
+	home, ok := c.Home(cell)
 	if !ok {
 		return false
 	}
-	s := wire.Settle{Box: h.members.Self().Name, Cell: cell, Items: items(home.Name)}
+	s := wire.Settle{Box: c.members.Self().Name, Cell: cell, Items: items(home.Name)}
 	if len(s.Items) == 0 {
 		return true
 	}
-	if home.Name == h.members.Self().Name {
-		h.grants.Settle(time.Now(), s)
+	if home.Name == c.members.Self().Name {
+		c.grants.Settle(time.Now(), s)
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	var done wire.Nothing
-	err := h.peers.Call(ctx, home.Address, peer.Settle, s, &done)
+	err := c.peers.Call(ctx, home.Address, peer.Settle, s, &done)
 	if peer.Refused(err) {
-		h.members.MarkFailed(time.Now(), home.Name)
+		c.members.MarkFailed(time.Now(), home.Name)
 	}
 	return err == nil
 }
--- a/grantserver/grantserver.go
+++ b/grantserver/grantserver.go
@@ -1,6 +1,5 @@
-// Package grantserver serves the home boxes' side of grants: it keeps a home.Home
-// for each cell that this box is asked for, and lets each asker wait for its
-// answer.
+// Package grantserver serves grant requests on a home box: it holds a home.Home
+// for each requested cell, and blocks each caller until its answer.
 package grantserver
 
 import (
@@ -30,12 +29,12 @@
 	closed  bool
 }
 
-// New returns grants over cells whose engines are named by engines.
+// New returns a server without cells; engines names the engines of a cell.
 func New(params home.Params, lengths home.Lengths, h *health.Health, engines func(cell string) []string) *Server {
 	return &Server{params: params, lengths: lengths, health: h, engines: engines, cells: map[string]*cell{}}
 }
 
-// Configure takes newly declared weights and engines.
+// Configure applies new parameters and rereads the engines of all cells.
 func (g *Server) Configure(params home.Params) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,8 +46,8 @@
 	}
 }
 
-// SetShare sets the part of the free memory that is granted: less than all while
-// boxes are cut off, whose side may have a home box of its own.
+// SetShare sets the fraction of the free memory that is granted: less than 1
+// during a network partition, as the other side may have its own home box.
 func (g *Server) SetShare(share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,10 +60,10 @@
 	}
 }
 
-// Request waits for the answer to an ask. When ctx ends first the request is
-// taken out of the queue, and a grant that crossed with it is given back.
+// Request waits for a grant or a refusal. If ctx ends first, it removes the
+// request from the queue and releases a grant made meanwhile.
 func (g *Server) Request(ctx context.Context, now time.Time, ask wire.Ask) wire.Grant {
-	waiter, refused := g.enter(now, ask)
+	waiter, refused := g.enqueue(now, ask)
 	if refused != nil {
 		return *refused
 	}
@@ -77,7 +76,7 @@
 	}
 }
 
-func (g *Server) enter(now time.Time, ask wire.Ask) (chan wire.Grant, *wire.Grant) {
+func (g *Server) enqueue(now time.Time, ask wire.Ask) (chan wire.Grant, *wire.Grant) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
@@ -85,15 +84,15 @@
 	}
 	c := g.cell(ask.Cell)
 	if err := c.home.Offer(now, ask); err != nil {
-		return nil, refused(err)
+		return nil, refusedGrant(err)
 	}
 	waiter := make(chan wire.Grant, 1)
 	c.waiters[ask.Attempt] = waiter
-	c.round(now)
+	c.admit(now)
 	return waiter, nil
 }
 
-func refused(err error) *wire.Grant {
+func refusedGrant(err error) *wire.Grant {
 	r, ok := err.(refusal.Refusal)
 	if !ok {
 		r = refusal.New(refusal.InternalUnexpected, err.Error())
@@ -101,7 +100,7 @@
 	return &wire.Grant{Reason: string(r.Reason()), RetryAfterMs: int(r.RetryAfter().Milliseconds())}
 }
 
-// Withdraw takes a request out; a grant already given is given back.
+// Withdraw removes a request from the queue, or releases its grant.
 func (g *Server) Withdraw(now time.Time, cellID, attempt string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,7 +114,7 @@
 	}
 }
 
-// Settle takes how granted generations go on.
+// Settle applies a box's report on its granted generations.
 func (g *Server) Settle(now time.Time, s wire.Settle) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -123,10 +122,10 @@
 	for _, it := range s.Items {
 		c.home.Settle(now, it)
 	}
-	c.round(now)
+	c.admit(now)
 }
 
-// Report takes a load report of an engine of a cell.
+// Report applies a load report of an engine of a cell.
 func (g *Server) Report(now time.Time, cellID string, load wire.EngineLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,17 +134,18 @@
 	}
 }
 
-// Round grants what fits now, in all cells.
+// Round grants the requests that fit now, in all cells.
 func (g *Server) Round(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, c := range g.cells {
 		c.home.Sweep(now)
-		c.round(now)
+		c.admit(now)
 	}
 }
 
-// Close tells all who wait to ask elsewhere, and takes no more.
+// Close refuses all waiting and future requests as draining, so that their
+// boxes try the next home box.
 func (g *Server) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -158,7 +158,7 @@
 	}
 }
 
-// Waiting returns how many requests wait in all cells.
+// Waiting returns the number of queued requests in all cells.
 func (g *Server) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -179,10 +179,10 @@
 	return c
 }
 
-func (c *cell) round(now time.Time) {
-	late, after := c.home.Expired(now)
-	for _, ask := range late {
-		c.answer(ask.Attempt, wire.Grant{Reason: string(refusal.Deadline), RetryAfterMs: int(after.Milliseconds())})
+func (c *cell) admit(now time.Time) {
+	expired, retryAfter := c.home.Expired(now)
+	for _, ask := range expired {
+		c.answer(ask.Attempt, wire.Grant{Reason: string(refusal.Deadline), RetryAfterMs: int(retryAfter.Milliseconds())})
 	}
 	for _, granted := range c.home.Admit(now) {
 		c.answer(granted.Ask.Attempt, wire.Grant{Engine: granted.Engine, Room: granted.Room})
@@ -191,12 +191,12 @@
 
 func (c *cell) answer(attempt string, grant wire.Grant) {
 	if w, ok := c.waiters[attempt]; ok {
-		w <- grant // has room for the one answer it gets
+		w <- grant // buffered: each waiter gets one answer
 		delete(c.waiters, attempt)
 	}
 }
 
-// RecordCacheEvent takes a cache event of an engine of a cell.
+// RecordCacheEvent applies a prefix cache event of an engine of a cell.
 func (g *Server) RecordCacheEvent(cellID, engine string, seq int, stored bool, block uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/home/engine.go
+++ b/home/engine.go
@@ -12,71 +12,73 @@
 )
 
 const (
-	// refreshEvery is how old an engine's forecast may get.
-	refreshEvery = 250 * time.Millisecond
-	// prefillPerToken spaces new prompts on one engine: a prompt's work holds
-	// up the streams that run there.
+	// refreshInterval is the maximum age of an engine's forecast.
+	refreshInterval = 250 * time.Millisecond
+	// prefillPerToken is the assumed prefill time. New prompts on one engine are
+	// spaced by it, as a prefill stalls the streams that run there.
 	prefillPerToken = 25 * time.Microsecond
-	// prefillAhead is how much prefill may be outstanding on an engine.
-	prefillAhead = 40 * time.Millisecond
-	// fillLimit is the part of an engine's memory that grants may fill.
+	// maxPrefillBacklog bounds the outstanding prefill of an engine.
+	maxPrefillBacklog = 40 * time.Millisecond
+	// fillLimit is the fraction of an engine's memory that grants may fill.
 	fillLimit = 0.995
 	// prefixBlocks bounds the prefix estimate of one engine, in blocks.
 	prefixBlocks = 256
-	// cachedWorth is what a saved prompt token is worth against a token of
-	// spare memory when engines are compared.
-	cachedWorth = 2.0
-	// goneAfter is how long an engine without reports may get grants.
-	goneAfter = 4 * time.Second
+	// cachedTokenWeight is the value of a cached prompt token relative to a token
+	// of free memory when engines are compared.
+	cachedTokenWeight = 2.0
+	// reportTimeout is how long after its last report an engine may get grants.
+	reportTimeout = 4 * time.Second
 )
 
+// run is a granted generation in flight.
 type run struct {
-	attempt string
-	key     outputlen.Key
-	prompt  int
-	most    int
-	tokens  int       // as last told
-	at      time.Time // when it was told
-	since   time.Time // granted
-	engine  *engine
+	attempt   string
+	key       outputlen.Key
+	prompt    int
+	maxTokens int
+	tokens    int       // as last reported
+	at        time.Time // of the last report
+	since     time.Time // of the grant
+	engine    *engine
 }
 
 type engine struct {
 	name         string
 	load         wire.EngineLoad
 	at           time.Time // of the report, by the engine's clock
-	heard        time.Time // when it came
-	runs         []*run    // in the order of their grants, so that sums repeat
+	lastSeen     time.Time // arrival of the report
+	runs         []*run    // in the order of their grants, for reproducible sums
 	foreign      foreign
 	demand       forecast.Demand
 	refreshed    time.Time
 	stale        bool
 	prefillUntil time.Time
 	prefixes     *prefix.Prefixes
-	announced    []announcement // by peers, since the report
+	announced    []announcement // by peers since the report
 }
 
+// announcement is a prompt that a peer sent to the engine without a grant.
 type announcement struct {
 	at     time.Time
 	tokens int
 }
 
-// foreign follows the memory that this home box did not grant: calls that
-// pass without a grant, above all.
+// foreign estimates the memory in use that this home box did not grant, mainly
+// by requests placed without a grant.
 type foreign struct {
 	mean, variance float64
-	seen           bool
+	initialized    bool
 }
 
 func (f *foreign) observe(tokens float64) {
-	const follow = 0.15
-	if !f.seen {
-		f.mean, f.seen = tokens, true
+	const smoothing = 0.15
+	if !f.initialized {
+		f.mean, f.initialized = tokens, true
 		return
 	}
 	d := tokens - f.mean
-	f.mean += follow * d
-	f.variance = (1 - follow) * (f.variance + follow*d*d)
+	f.mean += smoothing * d
+	f.variance = (1 - smoothing) * (f.variance + smoothing*d*d)
 }
 
 func (h *Home) engine(name string) *engine {
@@ -97,21 +99,21 @@
 	}
 }
 
-func (e *engine) step() time.Duration {
+func (e *engine) stepTime() time.Duration {
 	if e.load.StepUs > 0 {
 		return time.Duration(e.load.StepUs) * time.Microsecond
 	}
-	return typicalStep
+	return defaultStep
 }
 
-// tokensOf estimates how far a generation is, from when it was last told of
-// and the pace of the engine.
+// tokensOf extrapolates a generation's tokens from its last report by the
+// engine's step time.
 func (e *engine) tokensOf(r *run, now time.Time) int {
 	ahead := now.Sub(r.at)
 	if ahead <= 0 {
 		return r.tokens
 	}
-	return min(r.tokens+int(ahead/e.step()), r.most)
+	return min(r.tokens+int(ahead/e.stepTime()), r.maxTokens)
 }
 
 func (e *engine) announcedTokens() int {
@@ -122,8 +124,8 @@
 	return sum
 }
 
-// seen drops the announcements that a report already shows.
-func (e *engine) seen(at time.Time) {
+// dropAnnounced drops the announcements that the report of time at covers.
+func (e *engine) dropAnnounced(at time.Time) {
 	kept := e.announced[:0]
 	for _, a := range e.announced {
 		if a.at.After(at) {
@@ -133,7 +135,7 @@
 	e.announced = kept
 }
 
-// heldAt estimates the granted memory in use at a time.
+// heldAt estimates the granted memory in use at a time, in tokens.
 func (e *engine) heldAt(t time.Time) int {
 	held := 0
 	for _, r := range e.runs {
@@ -144,31 +146,31 @@
 	return held
 }
 
-// refresh works out anew the forecasts that are out of date.
+// refresh recomputes the forecasts that are out of date.
 func (h *Home) refresh(now time.Time) {
 	for _, name := range h.names {
 		e := h.engine(name)
-		if !e.stale && now.Sub(e.refreshed) < refreshEvery {
+		if !e.stale && now.Sub(e.refreshed) < refreshInterval {
 			continue
 		}
 		e.demand = forecast.Demand{}
 		for _, r := range e.runs {
-			e.demand = e.demand.With(h.needOf(e, r, now).Demand())
+			e.demand = e.demand.With(h.remainingNeed(e, r, now).Demand())
 		}
 		e.stale, e.refreshed = false, now
 	}
 }
 
-func (h *Home) needOf(e *engine, r *run, now time.Time) forecast.Need {
+func (h *Home) remainingNeed(e *engine, r *run, now time.Time) forecast.Need {
 	return forecast.Need{
 		Prompt:    r.prompt,
 		Tokens:    e.tokensOf(r, now),
-		MaxTokens: r.most,
+		MaxTokens: r.maxTokens,
 		Curve:     h.lengths.Curve(r.key),
 	}
 }
 
-// limit returns the memory that granted generations may come to need, in tokens.
+// limit returns the memory available to granted generations, in tokens.
 func (h *Home) limit(e *engine) float64 {
 	free := fillLimit*float64(e.load.Capacity) - e.foreign.mean - float64(e.announcedTokens())
 	if h.params.Share >= 1 {
@@ -178,36 +180,37 @@
 	return held + h.params.Share*(free-held)
 }
 
-// choose returns the engine with the most to spare among those that fit.
+// choose returns the engine with the most free memory and cached prefix among
+// those that the request fits, or nil.
 func (h *Home) choose(now time.Time, ask wire.Ask) *engine {
 	need := h.need(ask).Demand()
 	chain := chainOf(ask.Prefix)
 	var best *engine
-	most := math.Inf(-1)
+	highest := math.Inf(-1)
 	for _, name := range h.candidates() {
 		e := h.engine(name)
-		if !h.open(now, e, ask) {
+		if !h.accepts(now, e, ask) {
 			continue
 		}
-		left := h.limit(e) - e.demand.With(need).Peak(h.spare.now, e.foreign.variance)
-		if left < 0 && !e.idle() || !h.paced(e, ask) {
+		left := h.limit(e) - e.demand.With(need).Peak(h.margin.now, e.foreign.variance)
+		if left < 0 && !e.idle() || !h.withinStepBound(e, ask) {
 			continue
 		}
-		worth := left + cachedWorth*float64(e.prefixes.Match(chain))
-		if worth > most {
-			best, most = e, worth
+		score := left + cachedTokenWeight*float64(e.prefixes.Match(chain))
+		if score > highest {
+			best, highest = e, score
 		}
 	}
 	return best
 }
 
-// idle tells whether an engine runs nothing: then it takes even a request
-// that would not fit, which would fit nowhere.
+// idle reports whether an engine runs nothing. An idle engine accepts even a
+// request that does not fit, which would otherwise never be granted.
 func (e *engine) idle() bool {
 	return len(e.runs) == 0 && e.load.Running+e.load.Waiting == 0
 }
 
-// candidates returns the engines to look at: all, or a turn of a few.
+// candidates returns the engines to consider: all, or the next few in rotation.
 func (h *Home) candidates() []string {
 	n := h.params.Choices
 	if n == 0 || n >= len(h.names) {
@@ -215,31 +218,31 @@
 	}
 	chosen := make([]string, 0, n)
 	for range n {
-		// A stride that shares no factor with small counts spreads the looks.
-		h.turn += 7
-		chosen = append(chosen, h.names[h.turn%len(h.names)])
+		// A stride coprime to small counts spreads the choices.
+		h.nextCandidate += 7
+		chosen = append(chosen, h.names[h.nextCandidate%len(h.names)])
 	}
 	return chosen
 }
 
-// open tells whether an engine may get this request at all.
-func (h *Home) open(now time.Time, e *engine, ask wire.Ask) bool {
+// accepts reports whether an engine may serve a request, memory aside.
+func (h *Home) accepts(now time.Time, e *engine, ask wire.Ask) bool {
 	l := e.load
-	if l.Engine == "" || l.Leaving || !l.Ready || l.Role == "prefill" || now.Sub(e.heard) > goneAfter {
+	if l.Engine == "" || l.Leaving || !l.Ready || l.Role == "prefill" || now.Sub(e.lastSeen) > reportTimeout {
 		return false
 	}
 	if l.Model != ask.Model || ask.Adapter != "" && !slices.Contains(l.Adapters, ask.Adapter) || slices.Contains(ask.Avoid, e.name) {
 		return false
 	}
-	if e.prefillUntil.Sub(now) > prefillAhead {
+	if e.prefillUntil.Sub(now) > maxPrefillBacklog {
 		return false
 	}
 	return h.health.Eligible(now, e.name)
 }
 
-// paced tells whether the time between tokens stays within its bound with
-// one more generation.
-func (h *Home) paced(e *engine, ask wire.Ask) bool {
+// withinStepBound reports whether the step time stays within its bound with one
+// more generation.
+func (h *Home) withinStepBound(e *engine, ask wire.Ask) bool {
 	bound, ok := h.params.Gaps[ask.Model]
 	if !ok {
 		bound = h.params.GapBound
@@ -247,23 +250,24 @@
 	if bound == 0 {
 		return true
 	}
-	step := h.paceOf(ask.Model).Step(len(e.runs)+1, int(e.demand.Mean())+ask.Prompt)
+	step := h.stepTimeOf(ask.Model).Step(len(e.runs)+1, int(e.demand.Mean())+ask.Prompt)
 	return step <= bound
 }
 
-// roomy tells whether memory lies idle while requests wait.
-func (h *Home) roomy() bool {
+// underused reports whether the engines' memory use is below underusedBelow.
+func (h *Home) underused() bool {
 	used, capacity := 0, 0
 	for _, name := range h.names {
 		e := h.engine(name)
 		used += e.load.Used
 		capacity += e.load.Capacity
 	}
-	return float64(used) < idleBelow*float64(capacity)
+	return float64(used) < underusedBelow*float64(capacity)
 }
 
-// idleBelow is the part of memory in use below which the spare may shrink.
-const idleBelow = 0.85
+// underusedBelow is the fraction of memory in use below which the margin may
+// shrink.
+const underusedBelow = 0.85
 
 func chainOf(hashes []int) []uint64 {
 	chain := make([]uint64, len(hashes))
--- a/home/feedback.go
+++ b/home/feedback.go
@@ -5,73 +5,72 @@
 	"time"
 )
 
-// spare is the feedback on the spare memory: up at once on a preemption,
-// slowly down while memory lies idle and requests wait.
-type spare struct {
+// margin adapts the memory safety margin: it rises at once on a preemption and
+// falls slowly while memory is idle and requests wait.
+type margin struct {
 	base, now float64
 	adaptive  bool
 	at        time.Time
 }
 
 const (
-	spareUp       = 0.06 // deviations for each preemption
-	spareDown     = 0.02 // deviations a second
-	spareSettle   = 0.005
-	spareMostOver = 1.0  // above the declared
-	spareMostLow  = 0.25 // below the declared
+	marginPerPreemption = 0.06  // deviations per preemption
+	marginDecay         = 0.02  // deviations per second, while memory is underused
+	marginReturn        = 0.005 // deviations per second, back to the configured margin
+	maxMarginAbove      = 1.0   // deviations above the configured margin
+	maxMarginBelow      = 0.25  // deviations below the configured margin
 )
 
-func newSpare(base float64, adaptive bool) spare {
-	return spare{base: base, now: base, adaptive: adaptive}
+func newMargin(base float64, adaptive bool) margin {
+	return margin{base: base, now: base, adaptive: adaptive}
 }
 
-func (s *spare) preempted(now time.Time, n int) {
-	if !s.adaptive || n <= 0 {
+func (m *margin) preempted(now time.Time, n int) {
+	if !m.adaptive || n <= 0 {
 		return
 	}
-	s.now = math.Min(s.now+spareUp*float64(n), s.base+spareMostOver)
-	s.at = now
+	m.now = math.Min(m.now+marginPerPreemption*float64(n), m.base+maxMarginAbove)
+	m.at = now
 }
 
-// idle is told at each round of grants whether memory lies idle while
-// requests wait.
-func (s *spare) idle(now time.Time, roomy bool) {
-	if !s.adaptive {
+// adjust moves the margin after a round of grants; underused reports whether
+// memory was idle while requests waited.
+func (m *margin) adjust(now time.Time, underused bool) {
+	if !m.adaptive {
 		return
 	}
-	passed := math.Min(now.Sub(s.at).Seconds(), 1)
-	s.at = now
-	low := math.Max(s.base-spareMostLow, 0)
+	passed := math.Min(now.Sub(m.at).Seconds(), 1)
+	m.at = now
+	low := math.Max(m.base-maxMarginBelow, 0)
 	switch {
-	case roomy:
-		s.now = math.Max(s.now-spareDown*passed, low)
-	case s.now > s.base:
-		s.now = math.Max(s.now-spareSettle*passed, s.base)
+	case underused:
+		m.now = math.Max(m.now-marginDecay*passed, low)
+	case m.now > m.base:
+		m.now = math.Max(m.now-marginReturn*passed, m.base)
 	}
 }
 
-// drainRate follows how fast the queue's cost is granted, to predict waits.
+// drainRate tracks the rate at which queued cost is granted, to predict waits.
 type drainRate struct {
-	rate float64 // token-seconds a second
+	rate float64 // token-seconds per second
 	at   time.Time
 }
 
-// drainSpan is the span over which the rate is averaged.
-const drainSpan = 20 * time.Second
+// drainWindow is the time constant of the moving average.
+const drainWindow = 20 * time.Second
 
 func (d *drainRate) granted(now time.Time, cost float64) {
 	if d.at.IsZero() {
 		d.at = now
-		d.rate = cost / drainSpan.Seconds()
+		d.rate = cost / drainWindow.Seconds()
 		return
 	}
-	passed := now.Sub(d.at).Seconds() / drainSpan.Seconds()
-	d.rate = d.rate*math.Exp(-passed) + cost/drainSpan.Seconds()
+	passed := now.Sub(d.at).Seconds() / drainWindow.Seconds()
+	d.rate = d.rate*math.Exp(-passed) + cost/drainWindow.Seconds()
 	d.at = now
 }
 
-// wait predicts how long so much cost takes to be granted; zero while nothing
-// is known.
+// wait predicts the time to grant the given cost; 0 while the rate is unknown.
 func (d *drainRate) wait(cost float64) time.Duration {
 	if d.rate <= 0 {
 		return 0
--- a/home/home.go
+++ b/home/home.go
@@ -1,8 +1,8 @@
-// Package home is what the home box of a cell of engines does: it queues the
-// long generations of all boxes and grants them room on its engines when the
-// forecast of memory says that they fit. Its state is soft: the next box in
-// the order takes over from the engines' reports and from what the boxes
-// tell it that they have in flight.
+// Package home implements the home box of a cell of engines: it queues the
+// long generations of all boxes and grants them memory on its engines when the
+// forecast says that they fit. Its state is soft: the next box in the order
+// rebuilds it from the engines' reports and from the boxes' reports of their
+// generations in flight.
 package home
 
 import (
@@ -19,70 +19,71 @@
 	"petrelstep/wire"
 )
 
-// Params are the bounds and weights that operators declare.
+// Params are the bounds and weights that operators configure.
 type Params struct {
-	Deviations float64                  // spare memory, in standard deviations of the forecast
-	Adaptive   bool                     // follow preemptions with the spare
-	GapBound   time.Duration            // step that placing must not pass, for models not in Gaps
-	Gaps       map[string]time.Duration // the same by model
-	Share      float64                  // part of the free memory that may be granted, 1 for a home box
-	Queue      int                      // most requests that wait
-	Choices    int                      // look at only so many engines, 0 at all
+	Deviations float64                  // memory margin, in standard deviations of the forecast
+	Adaptive   bool                     // adapt the margin to preemptions
+	GapBound   time.Duration            // maximum step time, for models not in Gaps
+	Gaps       map[string]time.Duration // maximum step time by model
+	Share      float64                  // fraction of the free memory that may be granted
+	Queue      int                      // maximum number of waiting requests
+	Choices    int                      // number of engines considered per request, 0 for all
 }
 
-// Granted is a request that has its room.
+// Granted is a request that was granted memory on an engine.
 type Granted struct {
 	Ask    wire.Ask
 	Engine string
-	Room   int // tokens promised
+	Room   int // reserved memory, in tokens
 }
 
-// Lengths is the learned knowledge of how long generations get.
+// Lengths estimates output lengths and learns from progress and ends.
 type Lengths interface {
 	Curve(k outputlen.Key) *survival.Curve
 	Progress(k outputlen.Key, from, to int)
 	End(k outputlen.Key, at int, cut bool)
 }
 
-// Home is not safe for use by several goroutines.
+// Home is the state of a home box for one cell. It is not safe for concurrent
+// use.
 type Home struct {
-	params  Params
-	lengths Lengths
-	health  *health.Health
-	paces   map[string]*steptime.Model // by model
-	queue   *queue.Queue
-	engines map[string]*engine
-	names   []string // of engines, sorted
-	runs    map[string]*run
-	spare   spare
-	drain   drainRate
-	turn    int
-	swept   time.Time
+	params        Params
+	lengths       Lengths
+	health        *health.Health
+	stepTimes     map[string]*steptime.Model // by model
+	queue         *queue.Queue
+	engines       map[string]*engine
+	names         []string // of engines, sorted
+	runs          map[string]*run
+	margin        margin
+	drain         drainRate
+	nextCandidate int
+	lastSweep     time.Time
 }
 
 // New returns a home box's state for one cell.
 func New(params Params, lengths Lengths, h *health.Health) *Home {
 	return &Home{
-		params:  params,
-		lengths: lengths,
-		health:  h,
-		paces:   map[string]*steptime.Model{},
-		queue:   queue.New(params.Queue),
-		engines: map[string]*engine{},
-		runs:    map[string]*run{},
-		spare:   newSpare(params.Deviations, params.Adaptive),
+		params:    params,
+		lengths:   lengths,
+		health:    h,
+		stepTimes: map[string]*steptime.Model{},
+		queue:     queue.New(params.Queue),
+		engines:   map[string]*engine{},
+		runs:      map[string]*run{},
+		margin:    newMargin(params.Deviations, params.Adaptive),
 	}
 }
 
-// SetParams takes newly declared bounds and weights.
+// SetParams replaces the bounds and weights.
 func (h *Home) SetParams(p Params) {
 	if p.Deviations != h.params.Deviations || p.Adaptive != h.params.Adaptive {
-		h.spare = newSpare(p.Deviations, p.Adaptive)
+		h.margin = newMargin(p.Deviations, p.Adaptive)
 	}
 	h.params = p
 }
 
-// SetEngines names the engines of the cell that serve the model.
+// SetEngines sets the engines of the cell.
 func (h *Home) SetEngines(names []string) {
 	h.names = append([]string{}, names...)
 	sort.Strings(h.names)
@@ -97,42 +98,42 @@
 	}
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of queued requests.
 func (h *Home) Waiting() int { return h.queue.Len() }
 
-// Running returns how many granted generations are in flight.
+// Running returns the number of granted generations in flight.
 func (h *Home) Running() int { return len(h.runs) }
 
-// Deviations returns the spare memory now asked for, in standard deviations.
-func (h *Home) Deviations() float64 { return h.spare.now }
+// Deviations returns the current memory margin, in standard deviations.
+func (h *Home) Deviations() float64 { return h.margin.now }
 
-// Offer queues a request, or refuses it at once when there is no room or its
-// predicted wait is longer than it may wait.
+// Offer queues a request. It refuses the request if the queue is full or the
+// predicted wait exceeds its deadline.
 func (h *Home) Offer(now time.Time, ask wire.Ask) error {
-	item := h.item(now, ask)
+	item := h.queueItem(now, ask)
 	wait := h.drain.wait(h.queue.Cost(ask.Priority) + item.Cost)
 	if h.queue.Len() > 0 && wait > time.Duration(ask.WaitMs)*time.Millisecond {
-		return refusal.New(refusal.WaitTooLong, "predicted wait passes the deadline").WithRetryAfter(wait)
+		return refusal.New(refusal.WaitTooLong, "predicted wait exceeds the deadline").WithRetryAfter(wait)
 	}
 	if !h.queue.Push(item) {
-		return refusal.New(refusal.QueueFull, "too many wait for the model").WithRetryAfter(max(wait, time.Second))
+		return refusal.New(refusal.QueueFull, "queue for the model is full").WithRetryAfter(max(wait, time.Second))
 	}
 	return nil
 }
 
-// Withdraw takes a waiting request out; false if it does not wait.
+// Withdraw removes a queued request and reports whether it was queued.
 func (h *Home) Withdraw(attempt string) bool { return h.queue.Remove(attempt) }
 
-// Expired takes out and returns the requests that waited too long, with the
-// time after which room may be expected.
-func (h *Home) Expired(now time.Time) (late []wire.Ask, after time.Duration) {
+// Expired removes and returns the requests past their deadlines, with the
+// time after which a retry may succeed.
+func (h *Home) Expired(now time.Time) (expired []wire.Ask, retryAfter time.Duration) {
 	for _, it := range h.queue.Expired(now) {
-		late = append(late, it.Value.(wire.Ask))
+		expired = append(expired, it.Value.(wire.Ask))
 	}
-	return late, max(h.drain.wait(h.queue.Cost(0)), time.Second)
+	return expired, max(h.drain.wait(h.queue.Cost(0)), time.Second)
 }
 
-// Report takes an engine's load report.
+// Report applies an engine's load report; reports out of order are ignored.
 func (h *Home) Report(now time.Time, load wire.EngineLoad) {
 	e := h.engine(load.Engine)
 	at := time.UnixMilli(int64(load.AtMs))
@@ -140,25 +141,25 @@
 		return
 	}
 	if load.Incarnation == e.load.Incarnation {
-		h.spare.preempted(now, load.Preemptions-e.load.Preemptions)
+		h.margin.preempted(now, load.Preemptions-e.load.Preemptions)
 	} else if e.load.Incarnation != 0 {
-		h.lost(e)
+		h.reset(e)
 	}
-	e.load, e.at, e.heard = load, at, now
-	e.seen(at)
-	h.paceOf(load.Model).Observe(load.Running, load.Used, time.Duration(load.StepUs)*time.Microsecond)
+	e.load, e.at, e.lastSeen = load, at, now
+	e.dropAnnounced(at)
+	h.stepTimeOf(load.Model).Observe(load.Running, load.Used, time.Duration(load.StepUs)*time.Microsecond)
 	e.foreign.observe(float64(max(load.Used-e.heldAt(at), 0)))
 	e.stale = true
 }
 
-// Settle takes what an origin box says of a granted generation.
+// Settle applies a box's report on a granted generation: its progress or end.
 func (h *Home) Settle(now time.Time, it wire.SettleItem) {
 	r, ok := h.runs[it.Attempt]
 	if !ok {
 		if it.Ended || it.Engine == "" {
 			return
 		}
-		r = h.join(now, it)
+		r = h.adopt(now, it)
 	}
 	h.lengths.Progress(r.key, r.tokens, it.Tokens)
 	r.tokens, r.at = it.Tokens, now
@@ -171,16 +172,16 @@
 	r.engine.drop(r)
 }
 
-// Admit grants room to requests in the queue's order. One that does not fit
-// is passed by, but not for ever: after a while those behind it wait too.
+// Admit grants memory to requests in queue order. A request that does not fit
+// may be overtaken by those behind it until it has waited for maxBypass.
 func (h *Home) Admit(now time.Time) []Granted {
 	if h.queue.Len() == 0 {
-		h.spare.idle(now, false)
+		h.margin.adjust(now, false)
 		return nil
 	}
 	h.refresh(now)
 	var granted []Granted
-	looks := 0
+	misses := 0
 	for _, it := range h.queue.Order(now) {
 		ask := it.Value.(wire.Ask)
 		e := h.choose(now, ask)
@@ -188,32 +189,32 @@
 			granted = append(granted, h.grant(now, it, ask, e))
 			continue
 		}
-		looks++
-		if looks >= mostLooks || now.Sub(it.Arrived) > passBy {
+		misses++
+		if misses >= maxMisses || now.Sub(it.Arrived) > maxBypass {
 			break
 		}
 	}
-	h.spare.idle(now, h.queue.Len() > 0 && h.roomy())
+	h.margin.adjust(now, h.queue.Len() > 0 && h.underused())
 	return granted
 }
 
 const (
-	// mostLooks bounds the work of one round of grants.
-	mostLooks = 16
-	// passBy is how long a request that does not fit may be passed by.
-	passBy = 300 * time.Second
+	// maxMisses bounds the requests that do not fit in one round of grants.
+	maxMisses = 16
+	// maxBypass bounds the wait of a request that others overtake.
+	maxBypass = 300 * time.Second
 )
 
 func (h *Home) grant(now time.Time, it queue.Item, ask wire.Ask, e *engine) Granted {
 	need := h.need(ask)
 	r := &run{
-		attempt: ask.Attempt,
-		key:     keyOf(ask.Organisation, ask.Model, ask.Class),
-		prompt:  ask.Prompt,
-		most:    ask.MaxTokens,
-		since:   now,
-		at:      now,
-		engine:  e,
+		attempt:   ask.Attempt,
+		key:       keyOf(ask.Organisation, ask.Model, ask.Class),
+		prompt:    ask.Prompt,
+		maxTokens: ask.MaxTokens,
+		since:     now,
+		at:        now,
+		engine:    e,
 	}
 	h.runs[ask.Attempt] = r
 	e.runs = append(e.runs, r)
@@ -226,26 +227,26 @@
 	return Granted{Ask: ask, Engine: e.name, Room: ask.Prompt + int(need.Curve.Mean())}
 }
 
-// join takes over a generation that another home box had granted.
-func (h *Home) join(now time.Time, it wire.SettleItem) *run {
+// adopt adds a generation that another home box granted.
+func (h *Home) adopt(now time.Time, it wire.SettleItem) *run {
 	e := h.engine(it.Engine)
 	r := &run{
-		attempt: it.Attempt,
-		key:     keyOf(it.Organisation, it.Model, it.Class),
-		prompt:  it.Prompt,
-		most:    it.MaxTokens,
-		tokens:  it.Tokens,
-		since:   now,
-		at:      now,
-		engine:  e,
+		attempt:   it.Attempt,
+		key:       keyOf(it.Organisation, it.Model, it.Class),
+		prompt:    it.Prompt,
+		maxTokens: it.MaxTokens,
+		tokens:    it.Tokens,
+		since:     now,
+		at:        now,
+		engine:    e,
 	}
 	h.runs[it.Attempt] = r
 	e.runs = append(e.runs, r)
 	return r
 }
 
-// lost drops what an engine held before it started anew.
-func (h *Home) lost(e *engine) {
+// reset drops the generations that an engine held before it restarted.
+func (h *Home) reset(e *engine) {
 	for _, r := range e.runs {
 		delete(h.runs, r.attempt)
 	}
@@ -253,12 +254,12 @@
 	e.foreign = foreign{}
 }
 
-func (h *Home) item(now time.Time, ask wire.Ask) queue.Item {
+func (h *Home) queueItem(now time.Time, ask wire.Ask) queue.Item {
 	c := h.lengths.Curve(keyOf(ask.Organisation, ask.Model, ask.Class))
 	mean := min(c.Mean(), float64(ask.MaxTokens))
-	step := h.paceOf(ask.Model).Step(typicalBatch, typicalUsed).Seconds()
+	step := h.stepTimeOf(ask.Model).Step(defaultBatch, defaultUsed).Seconds()
 	if step == 0 {
-		step = typicalStep.Seconds()
+		step = defaultStep.Seconds()
 	}
 	arrived := now.Add(-time.Duration(ask.WaitedMs) * time.Millisecond)
 	return queue.Item{
@@ -273,20 +274,20 @@
 	}
 }
 
-func (h *Home) paceOf(model string) *steptime.Model {
-	p, ok := h.paces[model]
+func (h *Home) stepTimeOf(model string) *steptime.Model {
+	p, ok := h.stepTimes[model]
 	if !ok {
 		p = steptime.New()
-		h.paces[model] = p
+		h.stepTimes[model] = p
 	}
 	return p
 }
 
-// What an engine is taken for until its pace is known.
+// Assumptions about a model until its step time is known.
 const (
-	typicalBatch = 20
-	typicalUsed  = 40_000
-	typicalStep  = 25 * time.Millisecond
+	defaultBatch = 20
+	defaultUsed  = 40_000
+	defaultStep  = 25 * time.Millisecond
 )
 
 func (h *Home) need(ask wire.Ask) forecast.Need {
@@ -308,21 +309,21 @@
 	return b
 }
 
-// sweepAfter is how long a granted generation is held against its engine
-// without a word from its box.
-const sweepAfter = 20 * time.Second
+// settleTimeout is how long a granted generation counts against its engine
+// without a report from its box.
+const settleTimeout = 20 * time.Second
 
-// Sweep drops granted generations whose boxes have fallen silent; what they
-// still hold is seen in the engines' reports.
+// Sweep drops granted generations whose boxes stopped reporting; memory that
+// they still use shows in the engines' reports.
 func (h *Home) Sweep(now time.Time) {
-	if now.Sub(h.swept) < sweepEvery {
+	if now.Sub(h.lastSweep) < sweepInterval {
 		return
 	}
-	h.swept = now
+	h.lastSweep = now
 	for _, name := range h.names {
 		e := h.engine(name)
 		for _, r := range append([]*run{}, e.runs...) {
-			if now.Sub(r.at) > sweepAfter {
+			if now.Sub(r.at) > settleTimeout {
 				delete(h.runs, r.attempt)
 				e.drop(r)
 				e.stale = true
@@ -331,16 +332,16 @@
 	}
 }
 
-const sweepEvery = time.Second
+const sweepInterval = time.Second
 
-// RecordAnnouncement takes a peer's word that it sent a prompt of so many tokens to an
-// engine, where no home box grants.
+// RecordAnnouncement records that a peer sent a prompt to an engine without a
+// grant.
 func (h *Home) RecordAnnouncement(at time.Time, engine string, tokens int) {
 	e := h.engine(engine)
 	e.announced = append(e.announced, announcement{at: at, tokens: tokens})
 }
 
-// RecordCacheEvent takes a cache event of an engine.
+// RecordCacheEvent applies a prefix cache event of an engine.
 func (h *Home) RecordCacheEvent(engine string, seq int, stored bool, block uint64) {
 	h.engine(engine).prefixes.Apply(seq, stored, block)
 }
