--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -147,7 +147,7 @@
 }
 
 // TakenUp learns that another box goes on with a generation.
-func (d *Daemon) TakenUp(attempt string) { d.flights.Handed(attempt) }
+func (d *Daemon) TakenUp(attempt string) { d.flights.ResumedElsewhere(attempt) }
 
 // tellTaken tells the box that dispatched a generation that this one goes on
 // with it, so that it is not cancelled there. Until it is told, the caller's
@@ -216,7 +216,7 @@
 
 // Cached takes a cache event.
 func (d *Daemon) Cached(engine string, seq int, stored bool, block uint64) {
-	d.grants.Cached(d.cellsNow().Of(engine), engine, seq, stored, block)
+	d.grants.RecordCacheEvent(d.cellsNow().Of(engine), engine, seq, stored, block)
 }
 
 // Runs tells whether a box still runs as the incarnation that owns a row of
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -42,7 +42,7 @@
 
 // Homes asks home boxes for room.
 type Homes interface {
-	Ask(ctx context.Context, ask wire.Ask) (wire.Grant, string, error)
+	Request(ctx context.Context, ask wire.Ask) (wire.Grant, string, error)
 }
 
 // Engines is what dispatch needs of the engines' client.
@@ -58,8 +58,8 @@
 	Body         wire.GenerationRequest
 }
 
-// Parts are what a dispatcher works with.
-type Parts struct {
+// Components are what a dispatcher works with.
+type Components struct {
 	Box       string
 	Resources *resource.Resources
 	Cells     func() *cells.Cells
@@ -76,10 +76,10 @@
 }
 
 // Dispatcher is safe for use by several goroutines.
-type Dispatcher struct{ Parts }
+type Dispatcher struct{ Components }
 
 // New returns a dispatcher.
-func New(parts Parts) *Dispatcher { return &Dispatcher{parts} }
+func New(parts Components) *Dispatcher { return &Dispatcher{parts} }
 
 // try is one attempt of a request.
 type try struct {
@@ -185,7 +185,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	grant, home, err := d.Homes.Ask(ctx, wire.Ask{
+	grant, home, err := d.Homes.Request(ctx, wire.Ask{
 		Cell: cell, Attempt: t.attempt, Box: d.Box, Organisation: req.Organisation, Model: req.Body.Model,
 		Adapter: req.Body.Adapter, Class: string(req.Body.Class), Prompt: prompt, MaxTokens: req.Body.MaxTokens,
 		Priority: req.Terms.Priority, Weight: req.Terms.Weight, Prefix: chain(req.Body.Prompt),
