--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -19,8 +19,8 @@
 const (
 	// maxBackoff is the longest backoff that an upstream may request.
 	maxBackoff = time.Hour
-	// jitterDivisor and maxJitter bound the random delay after the end of a backoff
-	// before a box resumes, to a fraction (1/4) of the backoff and to a second: other
+	// jitterDivisor and maxJitter limit the random delay after the end of a backoff
+	// before a box resumes, to 1/jitterDivisor of the backoff and to maxJitter: other
 	// boxes may have been given the same end.
 	jitterDivisor = 4
 	maxJitter     = time.Second
@@ -32,8 +32,8 @@
 	maxExceptions = 2
 	// maxNames is the maximum number of upstreams named in a report.
 	maxNames = 64
-	// retryJitterDivisor bounds the random jitter of Retry-After to that fraction (1/3)
-	// of the wait.
+	// retryJitterDivisor limits the random jitter of Retry-After to
+	// 1/retryJitterDivisor of the wait.
 	retryJitterDivisor = 3
 	// retention is how long an entry is kept after its end if nothing was sent to the
 	// upstream.
--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -1,7 +1,7 @@
-// Package places decides to which upstream, and when, requests for plain services go.
-// Boxes choose independently: each picks upstreams at random, weighted by their
-// capacity, and once the total demand exceeds the capacity each sends no more than its
-// allocation and queues or rejects the rest.
+// Package places decides to which upstream, and when, requests for plain services go. A
+// place is a slot of an upstream. Boxes choose independently: each picks upstreams at
+// random, weighted by their capacity, and once the total demand exceeds the capacity
+// each sends no more than its allocation and queues or rejects the rest.
 package places
 
 import (
@@ -29,13 +29,14 @@
 	// give up.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// retryWaitDivisor bounds the wait of a retry to that fraction (1/3) of the
+	// retryWaitDivisor limits the wait before a retry to 1/retryWaitDivisor of the
 	// client's remaining time, so that enough is left to be served.
 	retryWaitDivisor = 3
-	// jitterDivisor bounds the random jitter to that fraction (1/3) of Retry-After.
+	// jitterDivisor limits the random jitter to 1/jitterDivisor of Retry-After.
 	jitterDivisor = 3
-	// earlyDivisor is the fraction (1/4) of the latency target within which a rejection
-	// costs a client little: its retry can still be served in time.
+	// earlyDivisor limits early rejections to the first 1/earlyDivisor of the latency
+	// target, in which they cost a client little: its retry can still be served in
+	// time.
 	earlyDivisor = 4
 )
 
--- a/balance/places/queue_test.go
+++ b/balance/places/queue_test.go
@@ -170,7 +170,7 @@
 }
 
 // TestWeights checks that a slow, failing, full or missing upstream is chosen less
-// often than a like one.
+// often than a healthy one.
 func TestWeights(t *testing.T) {
 	const times = 3000
 	tests := map[string]struct {
--- a/balance/speeds/speeds.go
+++ b/balance/speeds/speeds.go
@@ -121,8 +121,8 @@
 	s.own[key] = r
 }
 
-// recordSpread adds by how much, as a logarithm, the longest event of a stream exceeded
-// the mean of those of its windows.
+// recordSpread adds by how much, as a logarithm, the longest gap of a stream exceeded
+// the mean of the longest gaps of its windows.
 func (s *Speeds) recordSpread(service string, log float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/balance/speeds/stream.go
+++ b/balance/speeds/stream.go
@@ -18,9 +18,9 @@
 	minWindow = 2
 	// fullWindow is the number of gaps from which a window has full weight.
 	fullWindow = 8
-	// lowDivisor is the fraction (1/5) of a window's gaps that is presumed free of
-	// concurrent prefills. The smallest gap can't be used: events come together after a
-	// packet loss.
+	// lowDivisor selects the gap below which 1/lowDivisor of a window's gaps lie; these
+	// are presumed free of concurrent prefills. The smallest gap can't be used: events
+	// come together after a packet loss.
 	lowDivisor = 5
 	// minContrast is the minimum ratio of a gap during a prefill to one without: a
 	// prefill that has ended slows nothing.
