--- a/edge/crashes_test.go
+++ b/edge/crashes_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestRequestCrashesBusyEngines does so with so many other recent requests on each
-// engine that any of them could have caused each crash.
+// TestRequestCrashesBusyEngines sends a crashing request to engines that run many other
+// recent requests, any of which could have caused each crash.
 func TestRequestCrashesBusyEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
