--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -9,12 +9,12 @@
 	"petrelstep/wire"
 )
 
-// groupMost bounds the rows of one transaction.
-const groupMost = 64
+// maxBatchSize is the maximum number of rows in one transaction.
+const maxBatchSize = 64
 
-// resends is how often a transaction whose reply was lost is sent again
-// before its requests are given up on.
-const resends = 2
+// maxResends is how often a transaction is sent again after a lost reply before
+// its writes count as unsettled.
+const maxResends = 2
 
 // Table is the platform's table.
 type Table interface {
@@ -23,37 +23,37 @@
 	Transact(ctx context.Context, tx wire.Transaction) (wire.TransactionAnswer, error)
 }
 
-// outcome is what became of one row's write.
+// outcome is the result of one row's write.
 type outcome int
 
 const (
 	written   outcome = iota
-	conflicts         // another has written the row
-	refused           // certain that it was not written
-	unsettled         // it may have been written, or may yet be
+	conflicts         // the row was written by another
+	refused           // certainly not written
+	unsettled         // may have been written, or may still be
 )
 
 type write struct {
 	check  wire.RowCheck
 	row    wire.RowWrite
-	token  string // that the row's value carries
+	token  string // in the row's value
 	result chan result
 }
 
 type result struct {
 	outcome outcome
-	row     wire.Row // in the way, on a conflict
+	row     wire.Row // the conflicting row
 }
 
-// group commits the writes of many requests in one transaction: while one is
-// under way, those that come wait for the next.
+// group commits the writes of many requests in one transaction. Writes that
+// arrive during a transaction are queued for the next.
 type group struct {
-	table  Table
-	queue  chan write
-	behind []write // for rows that the last batch had already
+	table    Table
+	queue    chan write
+	deferred []write // to rows that the last batch already wrote
 }
 
-func newGroup(t Table) *group { return &group{table: t, queue: make(chan write, 4*groupMost)} }
+func newGroup(t Table) *group { return &group{table: t, queue: make(chan write, 4*maxBatchSize)} }
 
 // put writes one row if its check holds; it waits for the outcome.
 func (g *group) put(ctx context.Context, check wire.RowCheck, row wire.RowWrite, token string) result {
@@ -68,23 +68,23 @@
 
 func (g *group) run(ctx context.Context) {
 	for {
-		if len(g.behind) > 0 {
-			batch := g.behind
-			g.behind = nil
-			g.commit(ctx, g.gather(batch))
+		if len(g.deferred) > 0 {
+			batch := g.deferred
+			g.deferred = nil
+			g.commit(ctx, g.fillBatch(batch))
 			continue
 		}
 		select {
 		case <-ctx.Done():
-			g.refuseRest()
+			g.refuseQueued()
 			return
 		case first := <-g.queue:
-			g.commit(ctx, g.gather([]write{first}))
+			g.commit(ctx, g.fillBatch([]write{first}))
 		}
 	}
 }
 
-func (g *group) refuseRest() {
+func (g *group) refuseQueued() {
 	for {
 		select {
 		case w := <-g.queue:
@@ -95,14 +95,14 @@
 	}
 }
 
-// gather adds what waits to a batch. A second write of a row has to see what
-// became of the first, so it stays behind.
-func (g *group) gather(first []write) []write {
+// fillBatch adds queued writes to a batch. A second write to a row depends on
+// the outcome of the first, so it is deferred to the next batch.
+func (g *group) fillBatch(first []write) []write {
 	var batch []write
 	seen := map[string]bool{}
 	add := func(w write) {
 		if seen[w.check.Key] {
-			g.behind = append(g.behind, w)
+			g.deferred = append(g.deferred, w)
 			return
 		}
 		seen[w.check.Key] = true
@@ -111,7 +111,7 @@
 	for _, w := range first {
 		add(w)
 	}
-	for len(batch) < groupMost {
+	for len(batch) < maxBatchSize {
 		select {
 		case w := <-g.queue:
 			add(w)
@@ -122,11 +122,11 @@
 	return batch
 }
 
-// commit sends a batch until each write of it is settled or given up on. A
-// conflict fails the whole transaction: the rows in the way are answered, and
-// the rest is sent again.
+// commit sends a batch until each of its writes has an outcome. A conflict
+// fails the whole transaction: the conflicting writes are answered, and the
+// others are sent again.
 func (g *group) commit(ctx context.Context, batch []write) {
-	sent := false // an earlier sending may have taken effect
+	sent := false // an earlier transaction may have taken effect
 	losses := 0
 	for len(batch) > 0 {
 		answer, err := g.table.Transact(ctx, transaction(batch))
@@ -142,7 +142,7 @@
 		default:
 			sent = true
 			losses++
-			if losses > resends || ctx.Err() != nil {
+			if losses > maxResends || ctx.Err() != nil {
 				settle(batch, result{outcome: unsettled})
 				return
 			}
@@ -151,8 +151,8 @@
 	}
 }
 
-// answerConflicts answers the writes whose rows are in the way, and returns
-// the others. A row that carries the write's own token was written by it.
+// answerConflicts answers the writes whose rows conflict, and returns the
+// others. A row with the write's own token was written by an earlier attempt.
 func (g *group) answerConflicts(batch []write, rows []wire.Row) []write {
 	byKey := map[string]wire.Row{}
 	for _, r := range rows {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger makes calls that must not be repeated run at most once. A
-// row in the platform's table says that a call is dispatched before any byte
-// of it goes out; whoever finds the row does not dispatch again.
+// Package ledger runs calls that must not be repeated at most once. A row in
+// the platform's table records that a call is dispatched before any byte of it
+// is sent; a box that finds the row does not dispatch the call again.
 package ledger
 
 import (
@@ -17,28 +17,27 @@
 
 const (
 	prefix = "ledger/"
-	// stuckAfter is the age at which a dispatched row is called unknown even
-	// while its box lives: no call lasts that long.
-	stuckAfter = 2 * time.Minute
-	// bodyMost bounds the answers that are kept, in bytes.
-	bodyMost = 256 << 10
-	// finishTime bounds the wait for an answer to be kept before it is passed
-	// on all the same.
-	finishTime = time.Second
-	// mendEvery spaces the tries to write a row that could not be written.
-	mendEvery = 500 * time.Millisecond
-	// mendFor bounds them.
-	mendFor = 10 * time.Minute
+	// dispatchTimeout is the age at which the outcome of a dispatched call is
+	// considered unknown even if its box runs: no call lasts that long.
+	dispatchTimeout = 2 * time.Minute
+	// maxBodySize bounds the stored answers, in bytes.
+	maxBodySize = 256 << 10
+	// finishTimeout bounds how long a caller waits for its answer to be stored.
+	finishTimeout = time.Second
+	// rewriteInterval is the pause between attempts to write a final state.
+	rewriteInterval = 500 * time.Millisecond
+	// rewriteTimeout bounds these attempts.
+	rewriteTimeout = 10 * time.Minute
 
-	comeBack = 2 * time.Second
+	retryAfter = 2 * time.Second
 )
 
-// Owners tells whether the box that owns a row still runs.
+// Owners reports whether the box that owns a row still runs.
 type Owners interface {
 	Runs(box string, incarnation int) bool
 }
 
-// Call names a call that must not be repeated.
+// Call identifies a call that must not be repeated.
 type Call struct {
 	Organisation string
 	Key          string // the caller's Idempotency-Key
@@ -59,22 +58,22 @@
 	owners      Owners
 	box         string
 	incarnation int
-	kept        time.Duration
+	retention   time.Duration
 	group       *group
 	ctx         context.Context
 }
 
-// New returns a ledger for one run of a box; answers are kept for a while.
-// Run makes it work; its rows are mended until ctx ends.
-func New(ctx context.Context, t Table, owners Owners, box string, incarnation int, kept time.Duration) *Ledger {
-	return &Ledger{table: t, owners: owners, box: box, incarnation: incarnation, kept: kept, group: newGroup(t), ctx: ctx}
+// New returns a ledger for one incarnation of a box; answers are stored for
+// retention. Run has to be called for its writes to be committed.
+func New(ctx context.Context, t Table, owners Owners, box string, incarnation int, retention time.Duration) *Ledger {
+	return &Ledger{table: t, owners: owners, box: box, incarnation: incarnation, retention: retention, group: newGroup(t), ctx: ctx}
 }
 
-// Run commits until the ledger's ctx ends.
+// Run commits writes until the ledger's ctx ends.
 func (l *Ledger) Run() { l.group.run(l.ctx) }
 
-// Begin asks for the right to dispatch a call. It returns an entry, or the
-// answer that is kept of an earlier dispatch, or a refusal.Refusal.
+// Begin requests the right to dispatch a call. It returns an entry, or the
+// stored answer of an earlier dispatch, or a refusal.Refusal.
 func (l *Ledger) Begin(ctx context.Context, c Call) (*Entry, *wire.LedgerRecord, error) {
 	e := &Entry{Token: uniqueid.New(), key: rowKey(c)}
 	e.record = wire.LedgerRecord{
@@ -89,87 +88,87 @@
 			e.version++
 			return e, nil, nil
 		case refused:
-			return nil, nil, refusal.New(refusal.StoreDown, "the call could not be recorded").WithRetryAfter(comeBack)
+			return nil, nil, refusal.New(refusal.StoreDown, "the call could not be recorded").WithRetryAfter(retryAfter)
 		case unsettled:
 			go l.undo(e)
-			return nil, nil, refusal.New(refusal.StoreUnsettled, "the call could not be recorded for certain").WithRetryAfter(comeBack)
+			return nil, nil, refusal.New(refusal.StoreUnsettled, "it is unknown whether the call was recorded").WithRetryAfter(retryAfter)
 		}
-		kept, free, err := l.found(ctx, c, r.row)
-		if err != nil || kept != nil {
-			return nil, kept, err
+		stored, free, err := l.resolve(ctx, c, r.row)
+		if err != nil || stored != nil {
+			return nil, stored, err
 		}
 		if !free {
 			break
 		}
 		e.version = r.row.Version
 	}
-	return nil, nil, refusal.New(refusal.InProgress, "others race for the key").WithRetryAfter(comeBack)
+	return nil, nil, refusal.New(refusal.InProgress, "too many concurrent calls with the key").WithRetryAfter(retryAfter)
 }
 
-// found tells what an earlier row means: a kept answer, a key that is free
-// again, or a refusal.
-func (l *Ledger) found(ctx context.Context, c Call, row wire.Row) (kept *wire.LedgerRecord, free bool, err error) {
+// resolve interprets an earlier row: it returns a stored answer, that the key is
+// free again, or a refusal.
+func (l *Ledger) resolve(ctx context.Context, c Call, row wire.Row) (stored *wire.LedgerRecord, free bool, err error) {
 	record := decode(row)
 	age := time.Since(time.UnixMilli(int64(record.AtMs)))
-	if age > l.kept && record.State != wire.LedgerRecordStateDispatched {
+	if age > l.retention && record.State != wire.LedgerRecordStateDispatched {
 		return nil, true, nil
 	}
 	if record.BodyHash != c.BodyHash {
-		return nil, false, refusal.New(refusal.KeyReused, "the key was used for another call")
+		return nil, false, refusal.New(refusal.KeyReused, "the key was used for a different call")
 	}
 	switch record.State {
 	case wire.LedgerRecordStateDone:
 		if record.Status == 0 {
-			return nil, false, refusal.New(refusal.AnswerNotKept, "it ran; its answer was too large to keep").WithOutcome(refusal.Unknown)
+			return nil, false, refusal.New(refusal.AnswerNotKept, "the call ran; its answer was too large to store").WithOutcome(refusal.Unknown)
 		}
 		return &record, false, nil
 	case wire.LedgerRecordStateNotRun:
 		return nil, true, nil
 	case wire.LedgerRecordStateUnknown:
-		return nil, false, refusal.New(refusal.UnknownOutcome, "it may have run")
+		return nil, false, refusal.New(refusal.UnknownOutcome, "the call may have run")
 	}
-	if age < stuckAfter && l.owners.Runs(record.Box, record.Incarnation) {
-		return nil, false, refusal.New(refusal.InProgress, "it is under way").WithRetryAfter(comeBack)
+	if age < dispatchTimeout && l.owners.Runs(record.Box, record.Incarnation) {
+		return nil, false, refusal.New(refusal.InProgress, "the call is in progress").WithRetryAfter(retryAfter)
 	}
 	record.State = wire.LedgerRecordStateUnknown
-	// Whether this write takes effect or not, the answer is the same.
+	// Whether or not this write takes effect, the answer is the same.
 	l.put(ctx, row.Key, row.Version, record)
-	return nil, false, refusal.New(refusal.DispatcherGone, "the box that dispatched it is gone")
+	return nil, false, refusal.New(refusal.DispatcherGone, "the box that dispatched the call has stopped")
 }
 
-// Done keeps the answer of a dispatched call.
+// Done stores the answer of a dispatched call.
 func (l *Ledger) Done(e *Entry, status int, contentType string, body []byte) {
 	record := e.record
 	record.State = wire.LedgerRecordStateDone
-	if len(body) <= bodyMost {
+	if len(body) <= maxBodySize {
 		record.Status, record.ContentType, record.Body = status, contentType, string(body)
 	}
 	l.finish(e, record)
 }
 
-// NotRun frees the key of a call of which no byte went out.
+// NotRun frees the key of a call of which no byte was sent.
 func (l *Ledger) NotRun(e *Entry) {
 	record := e.record
 	record.State = wire.LedgerRecordStateNotRun
 	l.finish(e, record)
 }
 
-// Unknown notes that a call may have run.
+// Unknown records that a call may have run.
 func (l *Ledger) Unknown(e *Entry) {
 	record := e.record
 	record.State = wire.LedgerRecordStateUnknown
 	l.finish(e, record)
 }
 
-// finish writes the last state of an entry; when the store does not take it
-// soon, the writing goes on behind the caller's back.
+// finish writes the final state of an entry. If that takes longer than
+// finishTimeout, the write continues in the background.
 func (l *Ledger) finish(e *Entry, record wire.LedgerRecord) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.mend(e, record)
+		l.rewrite(e, record)
 	}()
-	wait := time.NewTimer(finishTime)
+	wait := time.NewTimer(finishTimeout)
 	defer wait.Stop()
 	select {
 	case <-done:
@@ -177,38 +176,39 @@
 	}
 }
 
-// mend writes a record over the entry's own row until it is there.
-func (l *Ledger) mend(e *Entry, record wire.LedgerRecord) {
+// rewrite replaces the entry's own row by a record, and retries until the write
+// is confirmed.
+func (l *Ledger) rewrite(e *Entry, record wire.LedgerRecord) {
 	version := e.version
-	until := time.Now().Add(mendFor)
+	until := time.Now().Add(rewriteTimeout)
 	for time.Now().Before(until) && l.ctx.Err() == nil {
 		r := l.put(l.ctx, e.key, version, record)
 		if r.outcome == written {
 			return
 		}
 		if r.outcome == conflicts {
-			found := decode(r.row)
-			if found.Token != e.Token || found.State == record.State {
-				return // another's row by now, or this very write
+			current := decode(r.row)
+			if current.Token != e.Token || current.State == record.State {
+				return // another entry's row, or this write took effect
 			}
 			version = r.row.Version
 			continue
 		}
-		if !l.pause(mendEvery) {
+		if !l.sleep(rewriteInterval) {
 			return
 		}
 	}
 }
 
-// undo makes sure that a row which may have been written, or may yet be, says
-// not_run: nothing was dispatched, and the key must not be stuck.
+// undo frees the key of an entry whose insert has an unknown outcome: nothing
+// was dispatched, and the key must not stay blocked.
 func (l *Ledger) undo(e *Entry) {
 	record := e.record
 	record.State = wire.LedgerRecordStateNotRun
-	l.mend(e, record)
+	l.rewrite(e, record)
 }
 
-func (l *Ledger) pause(d time.Duration) bool {
+func (l *Ledger) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -224,7 +224,7 @@
 	if err != nil {
 		return result{outcome: refused}
 	}
-	// Only a dispatched row is settled by its token: other states of the same
+	// The token identifies only the dispatched row: the later states of the same
 	// entry carry it too.
 	token := ""
 	if record.State == wire.LedgerRecordStateDispatched {
@@ -233,7 +233,7 @@
 	return l.group.put(ctx, wire.RowCheck{Key: key, Version: version}, wire.RowWrite{Key: key, Value: string(value)}, token)
 }
 
-// Clean removes rows that are kept no longer. One box at a time does it.
+// Clean removes rows past their retention. Only one box at a time runs it.
 func (l *Ledger) Clean(ctx context.Context) error {
 	rows, err := l.table.Scan(ctx, prefix, "")
 	if err != nil {
@@ -241,7 +241,7 @@
 	}
 	for _, row := range rows {
 		record := decode(row)
-		old := time.Since(time.UnixMilli(int64(record.AtMs))) > l.kept
+		old := time.Since(time.UnixMilli(int64(record.AtMs))) > l.retention
 		if !old || record.State == wire.LedgerRecordStateDispatched {
 			continue
 		}
@@ -257,13 +257,13 @@
 	return nil
 }
 
-// rowKey hides the caller's key: it may be of any form and length.
+// rowKey hashes the caller's key, which may be of any form and length.
 func rowKey(c Call) string {
 	sum := sha256.Sum256([]byte(c.Key))
 	return prefix + c.Organisation + "/" + hex.EncodeToString(sum[:])
 }
 
-// HashOf returns the hash that tells calls of the same key apart.
+// HashOf returns the hash that distinguishes calls with the same key.
 func HashOf(method, path string, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(method + "\n" + path + "\n"))
@@ -273,7 +273,7 @@
 
 func decode(row wire.Row) wire.LedgerRecord {
 	var r wire.LedgerRecord
-	// A row that does not decode is as good as one by an unknown box.
+	// A row that does not decode counts as written by an unknown box.
 	_ = json.Unmarshal([]byte(row.Value), &r)
 	return r
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// owners says which boxes run.
+// owners holds the incarnations of the running boxes.
 type owners map[string]int
 
 func (o owners) Runs(box string, incarnation int) bool { return o[box] == incarnation }
@@ -76,23 +76,23 @@
 	return ""
 }
 
-// beginTest is one row: a fault at a step of a call's life.
+// beginTest is a fault at one step of a call.
 type beginTest struct {
 	before func(f *fixture)              // before the first Begin
-	first  refusal.Reason                // of the first Begin, empty for the right to dispatch
+	first  refusal.Reason                // of the first Begin, empty if it may dispatch
 	after  func(*fixture, *ledger.Entry) // between the two
 	second refusal.Reason
 	again  bool // the second may dispatch
-	kept   bool // the second gets the kept answer
+	stored bool // the second gets the stored answer
 	body   string
 }
 
 var beginTests = map[string]beginTest{
-	"sound x answered": {
-		after: func(f *fixture, e *ledger.Entry) { f.boxes["a"].Done(e, 200, "text/plain", []byte("ok")) },
-		kept:  true,
+	"no fault x answered": {
+		after:  func(f *fixture, e *ledger.Entry) { f.boxes["a"].Done(e, 200, "text/plain", []byte("ok")) },
+		stored: true,
 	},
-	"sound x in progress": {second: refusal.InProgress},
+	"no fault x in progress": {second: refusal.InProgress},
 	"box killed x dispatched": {
 		after:  func(f *fixture, _ *ledger.Entry) { delete(f.owners, "a") },
 		second: refusal.DispatcherGone,
@@ -101,19 +101,19 @@
 		after:  func(f *fixture, _ *ledger.Entry) { f.owners["a"] = 2 },
 		second: refusal.DispatcherGone,
 	},
-	"box frozen x called unknown, then answers": {
+	"box frozen x marked unknown, then answers": {
 		after: func(f *fixture, e *ledger.Entry) {
 			delete(f.owners, "a")
 			_, _, _ = f.boxes["b"].Begin(context.Background(), call)
 			f.boxes["a"].Done(e, 200, "text/plain", []byte("ok"))
 		},
-		kept: true,
+		stored: true,
 	},
 	"service lost x unknown": {
 		after:  func(f *fixture, e *ledger.Entry) { f.boxes["a"].Unknown(e) },
 		second: refusal.UnknownOutcome,
 	},
-	"service not reached x not run": {
+	"service unreachable x not run": {
 		after: func(f *fixture, e *ledger.Entry) { f.boxes["a"].NotRun(e) },
 		again: true,
 	},
@@ -127,7 +127,7 @@
 		before: func(f *fixture) { f.fault(wire.FaultModeLoseReply, 1) },
 		second: refusal.InProgress,
 	},
-	"reply lost x insert, for long": {
+	"reply lost x insert, repeatedly": {
 		before: func(f *fixture) { f.fault(wire.FaultModeLoseReply, 3) },
 		first:  refusal.StoreUnsettled,
 		after:  func(f *fixture, _ *ledger.Entry) { f.settled() },
@@ -139,20 +139,20 @@
 			f.boxes["a"].Done(e, 200, "text/plain", []byte("ok"))
 			f.settled()
 		},
-		kept: true,
+		stored: true,
 	},
 	"reply lost x answer": {
 		after: func(f *fixture, e *ledger.Entry) {
 			f.fault(wire.FaultModeLoseReply, 1)
 			f.boxes["a"].Done(e, 200, "text/plain", []byte("ok"))
 		},
-		kept: true,
+		stored: true,
 	},
-	"operators' race x another body": {body: "other", second: refusal.KeyReused},
+	"key reused x another body": {body: "other", second: refusal.KeyReused},
 }
 
-// TestBegin holds each fault at each step of a call's life against what the
-// next caller with the same key is told: never a second right to dispatch.
+// TestBegin injects a fault at each step of a call and checks what the next
+// caller with the same key gets: never a second right to dispatch.
 func TestBegin(t *testing.T) {
 	for name, tt := range beginTests {
 		t.Run(name, func(t *testing.T) {
@@ -162,9 +162,9 @@
 			if tt.before != nil {
 				tt.before(f)
 			}
-			entry, kept, err := f.boxes["a"].Begin(ctx, call)
+			entry, stored, err := f.boxes["a"].Begin(ctx, call)
 			is.Equal(reasonOf(err), tt.first)
-			is.True(kept == nil)
+			is.True(stored == nil)
 			is.Equal(entry != nil, tt.first == "")
 			if tt.after != nil {
 				tt.after(f, entry)
@@ -173,31 +173,31 @@
 			if tt.body != "" {
 				second.BodyHash = tt.body
 			}
-			entry, kept, err = f.boxes["b"].Begin(ctx, second)
+			entry, stored, err = f.boxes["b"].Begin(ctx, second)
 			is.Equal(reasonOf(err), tt.second)
 			is.Equal(entry != nil, tt.again)
-			is.Equal(kept != nil, tt.kept)
+			is.Equal(stored != nil, tt.stored)
 		})
 	}
 }
 
-// settled waits until no row says dispatched, so that what the ledger mends
-// behind a caller's back is done.
+// settled waits until no row is in state dispatched, that is until the ledger's
+// background writes are done.
 func (f *fixture) settled() {
 	for range 200 {
-		open := false
+		pending := false
 		for _, row := range f.platform.Scan("ledger/", "") {
-			open = open || strings.Contains(row.Value, `"dispatched"`)
+			pending = pending || strings.Contains(row.Value, `"dispatched"`)
 		}
-		if !open && len(f.platform.Scan("ledger/", "")) > 0 {
+		if !pending && len(f.platform.Scan("ledger/", "")) > 0 {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// TestRace lets two boxes ask for the same key at once, many times: one of
-// them gets the right to dispatch, never both.
+// TestRace calls Begin for the same key at two boxes concurrently: exactly one
+// gets the right to dispatch.
 func TestRace(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
@@ -216,12 +216,12 @@
 	}
 }
 
-// TestSameKeyInOneBatch lets many callers of one box ask for one key at once:
-// they meet in one group commit.
+// TestSameKeyInOneBatch calls Begin for one key concurrently at one box, so that
+// the writes meet in one group commit: exactly one may dispatch.
 func TestSameKeyInOneBatch(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(t)
-	// While one commit is slow, the callers gather behind it.
+	// The callers queue up during a slow commit.
 	f.platform.Fault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeSlow, DelayMs: 200, Count: 1})
 	other := call
 	other.Key = "another"
@@ -264,15 +264,15 @@
 	e, _, err := l.Begin(ctx, call)
 	is.NoErr(err)
 	is.NoErr(l.Clean(ctx))
-	is.Equal(len(p.Scan("ledger/", "")), 1) // what is dispatched stays
+	is.Equal(len(p.Scan("ledger/", "")), 1) // a dispatched row stays
 	l.Done(e, 200, "", nil)
 	time.Sleep(2 * time.Millisecond)
 	is.NoErr(l.Clean(ctx))
 	is.Equal(len(p.Scan("ledger/", "")), 0)
 }
 
-// BenchmarkBegin tells how many rows a transaction carries when so many calls
-// come at once and the table takes 10 ms.
+// BenchmarkBegin reports the rows per transaction for concurrent calls and a
+// table latency of 10 ms.
 func BenchmarkBegin(b *testing.B) {
 	for _, callers := range []int{1, 16, 128} {
 		b.Run(fmt.Sprint(callers, " callers"), func(b *testing.B) {
