--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout plans the orders that bring a hall's engines to what is
-// declared: loads that keep the declared number ready, and engines emptied of
-// work before they change.
+// Package rollout plans the orders that bring a hall's engines to their declared
+// state: it keeps the declared number of replicas ready, and drains an engine
+// before it changes.
 package rollout
 
 import (
@@ -10,9 +10,9 @@
 	"petrelstep/wire"
 )
 
-// loadsAtOnce bounds the loads under way in a hall: the weight store is
-// rate-limited, and each load takes an engine out of service.
-const loadsAtOnce = 2
+// maxConcurrentLoads bounds the concurrent model loads in a hall: the weight
+// store is rate-limited, and a loading engine is out of service.
+const maxConcurrentLoads = 2
 
 // Step is one order to one engine.
 type Step struct {
@@ -21,22 +21,22 @@
 	Why    string
 }
 
-// Plan is what to do now, and how each placement stands.
+// Plan holds the orders to send now and the status of each placement.
 type Plan struct {
 	Steps  []Step
 	Status []wire.PlacementStatus
 }
 
-// planner holds one planning.
+// planner is the state of one planning round.
 type planner struct {
 	view    *resource.View
 	loads   map[string]wire.EngineLoad
-	free    []string // engines with no part yet, sorted
+	free    []string // engines not assigned yet, sorted
 	plan    Plan
 	loading int
 }
 
-// New plans for a hall from the configuration in force and the engines' fresh
+// New plans for a hall from the configuration in force and the engines' recent
 // reports. Engines without a report get no orders.
 func New(v *resource.View, hall string, loads map[string]wire.EngineLoad) Plan {
 	p := &planner{view: v, loads: loads}
@@ -46,7 +46,7 @@
 		switch {
 		case !ok:
 		case v.Upstreams[name].Leaving:
-			p.leave(name, l)
+			p.drain(name, l)
 		default:
 			p.free = append(p.free, name)
 			if l.Model != "" && !l.Ready {
@@ -59,7 +59,7 @@
 	}
 	held := map[string][]string{}
 	for _, name := range placements {
-		held[name] = p.takeCurrent(v.Placements[name])
+		held[name] = p.assignCurrent(v.Placements[name])
 	}
 	for _, name := range placements {
 		p.fill(name, v.Placements[name], held[name])
@@ -79,17 +79,17 @@
 	return names
 }
 
-// leave empties an engine that is declared to be leaving.
-func (p *planner) leave(name string, l wire.EngineLoad) {
+// drain orders an engine that is declared leaving to stop accepting work.
+func (p *planner) drain(name string, l wire.EngineLoad) {
 	if !l.Leaving {
-		p.step(name, stay(l, true), "declared leaving")
+		p.addStep(name, currentOrder(l, true), "declared leaving")
 	}
 }
 
-// takeCurrent gives a placement the engines that serve it already, ready ones
-// first, up to its number.
-func (p *planner) takeCurrent(pl wire.Placement) []string {
-	var ready, coming []string
+// assignCurrent assigns to a placement the engines that already serve it, ready
+// ones first, up to its replicas.
+func (p *planner) assignCurrent(pl wire.Placement) []string {
+	var ready, pending []string
 	for _, name := range p.free {
 		l := p.loads[name]
 		if !serves(l, pl) {
@@ -98,19 +98,19 @@
 		if l.Ready && !l.Leaving {
 			ready = append(ready, name)
 		} else {
-			coming = append(coming, name)
+			pending = append(pending, name)
 		}
 	}
-	taken := append(ready, coming...)
-	taken = taken[:min(len(taken), pl.Replicas)]
-	for _, name := range taken {
-		p.take(name)
+	assigned := append(ready, pending...)
+	assigned = assigned[:min(len(assigned), pl.Replicas)]
+	for _, name := range assigned {
+		p.assign(name)
 	}
-	return taken
+	return assigned
 }
 
-// fill finds engines for what a placement lacks: unused ones first, then, one
-// at a time, those that serve the model in another form.
+// fill finds engines for the replicas that a placement lacks: unused ones first,
+// then, one at a time, those that serve the model in another version or role.
 func (p *planner) fill(name string, pl wire.Placement, current []string) {
 	status := wire.PlacementStatus{Placement: name, Model: pl.Model, Desired: pl.Replicas}
 	for _, engine := range current {
@@ -125,22 +125,22 @@
 		}
 	}
 	steady := status.Actual == len(current)
-	for lack := pl.Replicas - len(current); lack > 0; lack-- {
+	for missing := pl.Replicas - len(current); missing > 0; missing-- {
 		engine, why := p.candidate(pl, steady)
 		if engine == "" {
 			status.Why = why
 			break
 		}
 		status.Why = "changing " + engine
-		steady = false // one at a time, or too few would be left ready
-		p.take(engine)
+		steady = false // one at a time, so that enough replicas stay ready
+		p.assign(engine)
 		p.convert(engine, p.loads[engine], pl)
 	}
 	p.plan.Status = append(p.plan.Status, status)
 }
 
-// candidate picks an engine to change. steady says that nothing of the
-// placement is under way: only then may a serving engine be changed.
+// candidate picks an engine to change. A serving engine may be changed only if
+// the placement is steady, that is none of its engines is changing.
 func (p *planner) candidate(pl wire.Placement, steady bool) (engine, why string) {
 	var sameModel string
 	for _, name := range p.free {
@@ -151,7 +151,7 @@
 			}
 			continue
 		}
-		if !p.wanted(l) {
+		if !p.needed(l) {
 			return name, ""
 		}
 	}
@@ -164,8 +164,8 @@
 	return sameModel, ""
 }
 
-// wanted tells whether some placement of the hall needs what an engine serves.
-func (p *planner) wanted(l wire.EngineLoad) bool {
+// needed reports whether a placement needs the model that an engine serves.
+func (p *planner) needed(l wire.EngineLoad) bool {
 	for _, pl := range p.view.Placements {
 		if pl.Model == l.Model && pl.Replicas > 0 {
 			return true
@@ -174,24 +174,24 @@
 	return false
 }
 
-// convert takes an engine one step towards a placement: first it is emptied,
-// then it loads.
+// convert takes an engine one step towards a placement: it is drained, then it
+// loads the model.
 func (p *planner) convert(engine string, l wire.EngineLoad, pl wire.Placement) {
 	idle := l.Running+l.Waiting == 0
 	switch {
 	case l.Ready && !l.Leaving && l.Model != "":
-		p.step(engine, stay(l, true), "to be emptied for "+pl.Model)
+		p.addStep(engine, currentOrder(l, true), "to be emptied for "+pl.Model)
 	case !idle:
-	case p.loading >= loadsAtOnce && l.Ready:
+	case p.loading >= maxConcurrentLoads && l.Ready:
 	default:
 		p.loading++
-		p.step(engine, wire.EngineOrder{
+		p.addStep(engine, wire.EngineOrder{
 			Model: pl.Model, Version: pl.Version, Adapters: append([]string{}, pl.Adapters...), Role: wire.EngineOrderRole(pl.Role),
 		}, "to serve "+pl.Model)
 	}
 }
 
-// unload empties and frees the engines that serve an old version of a placed
+// unload drains and unloads the engines that serve an old version of a placed
 // model and are no longer needed.
 func (p *planner) unload(placements []string) {
 	for _, name := range p.free {
@@ -200,17 +200,17 @@
 			continue
 		}
 		if !l.Leaving {
-			p.step(name, stay(l, true), "replaced")
+			p.addStep(name, currentOrder(l, true), "replaced")
 			continue
 		}
 		if l.Running+l.Waiting == 0 {
-			p.step(name, wire.EngineOrder{Role: wire.EngineOrderRoleAny, Adapters: []string{}}, "replaced")
+			p.addStep(name, wire.EngineOrder{Role: wire.EngineOrderRoleAny, Adapters: []string{}}, "replaced")
 		}
 	}
 }
 
-// replaced tells whether all placements of an engine's model are met without it
-// and none is of its version.
+// replaced reports whether all placements of an engine's model are satisfied
+// without it and none has its version.
 func (p *planner) replaced(l wire.EngineLoad, placements []string) bool {
 	found := false
 	for i, name := range placements {
@@ -226,7 +226,7 @@
 	return found
 }
 
-func (p *planner) take(name string) {
+func (p *planner) assign(name string) {
 	for i := range p.free {
 		if p.free[i] == name {
 			p.free = append(p.free[:i], p.free[i+1:]...)
@@ -235,12 +235,13 @@
 	}
 }
 
-func (p *planner) step(engine string, o wire.EngineOrder, why string) {
+func (p *planner) addStep(engine string, o wire.EngineOrder, why string) {
 	p.plan.Steps = append(p.plan.Steps, Step{Engine: engine, Order: o, Why: why})
 }
 
-// stay is the order to go on with what an engine serves, leaving or not.
-func stay(l wire.EngineLoad, leave bool) wire.EngineOrder {
+// currentOrder returns the order that keeps what an engine serves, leaving or
+// not.
+func currentOrder(l wire.EngineLoad, leave bool) wire.EngineOrder {
 	return wire.EngineOrder{
 		Model: l.Model, Version: l.Version, Adapters: append([]string{}, l.Adapters...), Role: wire.EngineOrderRole(l.Role), Leave: leave,
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -13,11 +13,10 @@
 	"petrelstep/wire"
 )
 
-// fleet is a hall of engines in small: it carries orders out as engines do,
-// one step of work at a time.
+// fleet simulates the engines of a hall, one step of work at a time.
 type fleet struct {
 	loads map[string]wire.EngineLoad
-	work  map[string]int // steps that generations in flight still take
+	work  map[string]int // remaining steps of loads and generations
 }
 
 func newFleet(engines, busy int) *fleet {
@@ -30,8 +29,8 @@
 	return f
 }
 
-// obey carries out a plan; it returns what was wrong with it.
-func (f *fleet) obey(p rollout.Plan) string {
+// execute carries out a plan and returns what was wrong with it.
+func (f *fleet) execute(p rollout.Plan) string {
 	for _, s := range p.Steps {
 		l := f.loads[s.Engine]
 		changes := l.Model != s.Order.Model || l.Version != s.Order.Version
@@ -49,7 +48,7 @@
 	return ""
 }
 
-// step lets a while pass.
+// step advances all engines by one step of work.
 func (f *fleet) step() {
 	for name, l := range f.loads {
 		switch {
@@ -60,7 +59,7 @@
 		case l.Leaving:
 			l.Running = 0
 		case l.Ready:
-			l.Running = 1 // callers go on sending
+			l.Running = 1 // callers keep sending
 			f.work[name] = 2
 		}
 		f.loads[name] = l
@@ -97,9 +96,9 @@
 	return wire.Placement{Hall: "leith", Model: model, Version: version, Replicas: replicas, Role: "any", Adapters: []string{}}
 }
 
-// TestRoll declares one thing, then another half-way or after: all ends as
-// last declared, no generation in flight is cut, and the ready replicas of a
-// model that stays declared do not fall below what is asked.
+// TestRoll changes the declaration during or after a rollout: the last
+// declaration is reached, no generation in flight is interrupted, and the ready
+// replicas of a model that stays declared don't fall below the minimum.
 func TestRoll(t *testing.T) {
 	tests := map[string]struct {
 		engines   int
@@ -107,33 +106,33 @@
 		after     int // steps until the second declaration
 		second    map[string]wire.Placement
 		model     string
-		least     int // ready replicas of the model at any time after the first is met
+		minReady  int // ready replicas of the model once the first declaration is reached
 		model2    string
 		version   string
 		wantReady int
 	}{
-		"load":                    {engines: 3, second: map[string]wire.Placement{"p": placement("m", "1", 2)}, model: "m", version: "1", wantReady: 2},
-		"roll with a spare":       {engines: 3, first: map[string]wire.Placement{"p": placement("m", "1", 2)}, after: 30, second: map[string]wire.Placement{"p": placement("m", "2", 2)}, model: "m", version: "2", least: 2, wantReady: 2},
-		"roll without a spare":    {engines: 2, first: map[string]wire.Placement{"p": placement("m", "1", 2)}, after: 30, second: map[string]wire.Placement{"p": placement("m", "2", 2)}, model: "m", version: "2", least: 1, wantReady: 2},
-		"new declaration midway":  {engines: 3, first: map[string]wire.Placement{"p": placement("m", "1", 3)}, after: 4, second: map[string]wire.Placement{"p": placement("m", "2", 2)}, model: "m", version: "2", wantReady: 2},
-		"another model":           {engines: 2, first: map[string]wire.Placement{"p": placement("m", "1", 2)}, after: 30, second: map[string]wire.Placement{"p": placement("n", "1", 2)}, model: "n", version: "1", wantReady: 2},
-		"role":                    {engines: 2, first: map[string]wire.Placement{"p": placement("m", "1", 1)}, after: 30, second: map[string]wire.Placement{"p": {Hall: "leith", Model: "m", Version: "1", Replicas: 1, Role: "decode", Adapters: []string{}}}, model: "m", version: "1", least: 1, wantReady: 1},
-		"more than there is room": {engines: 1, second: map[string]wire.Placement{"p": placement("m", "1", 3)}, model: "m", version: "1", wantReady: 1},
+		"load":                       {engines: 3, second: map[string]wire.Placement{"p": placement("m", "1", 2)}, model: "m", version: "1", wantReady: 2},
+		"with a free engine":         {engines: 3, first: map[string]wire.Placement{"p": placement("m", "1", 2)}, after: 30, second: map[string]wire.Placement{"p": placement("m", "2", 2)}, model: "m", version: "2", minReady: 2, wantReady: 2},
+		"without a free engine":      {engines: 2, first: map[string]wire.Placement{"p": placement("m", "1", 2)}, after: 30, second: map[string]wire.Placement{"p": placement("m", "2", 2)}, model: "m", version: "2", minReady: 1, wantReady: 2},
+		"changed during rollout":     {engines: 3, first: map[string]wire.Placement{"p": placement("m", "1", 3)}, after: 4, second: map[string]wire.Placement{"p": placement("m", "2", 2)}, model: "m", version: "2", wantReady: 2},
+		"another model":              {engines: 2, first: map[string]wire.Placement{"p": placement("m", "1", 2)}, after: 30, second: map[string]wire.Placement{"p": placement("n", "1", 2)}, model: "n", version: "1", wantReady: 2},
+		"role":                       {engines: 2, first: map[string]wire.Placement{"p": placement("m", "1", 1)}, after: 30, second: map[string]wire.Placement{"p": {Hall: "leith", Model: "m", Version: "1", Replicas: 1, Role: "decode", Adapters: []string{}}}, model: "m", version: "1", minReady: 1, wantReady: 1},
+		"more replicas than engines": {engines: 1, second: map[string]wire.Placement{"p": placement("m", "1", 3)}, model: "m", version: "1", wantReady: 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(tt.engines, 0)
-			met := false
+			reached := false
 			for step := range 120 {
 				declared := tt.second
 				if step < tt.after {
 					declared = tt.first
 				}
-				is.Equal(f.obey(rollout.New(view(tt.engines, declared), "leith", f.loads)), "")
-				met = met || f.ready(tt.model, "*") >= tt.least && step >= tt.after-1
-				if met {
-					is.True(f.ready(tt.model, "*") >= tt.least)
+				is.Equal(f.execute(rollout.New(view(tt.engines, declared), "leith", f.loads)), "")
+				reached = reached || f.ready(tt.model, "*") >= tt.minReady && step >= tt.after-1
+				if reached {
+					is.True(f.ready(tt.model, "*") >= tt.minReady)
 				}
 				f.step()
 			}
@@ -142,8 +141,9 @@
 	}
 }
 
-// TestRandomDeclarations declares at random times, and orders are now and then
-// lost: no generation in flight is ever cut, and all ends as last declared.
+// TestRandomDeclarations changes the declaration at random times and loses some
+// orders: no generation in flight is interrupted, and the last declaration is
+// reached.
 func TestRandomDeclarations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		engines := rapid.IntRange(1, 6).Draw(rt, "engines")
@@ -155,11 +155,11 @@
 				last[model] = placement(model, rapid.SampledFrom([]string{"1", "2"}).Draw(rt, "version"), rapid.IntRange(0, engines/2).Draw(rt, "replicas"))
 			}
 			for range rapid.IntRange(1, 12).Draw(rt, "steps") {
-				f.turn(rt, engines, last, rapid.IntRange(0, 3).Draw(rt, "lost") == 0)
+				f.round(rt, engines, last, rapid.IntRange(0, 3).Draw(rt, "lost") == 0)
 			}
 		}
 		for range 150 {
-			f.turn(rt, engines, last, false)
+			f.round(rt, engines, last, false)
 		}
 		for name, p := range last {
 			if f.ready(p.Model, p.Version) < p.Replicas {
@@ -169,12 +169,12 @@
 	})
 }
 
-func (f *fleet) turn(rt *rapid.T, engines int, declared map[string]wire.Placement, lost bool) {
+func (f *fleet) round(rt *rapid.T, engines int, declared map[string]wire.Placement, lost bool) {
 	p := rollout.New(view(engines, declared), "leith", f.loads)
 	if lost {
 		p.Steps = nil
 	}
-	if wrong := f.obey(p); wrong != "" {
+	if wrong := f.execute(p); wrong != "" {
 		rt.Fatal(wrong)
 	}
 	f.step()
