--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -1,5 +1,5 @@
-// Package reconcile brings the engines of one hall to what is declared. Only
-// the holder of the hall's lease gives orders, each with the lease's fence.
+// Package reconcile brings the engines of one hall to their declared state. Only
+// the holder of the hall's lease sends orders, each with the lease's fence.
 package reconcile
 
 import (
@@ -13,13 +13,13 @@
 	"petrelstep/wire"
 )
 
-// roundsPerLease is how often within a lease it is tended and a round is made.
+// roundsPerLease is the number of rounds, each with a renewal, per lease duration.
 const roundsPerLease = 4
 
-// freshFor is the age up to which a load report is acted on: a box that is not
-// the engine's home box is told of it after 4 s, or 8 when a
-// heartbeat is lost.
-const freshFor = 10 * time.Second
+// maxReportAge is the maximum age of a load report to plan by. A box other than
+// the engine's home box receives reports every 4 s, or 8 s if a heartbeat is
+// lost.
+const maxReportAge = 10 * time.Second
 
 // Lease is the hall's lease.
 type Lease interface {
@@ -28,7 +28,7 @@
 	Release(ctx context.Context) error
 }
 
-// Loads tells what engines last reported.
+// Loads returns the engines' last reports.
 type Loads interface {
 	Fresh(now time.Time, engine string, within time.Duration) (wire.EngineLoad, bool)
 }
@@ -43,7 +43,7 @@
 	Every(ctx context.Context, name string, period time.Duration, f func(now time.Time))
 }
 
-// Reconciler works for one hall.
+// Reconciler reconciles the engines of one hall.
 type Reconciler struct {
 	hall      string
 	lease     Lease
@@ -63,7 +63,7 @@
 	}
 }
 
-// Run makes rounds until ctx ends, then gives the lease up.
+// Run runs rounds until ctx ends, then releases the lease.
 func (r *Reconciler) Run(ctx context.Context, timer Timer) {
 	timer.Every(ctx, r.hall, r.duration/roundsPerLease, func(now time.Time) { r.Round(ctx) })
 	release, cancel := context.WithTimeout(context.WithoutCancel(ctx), r.timeout)
@@ -73,13 +73,14 @@
 	}
 }
 
-// Round tends the lease and, while it is held, sends what is planned.
+// Round renews or acquires the lease and, while it is held, sends the planned
+// orders.
 func (r *Reconciler) Round(ctx context.Context) {
 	if err := r.lease.Tend(ctx); err != nil {
 		r.log.WithError(err).Debug("lease_not_tended")
 	}
 	view := r.resources.View()
-	plan := rollout.New(view, r.hall, r.fresh(view))
+	plan := rollout.New(view, r.hall, r.recentLoads(view))
 	for _, step := range plan.Steps {
 		if !r.send(ctx, view.Upstreams[step.Engine], step) {
 			return
@@ -87,8 +88,8 @@
 	}
 }
 
-// send sends one order while the lease surely outlasts it: an upstream that
-// does not check fences must never get an order after a successor's.
+// send sends one order if the lease outlasts its timeout: an upstream that does
+// not check fences must never get an order after a successor's.
 func (r *Reconciler) send(ctx context.Context, u wire.Upstream, step rollout.Step) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -110,10 +111,10 @@
 	return true
 }
 
-func (r *Reconciler) fresh(view *resource.View) map[string]wire.EngineLoad {
+func (r *Reconciler) recentLoads(view *resource.View) map[string]wire.EngineLoad {
 	loads := map[string]wire.EngineLoad{}
 	for _, name := range view.Engines(r.hall) {
-		if l, ok := r.loads.Fresh(time.Now(), name, freshFor); ok {
+		if l, ok := r.loads.Fresh(time.Now(), name, maxReportAge); ok {
 			loads[name] = l
 		}
 	}
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -26,14 +26,14 @@
 	loadTime = 2 * time.Second
 )
 
-// engine is one that takes orders and remembers them. It reports at once.
+// engine executes and records orders. Its reports arrive without delay.
 type engine struct {
 	mu     sync.Mutex
 	fenced bool
 	load   wire.EngineLoad
 	orders []wire.EngineOrder // carried out, in order
-	delay  time.Duration      // on the way, of the next order
-	deaf   bool               // the delay goes on when the sender has given up
+	delay  time.Duration      // of the next order in the network
+	late   bool               // a delayed order arrives even after the sender's timeout
 }
 
 func (e *engine) Fresh(time.Time, string, time.Duration) (wire.EngineLoad, bool) {
@@ -42,31 +42,31 @@
 	return e.load, true
 }
 
-// Order is the network and the engine's end of it.
+// Order delivers an order to the engine, with the delay set for it.
 func (e *engine) Order(ctx context.Context, _ string, o wire.EngineOrder) (wire.OrderAnswer, error) {
 	e.mu.Lock()
-	delay, deaf := e.delay, e.deaf
+	delay, late := e.delay, e.late
 	e.delay = 0
 	e.mu.Unlock()
 	if delay == 0 {
-		return e.carryOut(o), nil
+		return e.execute(o), nil
 	}
-	if !deaf && delay > timeout {
+	if !late && delay > timeout {
 		time.Sleep(timeout)
-		return wire.OrderAnswer{}, ctx.Err() // lost on the way
+		return wire.OrderAnswer{}, ctx.Err() // lost in the network
 	}
-	if !deaf {
+	if !late {
 		time.Sleep(delay)
-		return e.carryOut(o), nil
+		return e.execute(o), nil
 	}
 	go func() {
 		time.Sleep(delay)
-		e.carryOut(o)
+		e.execute(o)
 	}()
 	return wire.OrderAnswer{}, context.DeadlineExceeded
 }
 
-func (e *engine) carryOut(o wire.EngineOrder) wire.OrderAnswer {
+func (e *engine) execute(o wire.EngineOrder) wire.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fenced && o.Fence < e.load.Fence {
@@ -105,7 +105,7 @@
 	}}
 }
 
-// test is two boxes that stand for a hall, and its one engine.
+// test holds two boxes that compete for a hall's lease, and the hall's engine.
 type test struct {
 	platform  *platform.Platform
 	engine    *engine
@@ -125,7 +125,7 @@
 	return x
 }
 
-// rounds lets a while pass, in which the boxes that are not frozen work.
+// rounds runs n rounds on the boxes that are not frozen.
 func (x *test) rounds(n int) {
 	for range n {
 		for i, b := range x.boxes {
@@ -141,28 +141,28 @@
 	x.platform.Fault(wire.Fault{Part: platform.Table, Mode: mode, Count: count})
 }
 
-// matrix is the fault matrix of an order's life, fault x step. Each row says
-// what happens once box a holds the lease; then version 2 is declared.
+// matrix is the fault matrix of an order, fault x step. Each fault is injected
+// while box a holds the lease, before or after version 2 is declared.
 var matrix = map[string]struct {
 	fenced bool
 	before func(x *test) // before the new declaration
 	after  func(x *test) // right after it
 }{
-	"sound x fenced":                     {fenced: true},
-	"sound x not fenced":                 {},
+	"no fault x fenced":                  {fenced: true},
+	"no fault x not fenced":              {},
 	"kill x before order":                {before: func(x *test) { x.frozen[0] = true }},
 	"kill x after order":                 {after: func(x *test) { x.rounds(1); x.frozen[0] = true }},
 	"freeze, lapse, wake x before order": {before: func(x *test) { x.frozen[0] = true; x.rounds(12) }, after: func(x *test) { x.frozen[0] = false }},
-	"slow x order on its way":            {before: func(x *test) { x.engine.delay = time.Second }},
+	"slow x order in the network":        {before: func(x *test) { x.engine.delay = time.Second }},
 	"cut x order lost":                   {before: func(x *test) { x.engine.delay = time.Hour }},
 	"cut and kill x order lost":          {before: func(x *test) { x.engine.delay = time.Hour }, after: func(x *test) { x.rounds(1); x.frozen[0] = true }},
-	"late beyond the lease x fenced":     {fenced: true, before: func(x *test) { x.engine.delay, x.engine.deaf = 4*duration, true }, after: func(x *test) { x.rounds(1); x.frozen[0] = true }},
+	"late beyond the lease x fenced":     {fenced: true, before: func(x *test) { x.engine.delay, x.engine.late = 4*duration, true }, after: func(x *test) { x.rounds(1); x.frozen[0] = true }},
 	"store down x renewal":               {before: func(x *test) { x.fault(wire.FaultModeDown, 0); x.rounds(12); x.fault(wire.FaultModeNone, 0) }},
 	"store down x order":                 {before: func(x *test) { x.fault(wire.FaultModeDown, 0) }, after: func(x *test) { x.rounds(8); x.fault(wire.FaultModeNone, 0) }},
 	"reply lost x renewal": {before: func(x *test) {
 		x.platform.Fault(wire.Fault{Part: platform.TableWrites, Mode: wire.FaultModeLoseReply, Count: 4})
 	}},
-	"new declaration x half-way": {after: func(x *test) {
+	"new declaration x during rollout": {after: func(x *test) {
 		x.rounds(1)
 		x.resources.Apply(declaration(3, "1"))
 		x.rounds(1)
@@ -177,8 +177,9 @@
 	"planned stop x holder": {before: func(x *test) { _ = x.leases[0].Release(context.Background()); x.frozen[0] = true }},
 }
 
-// TestRound holds, by the engine's own record, that no order of an older holder
-// is carried out after one of a newer, and that all ends as last declared.
+// TestRound checks by the engine's record that no order of an older lease holder
+// is executed after one of a newer holder, and that the last declaration is
+// reached.
 func TestRound(t *testing.T) {
 	for name, tt := range matrix {
 		t.Run(name, func(t *testing.T) {
@@ -186,7 +187,7 @@
 				is := is.New(t)
 				x := newTest(tt.fenced)
 				x.rounds(6)
-				is.Equal(x.engine.load.Version, "1") // loaded before anything strikes
+				is.Equal(x.engine.load.Version, "1") // loaded before the fault
 				if tt.before != nil {
 					tt.before(x)
 				}
@@ -202,7 +203,7 @@
 					is.True(o.Fence >= top)
 					top = max(top, o.Fence)
 				}
-				time.Sleep(time.Hour) // what is still on its way arrives
+				time.Sleep(time.Hour) // delayed orders arrive
 				is.Equal(x.engine.load.Version, "2")
 			})
 		})
