--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,6 +1,6 @@
-// Package resource holds the configuration in force at one box. It only ever
-// goes forward: changes apply in the order of their revisions, each to the
-// state right before it, and an older state is never taken for a newer.
+// Package resource holds the configuration in force at one box. Its revision
+// only grows: each change applies to the revision right before it, and an older
+// state never replaces a newer one.
 package resource
 
 import (
@@ -10,14 +10,15 @@
 	"petrelstep/wire"
 )
 
-// kept is how many changes are kept to bring peers up to date with.
-const kept = 4096
+// maxChanges is the number of changes stored to bring peers up to date.
+const maxChanges = 4096
 
-// Resources is safe for use by several goroutines.
+// Resources holds the configuration and its latest changes. It is safe for
+// concurrent use.
 type Resources struct {
 	mu      sync.Mutex
 	view    atomic.Pointer[View]
-	changes []wire.Resource // by revision, without gaps, the last in force last
+	changes []wire.Resource // by revision, without gaps, up to the view's revision
 	next    chan struct{}
 }
 
@@ -38,9 +39,9 @@
 	return r.next
 }
 
-// Apply takes changes in the order of their revisions. What is already in
-// force is passed over; at a gap it stops. It reports whether all that the
-// set names is now in force.
+// Apply applies changes in the order of their revisions. It skips those already
+// in force and stops at a gap, and reports whether the whole set is now in
+// force.
 func (r *Resources) Apply(set wire.ChangeSet) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,12 +59,12 @@
 		}
 	}
 	if len(fresh) > 0 {
-		r.forward(now, fresh)
+		r.applyChanges(now, fresh)
 	}
 	return revision >= set.Revision
 }
 
-// replace takes a whole state that is newer than the one in force.
+// replace installs a complete state that is newer than the one in force.
 func (r *Resources) replace(set wire.ChangeSet) {
 	all := map[string]wire.Resource{}
 	for _, item := range set.Items {
@@ -77,13 +78,13 @@
 	r.store(NewView(set.Revision, all))
 }
 
-func (r *Resources) forward(now *View, fresh []wire.Resource) {
+func (r *Resources) applyChanges(now *View, fresh []wire.Resource) {
 	for _, item := range fresh {
 		now = now.With(item)
 	}
 	r.changes = append(r.changes, fresh...)
-	if len(r.changes) > kept {
-		r.changes = append([]wire.Resource{}, r.changes[len(r.changes)-kept/2:]...)
+	if len(r.changes) > maxChanges {
+		r.changes = append([]wire.Resource{}, r.changes[len(r.changes)-maxChanges/2:]...)
 	}
 	r.store(now)
 }
@@ -94,8 +95,8 @@
 	r.next = make(chan struct{})
 }
 
-// Since returns what changed after a revision, or the whole state where the
-// changes are no longer kept.
+// Since returns the changes after a revision, or the complete state if those
+// changes are no longer stored.
 func (r *Resources) Since(revision int) wire.ChangeSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -14,7 +14,7 @@
 	"petrelstep/wire"
 )
 
-// hall returns a change of one hall's region.
+// hall returns a change to one hall's region.
 func hall(revision int, name, region string) wire.Resource {
 	return wire.Resource{
 		Kind: wire.ResourceKindHall, Name: name, Version: revision, Revision: revision,
@@ -37,26 +37,26 @@
 		sets     []wire.ChangeSet
 		revision int
 		regions  map[string]string
-		whole    bool // of the last set
+		applied  bool // the last set, completely
 	}{
-		"in order":               {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(1, 2, hall(2, "leith", "b"))}, revision: 2, regions: map[string]string{"leith": "b"}, whole: true},
-		"again":                  {sets: []wire.ChangeSet{set(0, 2, hall(1, "leith", "a"), hall(2, "leith", "b")), set(0, 1, hall(1, "leith", "a"))}, revision: 2, regions: map[string]string{"leith": "b"}, whole: true},
-		"older state":            {sets: []wire.ChangeSet{set(0, 3, hall(3, "leith", "c")), set(0, 2, hall(2, "leith", "b"))}, revision: 3, regions: map[string]string{"leith": "c"}, whole: true},
-		"gap":                    {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(2, 3, hall(3, "leith", "c"))}, revision: 1, regions: map[string]string{"leith": "a"}},
-		"crossed":                {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(2, 3, hall(3, "leith", "c")), set(1, 2, hall(2, "leith", "b"))}, revision: 2, regions: map[string]string{"leith": "b"}, whole: true},
-		"removed":                {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(1, 2, removed(2, "leith"))}, revision: 2, regions: map[string]string{}, whole: true},
-		"removed within a whole": {sets: []wire.ChangeSet{set(0, 2, hall(1, "leith", "a"), removed(2, "leith"))}, revision: 2, regions: map[string]string{}, whole: true},
+		"in order":                {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(1, 2, hall(2, "leith", "b"))}, revision: 2, regions: map[string]string{"leith": "b"}, applied: true},
+		"repeated":                {sets: []wire.ChangeSet{set(0, 2, hall(1, "leith", "a"), hall(2, "leith", "b")), set(0, 1, hall(1, "leith", "a"))}, revision: 2, regions: map[string]string{"leith": "b"}, applied: true},
+		"older state":             {sets: []wire.ChangeSet{set(0, 3, hall(3, "leith", "c")), set(0, 2, hall(2, "leith", "b"))}, revision: 3, regions: map[string]string{"leith": "c"}, applied: true},
+		"gap":                     {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(2, 3, hall(3, "leith", "c"))}, revision: 1, regions: map[string]string{"leith": "a"}},
+		"out of order":            {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(2, 3, hall(3, "leith", "c")), set(1, 2, hall(2, "leith", "b"))}, revision: 2, regions: map[string]string{"leith": "b"}, applied: true},
+		"removed":                 {sets: []wire.ChangeSet{set(0, 1, hall(1, "leith", "a")), set(1, 2, removed(2, "leith"))}, revision: 2, regions: map[string]string{}, applied: true},
+		"removed in complete set": {sets: []wire.ChangeSet{set(0, 2, hall(1, "leith", "a"), removed(2, "leith"))}, revision: 2, regions: map[string]string{}, applied: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := resource.New()
-			whole := false
+			applied := false
 			for _, s := range tt.sets {
-				whole = r.Apply(s)
+				applied = r.Apply(s)
 			}
 			is.Equal(r.View().Revision, tt.revision)
-			is.Equal(whole, tt.whole)
+			is.Equal(applied, tt.applied)
 			regions := map[string]string{}
 			for name, h := range r.View().Halls {
 				regions[name] = h.Region
@@ -66,10 +66,10 @@
 	}
 }
 
-// TestNeverBack applies random sets, crossed and repeated, and lets boxes
-// catch up from each other: no box goes back, and boxes of the same revision
-// have the same configuration.
-func TestNeverBack(t *testing.T) {
+// TestNoRollback applies random sets, reordered and repeated, and lets boxes
+// catch up from each other: no revision decreases, and boxes at the same
+// revision have the same configuration.
+func TestNoRollback(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const last = 12
 		var log []wire.Resource
@@ -91,7 +91,7 @@
 				boxes[to].Apply(set(since, end, log[since:end]...))
 			}
 			if boxes[to].View().Revision < before {
-				rt.Fatalf("went back from %d to %d", before, boxes[to].View().Revision)
+				rt.Fatalf("revision decreased from %d to %d", before, boxes[to].View().Revision)
 			}
 		}
 		for _, b := range boxes {
@@ -125,7 +125,7 @@
 	}
 }
 
-// BenchmarkMemory is the memory of the state, by resources.
+// BenchmarkMemory measures the memory of the state, by the number of resources.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(n, " resources"), func(b *testing.B) {
--- a/resource/view.go
+++ b/resource/view.go
@@ -25,8 +25,8 @@
 // Key returns the key of a resource within a view.
 func Key(kind wire.ResourceKind, name string) string { return string(kind) + "/" + name }
 
-// NewView decodes resources. What does not decode is left out: it was checked
-// when it was accepted.
+// NewView decodes resources. It skips those that do not decode, as they were
+// checked when they were accepted.
 func NewView(revision int, resources map[string]wire.Resource) *View {
 	v := &View{
 		Revision:      revision,
@@ -46,9 +46,8 @@
 	return v
 }
 
-// With returns the configuration after one change. Only what the change
-// touches is decoded and copied: a whole decoding took 33 ms at 3,000
-// resources.
+// With returns the configuration after one change. It decodes and copies only
+// what the change affects, as decoding everything is slow.
 func (v *View) With(r wire.Resource) *View {
 	next := *v
 	next.Revision = r.Revision
@@ -63,7 +62,7 @@
 	return &next
 }
 
-// drop takes a resource out of copies of the maps that it is in.
+// drop removes a resource from copies of the maps that contain it.
 func (v *View) drop(r wire.Resource) {
 	switch r.Kind {
 	case wire.ResourceKindOrganisation:
@@ -97,26 +96,26 @@
 func (v *View) add(r wire.Resource) {
 	switch r.Kind {
 	case wire.ResourceKindOrganisation:
-		into(v.Organisations, r)
+		decodeInto(v.Organisations, r)
 		for _, hash := range v.Organisations[r.Name].KeyHashes {
 			v.Keys[hash] = r.Name
 		}
 	case wire.ResourceKindModel:
-		into(v.Models, r)
+		decodeInto(v.Models, r)
 	case wire.ResourceKindAdapter:
-		into(v.Adapters, r)
+		decodeInto(v.Adapters, r)
 	case wire.ResourceKindHall:
-		into(v.Halls, r)
+		decodeInto(v.Halls, r)
 	case wire.ResourceKindUpstream:
-		into(v.Upstreams, r)
+		decodeInto(v.Upstreams, r)
 	case wire.ResourceKindPlacement:
-		into(v.Placements, r)
+		decodeInto(v.Placements, r)
 	case wire.ResourceKindPolicy:
 		_ = json.Unmarshal(r.Spec, &v.Policy)
 	}
 }
 
-func into[T any](m map[string]T, r wire.Resource) {
+func decodeInto[T any](m map[string]T, r wire.Resource) {
 	var t T
 	if json.Unmarshal(r.Spec, &t) == nil {
 		m[r.Name] = t
