--- a/configwriter/configwriter.go
+++ b/configwriter/configwriter.go
@@ -1,5 +1,5 @@
-// Package configwriter writes the configuration: each accepted change is committed
-// to the platform's table with the next global revision, or not at all.
+// Package configwriter writes the configuration: each accepted change is
+// committed to the platform's table atomically with the next global revision.
 package configwriter
 
 import (
@@ -16,7 +16,7 @@
 	"petrelstep/wire"
 )
 
-// Keys of the table.
+// Keys and key prefixes in the table.
 const (
 	RevisionKey    = "rev"
 	ResourcePrefix = "res/"
@@ -27,12 +27,12 @@
 func ChangeKey(revision int) string { return fmt.Sprintf("%s%012d", ChangePrefix, revision) }
 
 const (
-	// triesMost bounds how often a write races for the next revision.
-	triesMost = 20
-	// unsettledMost bounds how often a write whose reply was lost is sent again.
-	unsettledMost = 4
-	settleWait    = 100 * time.Millisecond
-	comeBack      = 2 * time.Second
+	// maxTries bounds the attempts of a write to get the next revision.
+	maxTries = 20
+	// maxSends bounds how often a transaction is sent while its replies are lost.
+	maxSends    = 4
+	resendDelay = 100 * time.Millisecond
+	retryAfter  = 2 * time.Second
 )
 
 // Table is the platform's table.
@@ -42,7 +42,7 @@
 	Transact(ctx context.Context, tx wire.Transaction) (wire.TransactionAnswer, error)
 }
 
-// Verifier finds mistakes in a resource.
+// Verifier validates a resource.
 type Verifier interface {
 	Mistakes(now *resource.View, r wire.Resource) []string
 }
@@ -55,36 +55,36 @@
 	catchUp   func(ctx context.Context) error
 }
 
-// New returns a declarer. catchUp brings the configuration in force up to the
-// table's, so that references are checked against the newest.
+// New returns a writer. catchUp updates the configuration in force from the
+// table, so that references are checked against the latest.
 func New(t Table, v Verifier, r *resource.Resources, catchUp func(ctx context.Context) error) *Writer {
 	return &Writer{table: t, verifier: v, resources: r, catchUp: catchUp}
 }
 
-// Write commits a resource if its version is the one now in the table, and
+// Write commits a resource if its version is the current one in the table, and
 // returns it with its new version and revision. The error is a
-// refusal.Refusal; only unknown_outcome leaves open whether it was accepted.
-func (d *Writer) Write(ctx context.Context, r wire.Resource) (wire.Resource, error) {
-	for range triesMost {
-		if err := d.catchUp(ctx); err != nil {
-			return r, refusal.New(refusal.StoreDown, "the table cannot be read").WithRetryAfter(comeBack)
+// refusal.Refusal; unless it is unknown_outcome, the write was not accepted.
+func (w *Writer) Write(ctx context.Context, r wire.Resource) (wire.Resource, error) {
+	for range maxTries {
+		if err := w.catchUp(ctx); err != nil {
+			return r, refusal.New(refusal.StoreDown, "the table cannot be read").WithRetryAfter(retryAfter)
 		}
-		done, again, err := d.writeOnce(ctx, r)
-		if !again {
+		done, retry, err := w.writeOnce(ctx, r)
+		if !retry {
 			return done, err
 		}
 	}
-	return r, refusal.New(refusal.StoreDown, "too many writes race").WithRetryAfter(comeBack)
+	return r, refusal.New(refusal.StoreDown, "too many concurrent writes").WithRetryAfter(retryAfter)
 }
 
-func (d *Writer) writeOnce(ctx context.Context, r wire.Resource) (done wire.Resource, again bool, err error) {
-	view := d.resources.View()
-	if places := d.verifier.Mistakes(view, r); len(places) > 0 {
-		return r, false, refusal.New(refusal.BadRequest, "the resource has mistakes").WithPlaces(places)
+func (w *Writer) writeOnce(ctx context.Context, r wire.Resource) (done wire.Resource, retry bool, err error) {
+	view := w.resources.View()
+	if places := w.verifier.Mistakes(view, r); len(places) > 0 {
+		return r, false, refusal.New(refusal.BadRequest, "the resource is invalid").WithPlaces(places)
 	}
-	revision, err := d.table.Get(ctx, RevisionKey)
+	revision, err := w.table.Get(ctx, RevisionKey)
 	if err != nil {
-		return r, false, refusal.New(refusal.StoreDown, "the table cannot be read").WithRetryAfter(comeBack)
+		return r, false, refusal.New(refusal.StoreDown, "the table cannot be read").WithRetryAfter(retryAfter)
 	}
 	if at, _ := strconv.Atoi(revision.Value); at != view.Revision {
 		return r, true, nil // the checks were made against an older configuration
@@ -92,35 +92,35 @@
 	next := r
 	next.Version = r.Version + 1
 	next.Revision = view.Revision + 1
-	return d.commit(ctx, r, next, revision.Version)
+	return w.commit(ctx, r, next, revision.Version)
 }
 
-// commit sends one transaction until it is settled. Sent again after a lost
-// reply, it meets its own change row.
-func (d *Writer) commit(ctx context.Context, r, next wire.Resource, revisionVersion int) (wire.Resource, bool, error) {
+// commit sends one transaction until its outcome is known. If it is sent again
+// after a lost reply, it may conflict with its own change row.
+func (w *Writer) commit(ctx context.Context, r, next wire.Resource, revisionVersion int) (wire.Resource, bool, error) {
 	tx, token := transaction(r, next, revisionVersion)
 	lost := false
-	for range unsettledMost {
-		answer, err := d.table.Transact(ctx, tx)
+	for range maxSends {
+		answer, err := w.table.Transact(ctx, tx)
 		switch {
 		case err == nil && answer.Committed:
 			return next, false, nil
 		case err == nil:
-			return d.conflicted(ctx, r, next, token, answer.Conflicts, lost)
+			return w.resolveConflict(ctx, r, next, token, answer.Conflicts, lost)
 		case table.NoEffect(err) && !lost:
-			return r, false, refusal.New(refusal.StoreDown, "the table takes no writes").WithRetryAfter(comeBack)
+			return r, false, refusal.New(refusal.StoreDown, "the table rejects writes").WithRetryAfter(retryAfter)
 		}
 		lost = true
-		time.Sleep(settleWait)
+		time.Sleep(resendDelay)
 	}
-	return r, false, refusal.New(refusal.UnknownOutcome, "the table's reply was lost").WithRetryAfter(comeBack)
+	return r, false, refusal.New(refusal.UnknownOutcome, "the table's reply was lost").WithRetryAfter(retryAfter)
 }
 
-func (d *Writer) conflicted(ctx context.Context, r, next wire.Resource, token string, rows []wire.Row, lost bool) (wire.Resource, bool, error) {
+func (w *Writer) resolveConflict(ctx context.Context, r, next wire.Resource, token string, rows []wire.Row, lost bool) (wire.Resource, bool, error) {
 	if lost {
-		row, err := d.table.Get(ctx, ChangeKey(next.Revision))
+		row, err := w.table.Get(ctx, ChangeKey(next.Revision))
 		if err != nil {
-			return r, false, refusal.New(refusal.UnknownOutcome, "the table's reply was lost").WithRetryAfter(comeBack)
+			return r, false, refusal.New(refusal.UnknownOutcome, "the table's reply was lost").WithRetryAfter(retryAfter)
 		}
 		if change, ok := DecodeChange(row); ok && change.Token == token {
 			return next, false, nil
@@ -131,7 +131,7 @@
 			return r, false, refusal.New(refusal.Conflict, "another version is in force").WithVersion(row.Version)
 		}
 	}
-	return r, true, nil // another change took the revision
+	return r, true, nil // another change got the revision
 }
 
 func transaction(r, next wire.Resource, revisionVersion int) (wire.Transaction, string) {
@@ -153,7 +153,7 @@
 
 func resourceKey(r wire.Resource) string { return ResourcePrefix + resource.Key(r.Kind, r.Name) }
 
-// DecodeChange reads a change row.
+// DecodeChange decodes a change row.
 func DecodeChange(row wire.Row) (wire.Change, bool) {
 	var c wire.Change
 	err := json.Unmarshal([]byte(row.Value), &c)
@@ -163,7 +163,7 @@
 func mustJSON(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only wire types come here
+		panic(err) // wire types always encode
 	}
 	return string(b)
 }
--- a/configwriter/configwriter_test.go
+++ b/configwriter/configwriter_test.go
@@ -25,21 +25,21 @@
 	"petrelstep/wire"
 )
 
-// box is what of a box takes part in a write.
+// box holds the components of a box that take part in a write.
 type box struct {
 	resources *resource.Resources
 	catchUp   *catchup.CatchUp
-	declarer  *configwriter.Writer
+	writer    *configwriter.Writer
 }
 
 func newBox(p *platform.Platform) *box {
 	r := resource.New()
 	c := catchup.New(p.Direct(), r)
-	return &box{resources: r, catchUp: c, declarer: configwriter.New(p.Direct(), verify.New(), r, c.Run)}
+	return &box{resources: r, catchUp: c, writer: configwriter.New(p.Direct(), verify.New(), r, c.Run)}
 }
 
 func (b *box) write(version int, region string) (wire.Resource, refusal.Refusal) {
-	done, err := b.declarer.Write(context.Background(), hall("leith", version, region))
+	done, err := b.writer.Write(context.Background(), hall("leith", version, region))
 	var r refusal.Refusal
 	errors.As(err, &r)
 	return done, r
@@ -58,17 +58,17 @@
 	p.Fault(wire.Fault{Part: platform.Table, Mode: mode, Count: count})
 }
 
-// writeTest is one row: a fault at a step of a write.
+// writeTest is a fault at one step of a write.
 type writeTest struct {
 	before  func(p *platform.Platform, a, b *box)
 	version int
 	reason  refusal.Reason
 	after   func(p *platform.Platform, a, b *box)
-	region  string // in force in the end
+	region  string // finally in force
 }
 
 var writeTests = map[string]writeTest{
-	"sound x write": {region: "new"},
+	"no fault x write": {region: "new"},
 	"reply lost x commit": {
 		before: func(p *platform.Platform, _, _ *box) { loseWrites(p) },
 		region: "new",
@@ -78,19 +78,19 @@
 		reason: refusal.StoreDown,
 		region: "old",
 	},
-	"operators' race x commit": {
+	"concurrent write x commit": {
 		before: func(_ *platform.Platform, _, b *box) { b.write(1, "faster") },
 		reason: refusal.Conflict,
 		region: "faster",
 	},
-	"operators' race x another resource": {
+	"concurrent write x another resource": {
 		before: func(_ *platform.Platform, _, b *box) {
-			_, _ = b.declarer.Write(context.Background(), hall("gorgie", 0, "x"))
+			_, _ = b.writer.Write(context.Background(), hall("gorgie", 0, "x"))
 		},
 		region: "new",
 	},
 	"old version x write": {version: 7, reason: refusal.Conflict, region: "old"},
-	"older state x after": {
+	"older table state x after": {
 		after: func(p *platform.Platform, _, b *box) {
 			p.HandOut(map[string]wire.Row{})
 			_ = b.catchUp.Run(context.Background())
@@ -101,8 +101,8 @@
 }
 
 // TestWrite is the fault matrix of a configuration write, fault x step. Box a
-// writes; then box b and a box c that starts anew catch up: what was accepted
-// is in force at both, what was refused at neither.
+// writes, then box b and a new box catch up: an accepted write is in force at
+// both, a refused one at neither.
 func TestWrite(t *testing.T) {
 	for name, tt := range writeTests {
 		t.Run(name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 	}
 	_, r = a.write(max(tt.version, 1), "new")
 	is.Equal(r.Reason(), tt.reason)
-	is.Equal(r.Body().Version > 0, tt.reason == refusal.Conflict) // the version in force is named
+	is.Equal(r.Body().Version > 0, tt.reason == refusal.Conflict) // the refusal has the version in force
 	fault(p, wire.FaultModeNone, 0)
 	if tt.after != nil {
 		tt.after(p, a, b)
@@ -138,8 +138,8 @@
 	p.Fault(wire.Fault{Part: platform.TableWrites, Mode: wire.FaultModeLoseReply, Count: 2})
 }
 
-// TestOlderState lets the table hand out an older state to a box that runs,
-// and to one that starts and has a peer: neither goes back.
+// TestOlderState returns an older table state to a running box, and to a starting
+// box with a peer: neither reverts to it.
 func TestOlderState(t *testing.T) {
 	is := is.New(t)
 	p := platform.New(platform.Options{})
@@ -156,8 +156,8 @@
 	is.Equal(c.region(), "new")
 }
 
-// TestStoreDownStart starts a box while the table is down: it has the newest
-// that its peer has, and the peer keeps what it had.
+// TestStoreDownStart starts a box while the table is down: it gets its peer's
+// configuration, and the peer keeps it.
 func TestStoreDownStart(t *testing.T) {
 	is := is.New(t)
 	p := platform.New(platform.Options{})
@@ -173,7 +173,7 @@
 	is.Equal(a.region(), "old")
 }
 
-// input and output of the history that porcupine checks.
+// input is a read or write in the history that porcupine checks.
 type input struct {
 	write   bool
 	version int
@@ -181,9 +181,9 @@
 }
 
 type output struct {
-	ok, open bool // open: the outcome is unknown
-	version  int
-	region   string
+	ok, unknown bool // unknown: the write may have taken effect
+	version     int
+	region      string
 }
 
 type state struct {
@@ -191,8 +191,8 @@
 	region  string
 }
 
-// register is a versioned register with compare-and-set. A write of unknown
-// outcome may have taken effect or not.
+// register is a versioned register with compare-and-set. A write with unknown
+// outcome may have taken effect.
 var register = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{state{}} },
 	Step: func(s, in, out any) []any {
@@ -206,9 +206,9 @@
 		written := state{version: i.version + 1, region: i.region}
 		fits := i.version == st.version
 		switch {
-		case o.open && fits:
+		case o.unknown && fits:
 			return []any{st, written}
-		case o.open || !o.ok && !fits:
+		case o.unknown || !o.ok && !fits:
 			return []any{st}
 		case o.ok && fits:
 			return []any{written}
@@ -218,16 +218,16 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestLinearizable lets three boxes write and read one resource at once while
-// replies are lost and the table is down now and then; the recorded history
-// must be that of one register.
+// TestLinearizable writes and reads one resource concurrently at three boxes
+// while replies are lost and the table is sometimes down: the recorded history
+// must be linearizable.
 func TestLinearizable(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				history := record(seed)
 				if !porcupine.CheckOperations(register.ToModel(), history) {
-					t.Fatal("the history is not that of one register")
+					t.Fatal("the history is not linearizable")
 				}
 			})
 		})
@@ -240,7 +240,7 @@
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var all sync.WaitGroup
-	// Counted, not timed: in virtual time many things happen at once.
+	// A counter, as many events have the same virtual time.
 	clock := new(atomic.Int64)
 	for w := range writers {
 		all.Go(func() {
@@ -248,9 +248,9 @@
 			b := newBox(p)
 			for n := range writes {
 				time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
-				strike(p, rng)
+				injectFault(p, rng)
 				in, out, call, end := b.operate(rng, clock, fmt.Sprintf("r%d-%d", w, n))
-				if out.open {
+				if out.unknown {
 					end = math.MaxInt64
 				}
 				mu.Lock()
@@ -263,7 +263,7 @@
 	return history
 }
 
-func strike(p *platform.Platform, rng *rand.Rand) {
+func injectFault(p *platform.Platform, rng *rand.Rand) {
 	switch rng.IntN(5) {
 	case 0:
 		p.Fault(wire.Fault{Part: platform.TableWrites, Mode: wire.FaultModeLoseReply, Count: 1 + rng.IntN(6)})
@@ -272,7 +272,7 @@
 	}
 }
 
-// operate reads, or writes over the version last read.
+// operate reads, or writes based on the version last read.
 func (b *box) operate(rng *rand.Rand, clock *atomic.Int64, region string) (in input, out output, call, end int64) {
 	call = clock.Add(1)
 	_ = b.catchUp.Run(context.Background())
@@ -283,6 +283,6 @@
 	call = clock.Add(1)
 	done, refused := b.write(now.Version, region)
 	in = input{write: true, version: now.Version, region: region}
-	out = output{ok: refused.Reason() == "", open: refused.Reason() == refusal.UnknownOutcome || refused.Reason() == refusal.StoreDown, version: done.Version}
+	out = output{ok: refused.Reason() == "", unknown: refused.Reason() == refusal.UnknownOutcome || refused.Reason() == refusal.StoreDown, version: done.Version}
 	return in, out, call, clock.Add(1)
 }
