--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,7 +1,6 @@
-// Package dispatch brings a request to an engine and to its first token: it
-// holds it against the limits, places it or asks for a grant, and tries
-// elsewhere what is certain not to have run. It is the one layer that
-// retries generations.
+// Package dispatch sends a request to an engine and waits for its first token:
+// it checks quotas, places the request or requests a grant, and retries on
+// another engine. It is the only layer that retries generations.
 package dispatch
 
 import (
@@ -30,35 +29,35 @@
 )
 
 const (
-	// topPriority is the engines' priority of calls that pass without a grant.
+	// topPriority is the engine priority of requests placed without a grant.
 	topPriority = 9
-	// prefixMost bounds the block hashes sent with an ask.
-	prefixMost = 16
-	// cancelTime bounds the cancel of an attempt whose outcome is open.
-	cancelTime = 2 * time.Second
-	// comeAgain is when to come back where nothing better is known.
-	comeAgain = time.Second
+	// maxPrefixBlocks bounds the block hashes sent with a grant request.
+	maxPrefixBlocks = 16
+	// cancelTimeout bounds the cancel of an attempt with an unknown outcome.
+	cancelTimeout = 2 * time.Second
+	// retryAfter is the default Retry-After.
+	retryAfter = time.Second
 )
 
-// Homes asks home boxes for room.
+// Homes requests grants from home boxes.
 type Homes interface {
 	Request(ctx context.Context, ask wire.Ask) (wire.Grant, string, error)
 }
 
-// Engines is what dispatch needs of the engines' client.
+// Engines is the client of the engines.
 type Engines interface {
 	generation.Client
 	Cancel(ctx context.Context, address, attempt string) (wire.CancelAnswer, error)
 }
 
-// Request is a checked request of an organisation.
+// Request is a validated request of an organisation.
 type Request struct {
 	Organisation string
 	Terms        wire.Organisation
 	Body         wire.GenerationRequest
 }
 
-// Components are what a dispatcher works with.
+// Components are the dependencies of a dispatcher.
 type Components struct {
 	Box       string
 	Resources *resource.Resources
@@ -79,7 +78,7 @@
 type Dispatcher struct{ Components }
 
 // New returns a dispatcher.
-func New(parts Components) *Dispatcher { return &Dispatcher{parts} }
+func New(components Components) *Dispatcher { return &Dispatcher{components} }
 
 // try is one attempt of a request.
 type try struct {
@@ -87,37 +86,38 @@
 	engine  string
 	address string
 	cell    string
-	home    string // that granted it; empty for a call that passed
+	home    string // box that granted it, empty without a grant
 }
 
-// Start brings a request to its first token. The error is a refusal.Refusal.
+// Start dispatches a request and waits for its first token. The error is a
+// refusal.Refusal.
 func (d *Dispatcher) Start(ctx context.Context, req Request) (*Running, error) {
 	view := d.Resources.View()
 	if _, ok := view.Models[req.Body.Model]; !ok {
 		return nil, refusal.New(refusal.UnknownModel, req.Body.Model)
 	}
 	if ok, wait := d.Quota.Allow(time.Now(), req.Organisation, req.Terms.RequestsPerSecond); !ok {
-		return nil, refusal.New(refusal.QuotaRequests, "requests a second").WithRetryAfter(wait)
+		return nil, refusal.New(refusal.QuotaRequests, "requests per second").WithRetryAfter(wait)
 	}
 	key := outputlen.Key{Organisation: req.Organisation, Model: req.Body.Model, Class: string(req.Body.Class)}
 	prompt := promptTokens(req.Body.Prompt)
-	promised := prompt + int(min(d.Lengths.Curve(key).Mean(), float64(req.Body.MaxTokens)))
-	if !d.Quota.Reserve(time.Now(), req.Organisation, promised, req.Terms.TokensInFlight) {
-		return nil, refusal.New(refusal.QuotaTokens, "tokens in flight").WithRetryAfter(comeAgain)
+	reserved := prompt + int(min(d.Lengths.Curve(key).Mean(), float64(req.Body.MaxTokens)))
+	if !d.Quota.Reserve(time.Now(), req.Organisation, reserved, req.Terms.TokensInFlight) {
+		return nil, refusal.New(refusal.QuotaTokens, "tokens in flight").WithRetryAfter(retryAfter)
 	}
-	release := func() { d.Quota.Release(req.Organisation, promised) }
+	release := func() { d.Quota.Release(req.Organisation, reserved) }
 	deadline := time.Now().Add(time.Duration(req.Body.DeadlineMs) * time.Millisecond)
-	running, err := d.tries(ctx, req, key, prompt, deadline)
+	running, err := d.startWithRetries(ctx, req, key, prompt, deadline)
 	if err != nil {
 		release()
 		return nil, err
 	}
-	running.promise = release
+	running.release = release
 	return running, nil
 }
 
-// tries dispatches until a first token comes or nothing is left to try.
-func (d *Dispatcher) tries(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time) (*Running, error) {
+// startWithRetries dispatches until a first token arrives or no retry is left.
+func (d *Dispatcher) startWithRetries(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time) (*Running, error) {
 	var avoid []string
 	var last refusal.Refusal
 	waits := retry.Waits()
@@ -130,7 +130,7 @@
 		}
 		t, err := d.place(ctx, req, key, prompt, deadline, avoid)
 		if err != nil {
-			return nil, worse(last, err)
+			return nil, withOutcomeOf(last, err)
 		}
 		running, failure, reason := d.attempt(ctx, req, key, prompt, deadline, t)
 		if failure == nil {
@@ -147,9 +147,9 @@
 	return nil, last
 }
 
-// worse keeps what an earlier try left open: a later refusal that ran nothing
-// does not make the whole not_run.
-func worse(last refusal.Refusal, err error) error {
+// withOutcomeOf returns err as a refusal with the outcome of the last attempt, if
+// that is worse: a request is only not_run if none of its attempts ran.
+func withOutcomeOf(last refusal.Refusal, err error) error {
 	var r refusal.Refusal
 	if !errors.As(err, &r) {
 		r = refusal.New(refusal.InternalUnexpected, err.Error())
@@ -157,6 +157,7 @@
 	return worseOf(last, r)
 }
 
+// worseOf returns now with the worse of both outcomes.
 func worseOf(last, now refusal.Refusal) refusal.Refusal {
 	switch last.Outcome() {
 	case refusal.Unknown:
@@ -169,19 +170,19 @@
 	return now
 }
 
-// place finds an engine: at once for what is expected to be short, by a grant
-// of the home box for the rest.
+// place finds an engine: at once for requests expected to be short, by a grant
+// of the home box for others.
 func (d *Dispatcher) place(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time, avoid []string) (try, error) {
 	view := d.Resources.View()
 	t := try{attempt: uniqueid.New()}
 	policy := view.Policy
 	expected := min(d.Lengths.Curve(key).Mean(), float64(req.Body.MaxTokens)) + float64(prompt)
 	if policy.Method != wire.PolicyMethodForecast || expected <= float64(policy.ShortTokens) {
-		return d.pass(view, req, t, prompt, avoid, placement.Method(policy.Method))
+		return d.placeUngranted(view, req, t, prompt, avoid, placement.Method(policy.Method))
 	}
 	cell, ok := d.chooseCell(view, req, avoid)
 	if !ok {
-		return t, refusal.New(refusal.NoUpstream, "no engine serves "+req.Body.Model).WithRetryAfter(comeAgain)
+		return t, refusal.New(refusal.NoUpstream, "no engine serves "+req.Body.Model).WithRetryAfter(retryAfter)
 	}
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -200,13 +201,13 @@
 	return t, nil
 }
 
-// pass places a call by what this box knows, without a grant.
-func (d *Dispatcher) pass(view *resource.View, req Request, t try, prompt int, avoid []string, method placement.Method) (try, error) {
+// placeUngranted places a request by this box's own load data, without a grant.
+func (d *Dispatcher) placeUngranted(view *resource.View, req Request, t try, prompt int, avoid []string, method placement.Method) (try, error) {
 	now := time.Now()
 	views := d.views(now, view, req, avoid)
 	i := d.Placer(method, views)
 	if i < 0 {
-		return t, refusal.New(refusal.NoUpstream, "no engine serves "+req.Body.Model).WithRetryAfter(comeAgain)
+		return t, refusal.New(refusal.NoUpstream, "no engine serves "+req.Body.Model).WithRetryAfter(retryAfter)
 	}
 	t.engine = views[i].Engine
 	t.address = view.Upstreams[t.engine].Address
@@ -216,8 +217,8 @@
 	return t, nil
 }
 
-// views returns what is known of the engines that may serve a request; those
-// on probation only where there is no other.
+// views returns the load of the engines that may serve a request; engines on
+// probation only if there is no other.
 func (d *Dispatcher) views(now time.Time, view *resource.View, req Request, avoid []string) []placement.View {
 	if views := d.viewsOf(now, view, req, avoid, d.Health.Eligible); len(views) > 0 {
 		return views
@@ -246,7 +247,7 @@
 	return body.Adapter == "" || slices.Contains(l.Adapters, body.Adapter)
 }
 
-// chooseCell picks the cell of the least crowded engine.
+// chooseCell picks the cell of the least loaded engine.
 func (d *Dispatcher) chooseCell(view *resource.View, req Request, avoid []string) (string, bool) {
 	views := d.views(time.Now(), view, req, avoid)
 	i := d.Placer(placement.LeastMemory, views)
@@ -256,8 +257,8 @@
 	return d.Cells().Of(views[i].Engine), true
 }
 
-// attempt dispatches once. A failure comes with the reason to retry by, or
-// with none where it may not be retried.
+// attempt dispatches once. On failure it returns a refusal and a retry reason;
+// the reason is empty if the request must not be retried.
 func (d *Dispatcher) attempt(ctx context.Context, req Request, key outputlen.Key, prompt int, deadline time.Time, t try) (*Running, *refusal.Refusal, string) {
 	f := &inflight.Generation{
 		Attempt: t.attempt, Cell: t.cell, Engine: t.engine, Address: t.address, Key: key, Prompt: prompt,
@@ -265,12 +266,12 @@
 	}
 	d.Flights.Start(f)
 	first, cancel := context.WithCancel(ctx)
-	late := time.AfterFunc(time.Until(deadline), cancel)
+	deadlineTimer := time.AfterFunc(time.Until(deadline), cancel)
 	running, err := d.open(first, req, t)
-	if late.Stop() && err == nil {
+	if deadlineTimer.Stop() && err == nil {
 		running.flight, running.flights = f, d.Flights
 		d.Health.RecordSuccess(time.Now(), t.engine)
-		// The stream lives as long as the caller's own context.
+		// The stream lives as long as the caller's context.
 		context.AfterFunc(ctx, cancel)
 		return running, nil, ""
 	}
@@ -279,7 +280,7 @@
 		running.Close()
 		err = context.DeadlineExceeded
 	}
-	failure, reason := d.failed(ctx, t, err)
+	failure, reason := d.classifyFailure(ctx, t, err)
 	d.Flights.End(t.attempt, 0, true)
 	return nil, &failure, reason
 }
@@ -306,12 +307,13 @@
 	return &Running{Generation: g, Attempt: t.attempt, Engine: t.engine, Address: t.address, First: token, Empty: err == io.EOF}, nil
 }
 
-// promptTokens estimates a prompt's tokens; engines tell the true count later.
+// promptTokens estimates a prompt's tokens; engines report the exact count later.
 func promptTokens(prompt string) int { return max(len(strings.Fields(prompt)), 1) }
 
+// chain returns the hashes of a prompt's first blocks.
 func chain(prompt string) []int {
 	hashes := prefix.Chain(prompt)
-	hashes = hashes[:min(len(hashes), prefixMost)]
+	hashes = hashes[:min(len(hashes), maxPrefixBlocks)]
 	out := make([]int, len(hashes))
 	for i, h := range hashes {
 		out[i] = int(h)
--- a/dispatch/failed.go
+++ b/dispatch/failed.go
@@ -11,40 +11,41 @@
 	"petrelstep/wire"
 )
 
-// failed tells what is certain after an attempt without a first token.
-func (d *Dispatcher) failed(ctx context.Context, t try, err error) (refusal.Refusal, string) {
+// classifyFailure returns the refusal for an attempt without a first token, and
+// the retry reason; the reason is empty if the request must not be retried.
+func (d *Dispatcher) classifyFailure(ctx context.Context, t try, err error) (refusal.Refusal, string) {
 	var lost *generation.LostError
 	switch {
 	case engine.KindOf(err) == engine.NotSent, engine.KindOf(err) == engine.NotTaken:
 		d.Health.RecordFailure(t.engine)
-		return refusal.New(refusal.NoUpstream, "engine took nothing").WithRetryAfter(comeAgain), metrics.RetryNeverStarted
+		return refusal.New(refusal.NoUpstream, "engine did not accept the request").WithRetryAfter(retryAfter), metrics.RetryNeverStarted
 	case errors.As(err, &lost) && engine.KindOf(lost.Err) == engine.Gone:
 		d.Health.RecordFailure(t.engine)
-		return refusal.New(refusal.UpstreamLost, "engine lost it before its first token").WithRetryAfter(comeAgain), metrics.RetryEngineLost
+		return refusal.New(refusal.UpstreamLost, "engine lost the generation before its first token").WithRetryAfter(retryAfter), metrics.RetryEngineLost
 	}
-	late := ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
-	if !late {
+	pastDeadline := ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
+	if !pastDeadline {
 		d.Health.RecordFailure(t.engine)
 	}
-	return d.settleOpen(t, late)
+	return d.cancelUnknown(t, pastDeadline)
 }
 
-// settleOpen cancels an attempt whose outcome is open, and tells by the
-// engine's answer what became of it.
-func (d *Dispatcher) settleOpen(t try, late bool) (refusal.Refusal, string) {
-	ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
+// cancelUnknown cancels an attempt with an unknown outcome, and derives the
+// outcome from the engine's answer.
+func (d *Dispatcher) cancelUnknown(t try, pastDeadline bool) (refusal.Refusal, string) {
+	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	reason, again := refusal.UpstreamLost, metrics.RetryEngineLost
-	if late {
-		reason, again = refusal.Deadline, ""
+	reason, retryReason := refusal.UpstreamLost, metrics.RetryEngineLost
+	if pastDeadline {
+		reason, retryReason = refusal.Deadline, ""
 	}
-	r := refusal.New(reason, "no first token").WithRetryAfter(comeAgain)
+	r := refusal.New(reason, "no first token").WithRetryAfter(retryAfter)
 	answer, err := d.Engines.Cancel(ctx, t.address, t.attempt)
 	switch {
 	case err != nil || answer.State == wire.CancelAnswerStateUnknown:
-		return r.WithOutcome(refusal.Unknown), again
+		return r.WithOutcome(refusal.Unknown), retryReason
 	case answer.State == wire.CancelAnswerStateNeverStarted:
-		return r.WithOutcome(refusal.NotRun), again
+		return r.WithOutcome(refusal.NotRun), retryReason
 	}
-	return r.WithOutcome(refusal.Failed), again
+	return r.WithOutcome(refusal.Failed), retryReason
 }
--- a/dispatch/running.go
+++ b/dispatch/running.go
@@ -7,7 +7,7 @@
 	"petrelstep/ticket"
 )
 
-// Running is a generation whose first token, or whole end, has come.
+// Running is a generation that has its first token or has ended.
 type Running struct {
 	*generation.Generation
 	Attempt string
@@ -15,31 +15,32 @@
 	Address string
 	First   generation.Token
 	Empty   bool // it ended without a token
-	promise func()
+	release func()
 	flight  *inflight.Generation
 	flights *inflight.Tracker
 }
 
-// Progress notes how many tokens were passed on.
+// Progress records the number of tokens passed on.
 func (r *Running) Progress() { r.flight.Progress(r.Count()) }
 
-// End settles the generation: cut says that it would have gone on.
+// End settles the generation; cut reports whether it was ended early.
 func (r *Running) End(cut bool) {
 	r.Close()
-	r.promise()
+	r.release()
 	r.flights.End(r.Attempt, r.Count(), cut)
 }
 
-// Abandon leaves the generation at its engine for the caller to come back to.
+// Abandon leaves the generation running at its engine for the caller to resume.
 func (r *Running) Abandon() {
 	r.Close()
-	r.promise()
+	r.release()
 	r.flight.Progress(r.Count())
 	r.flights.Abandon(r.Attempt)
 }
 
-// Resume wraps a generation that a caller takes up at this box. What another
-// box dispatched is settled by nobody here; its home box lets it lapse.
+// Resume wraps a generation that a caller resumes at this box. A generation that
+// another box dispatched is not settled from here; its grant lapses at its home
+// box.
 func (d *Dispatcher) Resume(c ticket.Claims, g *generation.Generation) *Running {
 	f := &inflight.Generation{
 		Attempt: c.Attempt, Engine: c.Engine, Address: c.Address, Cell: d.Cells().Of(c.Engine),
@@ -57,6 +58,6 @@
 func NewRunning(g *generation.Generation, f *inflight.Generation, flights *inflight.Tracker) *Running {
 	return &Running{
 		Generation: g, Attempt: f.Attempt, Engine: f.Engine, Address: f.Address, Empty: true,
-		promise: func() {}, flight: f, flights: flights,
+		release: func() {}, flight: f, flights: flights,
 	}
 }
--- a/inflight/inflight.go
+++ b/inflight/inflight.go
@@ -1,6 +1,6 @@
-// Package inflight keeps the generations that this box has in flight: it
+// Package inflight tracks the generations that this box has in flight: it
 // settles them with their home boxes and cancels those whose callers do not
-// come back.
+// resume them.
 package inflight
 
 import (
@@ -15,15 +15,15 @@
 )
 
 const (
-	// settleEvery is how often home boxes are told how far generations are. In
-	// between they go by the engines' pace; every second did no better.
-	settleEvery = 6 * time.Second
-	// lookEvery is how often it is looked whether a cell has another home box,
-	// which is told at once.
-	lookEvery = time.Second
+	// settleInterval is the interval of progress reports to home boxes, which
+	// extrapolate in between by the engines' step times.
+	settleInterval = 6 * time.Second
+	// checkInterval is the interval of checks for a new home box of a cell, which
+	// gets a report at once.
+	checkInterval = time.Second
 )
 
-// Homes tells home boxes how generations go on.
+// Homes reports the progress of generations to home boxes.
 type Homes interface {
 	Settle(ctx context.Context, cell string, items func(home string) []wire.SettleItem) bool
 	IsHome(cell string) bool
@@ -42,36 +42,37 @@
 
 // Generation is one generation in flight.
 type Generation struct {
-	Attempt   string
-	Cell      string
-	Engine    string
-	Address   string
-	Key       outputlen.Key
-	Prompt    int
-	MaxTokens int
-	Granted   bool   // by a home box, which is settled with
-	Home      string // box that knows of it
-	tokens    atomic.Int64
-	comeback  *time.Timer
+	Attempt     string
+	Cell        string
+	Engine      string
+	Address     string
+	Key         outputlen.Key
+	Prompt      int
+	MaxTokens   int
+	Granted     bool   // by a home box, with which it is settled
+	Home        string // home box that knows it
+	tokens      atomic.Int64
+	cancelTimer *time.Timer
 }
 
-// Progress notes how many tokens there are.
+// Progress records the number of tokens.
 func (f *Generation) Progress(tokens int) { f.tokens.Store(int64(tokens)) }
 
-// Tracker is safe for use by several goroutines.
+// Tracker holds the generations in flight. It is safe for concurrent use.
 type Tracker struct {
-	mu       sync.Mutex
-	homes    Homes
-	lengths  *outputlen.Estimator
-	engines  Canceller
-	comeback time.Duration
-	all      map[string]*Generation
-	closed   bool
+	mu            sync.Mutex
+	homes         Homes
+	lengths       *outputlen.Estimator
+	engines       Canceller
+	resumeTimeout time.Duration
+	all           map[string]*Generation
+	closed        bool
 }
 
-// New returns an empty registry; callers have comeback to take their streams up.
-func New(homes Homes, lengths *outputlen.Estimator, engines Canceller, comeback time.Duration) *Tracker {
-	return &Tracker{homes: homes, lengths: lengths, engines: engines, comeback: comeback, all: map[string]*Generation{}}
+// New returns an empty tracker; callers have resumeTimeout to resume their
+// streams.
+func New(homes Homes, lengths *outputlen.Estimator, engines Canceller, resumeTimeout time.Duration) *Tracker {
+	return &Tracker{homes: homes, lengths: lengths, engines: engines, resumeTimeout: resumeTimeout, all: map[string]*Generation{}}
 }
 
 // Start adds a generation.
@@ -81,21 +82,21 @@
 	s.all[f.Attempt] = f
 }
 
-// Len returns how many are in flight.
+// Len returns the number of generations in flight.
 func (s *Tracker) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.all)
 }
 
-// End takes a generation out: it has so many tokens, and is cut if it would
-// have had more.
+// End removes and settles a generation that ended with the given tokens; cut
+// reports whether it was ended early.
 func (s *Tracker) End(attempt string, tokens int, cut bool) {
 	s.mu.Lock()
 	f, ok := s.all[attempt]
 	delete(s.all, attempt)
-	if ok && f.comeback != nil {
-		f.comeback.Stop()
+	if ok && f.cancelTimer != nil {
+		f.cancelTimer.Stop()
 	}
 	s.mu.Unlock()
 	if !ok {
@@ -103,7 +104,7 @@
 	}
 	f.Progress(tokens)
 	if !f.Granted || !s.homes.IsHome(f.Cell) {
-		// A home box learns from what is settled with it; others from their own.
+		// A home box learns lengths from settled generations; others from their own.
 		s.lengths.Progress(f.Key, 0, tokens)
 		s.lengths.End(f.Key, tokens, cut)
 	}
@@ -112,41 +113,42 @@
 	}
 }
 
-// Abandon cancels a generation once its caller has not come back for a while.
+// Abandon cancels a generation unless its caller resumes it within the timeout.
 func (s *Tracker) Abandon(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.all[attempt]
-	if !ok || f.comeback != nil || s.closed {
+	if !ok || f.cancelTimer != nil || s.closed {
 		return
 	}
-	f.comeback = time.AfterFunc(s.comeback, func() { s.giveUp(f) })
+	f.cancelTimer = time.AfterFunc(s.resumeTimeout, func() { s.cancelAbandoned(f) })
 }
 
-// Resumed learns that a caller came back, here or at another box: then the
-// generation is not cancelled. It reports whether it was in flight here.
+// Resumed keeps a resumed generation from being cancelled. It reports whether
+// the generation was in flight here.
 func (s *Tracker) Resumed(attempt string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.all[attempt]
-	if ok && f.comeback != nil {
-		f.comeback.Stop()
-		f.comeback = nil
+	if ok && f.cancelTimer != nil {
+		f.cancelTimer.Stop()
+		f.cancelTimer = nil
 	}
 	return ok
 }
 
-// ResumedElsewhere takes a generation out that another box goes on with.
+// ResumedElsewhere removes an abandoned generation that was resumed at another
+// box.
 func (s *Tracker) ResumedElsewhere(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f, ok := s.all[attempt]; ok && f.comeback != nil {
-		f.comeback.Stop()
+	if f, ok := s.all[attempt]; ok && f.cancelTimer != nil {
+		f.cancelTimer.Stop()
 		delete(s.all, attempt)
 	}
 }
 
-func (s *Tracker) giveUp(f *Generation) {
+func (s *Tracker) cancelAbandoned(f *Generation) {
 	const cancelTime = 5 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
 	defer cancel()
@@ -161,8 +163,8 @@
 // Run settles with home boxes until ctx ends.
 func (s *Tracker) Run(ctx context.Context, timer Timer) {
 	var last time.Time
-	timer.Every(ctx, "settle", lookEvery, func(now time.Time) {
-		due := now.Sub(last) >= settleEvery
+	timer.Every(ctx, "settle", checkInterval, func(now time.Time) {
+		due := now.Sub(last) >= settleInterval
 		if due {
 			last = now
 		}
@@ -170,8 +172,8 @@
 	})
 }
 
-// settleAll settles all when it is due, and otherwise only what a new home box
-// does not know.
+// settleAll settles all generations if due, and otherwise only those that a new
+// home box does not know.
 func (s *Tracker) settleAll(ctx context.Context, due bool) {
 	s.mu.Lock()
 	byCell := map[string][]*Generation{}
@@ -206,9 +208,9 @@
 }
 
 func (s *Tracker) settle(ctx context.Context, cell string, flights []*Generation, ended, cut bool) {
-	told := ""
+	receiver := ""
 	ok := s.homes.Settle(ctx, cell, func(home string) []wire.SettleItem {
-		told = home
+		receiver = home
 		items := make([]wire.SettleItem, len(flights))
 		for i, f := range flights {
 			items[i] = s.item(f, home, ended, cut)
@@ -221,11 +223,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range flights {
-		f.Home = told
+		f.Home = receiver
 	}
 }
 
-// item is short for a home box that knows the generation, and whole for another.
+// item returns the settle item of a generation, with full details if the home box
+// does not know it yet.
 func (s *Tracker) item(f *Generation, home string, ended, cut bool) wire.SettleItem {
 	it := wire.SettleItem{Attempt: f.Attempt, Tokens: int(f.tokens.Load()), Ended: ended, Cut: cut}
 	s.mu.Lock()
@@ -244,14 +247,14 @@
 	return s.all[attempt]
 }
 
-// Close ends all waits for callers to come back: what they left runs on at its
-// engine, and other boxes may take it up.
+// Close stops all cancel timers: abandoned generations keep running at their
+// engines, and may be resumed at other boxes.
 func (s *Tracker) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.all {
-		if f.comeback != nil {
-			f.comeback.Stop()
+		if f.cancelTimer != nil {
+			f.cancelTimer.Stop()
 		}
 	}
 	s.closed = true
--- a/inflight/inflight_test.go
+++ b/inflight/inflight_test.go
@@ -16,11 +16,11 @@
 	"petrelstep/wire"
 )
 
-// homes records what home boxes are told. The home box may change.
+// homes records the settle items by home box. The home box may change.
 type homes struct {
-	mu   sync.Mutex
-	home string
-	told map[string][]wire.SettleItem // by home box
+	mu       sync.Mutex
+	home     string
+	received map[string][]wire.SettleItem // by home box
 }
 
 func (h *homes) Settle(_ context.Context, _ string, items func(string) []wire.SettleItem) bool {
@@ -30,7 +30,7 @@
 	settled := items(home)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told[home] = append(h.told[home], settled...)
+	h.received[home] = append(h.received[home], settled...)
 	return true
 }
 func (h *homes) IsHome(string) bool { return false }
@@ -40,11 +40,11 @@
 	return h.home
 }
 
-// toldTo returns what a home box was told.
-func (h *homes) toldTo(home string) []wire.SettleItem {
+// receivedBy returns the items that a home box received.
+func (h *homes) receivedBy(home string) []wire.SettleItem {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.told[home])
+	return slices.Clone(h.received[home])
 }
 
 func (h *homes) move(home string) {
@@ -72,12 +72,12 @@
 	return len(e.cancelled)
 }
 
-// TestSettle tells a home box of a generation: in short to one that knows it, in
-// whole, and at once, to a new one.
+// TestSettle checks that a home box that knows a generation gets short items,
+// and a new home box gets full details at once.
 func TestSettle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		h := &homes{home: "a", told: map[string][]wire.SettleItem{}}
+		h := &homes{home: "a", received: map[string][]wire.SettleItem{}}
 		s := inflight.New(h, outputlen.New(), &engines{}, time.Second)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -86,15 +86,15 @@
 		s.Start(f)
 		f.Progress(5)
 		time.Sleep(20 * time.Second)
-		is.True(len(h.toldTo("a")) >= 3) // every 6 s
-		is.Equal(h.toldTo("a")[0].Engine, "")
+		is.True(len(h.receivedBy("a")) >= 3) // every 6 s
+		is.Equal(h.receivedBy("a")[0].Engine, "")
 		h.move("b")
 		time.Sleep(2 * time.Second)
-		is.Equal(h.toldTo("b")[0].Engine, "e")
-		is.Equal(h.toldTo("b")[0].Tokens, 5)
+		is.Equal(h.receivedBy("b")[0].Engine, "e")
+		is.Equal(h.receivedBy("b")[0].Tokens, 5)
 		s.End("x", 8, false)
 		synctest.Wait()
-		all := h.toldTo("b")
+		all := h.receivedBy("b")
 		last := all[len(all)-1]
 		is.True(last.Ended)
 		is.Equal(last.Tokens, 8)
@@ -104,30 +104,30 @@
 	})
 }
 
-// TestAbandon tells whether a generation is cancelled after its caller hung up.
+// TestAbandon checks whether a generation is cancelled after its caller hung up.
 func TestAbandon(t *testing.T) {
 	tests := map[string]struct {
-		does      func(s *inflight.Tracker)
+		action    func(s *inflight.Tracker)
 		cancelled int
 		left      int // in flight
 	}{
-		"stays away":             {func(*inflight.Tracker) {}, 1, 0},
-		"comes back here":        {func(s *inflight.Tracker) { s.Resumed("x") }, 0, 1},
-		"comes back elsewhere":   {func(s *inflight.Tracker) { s.ResumedElsewhere("x") }, 0, 0},
-		"comes back, goes again": {func(s *inflight.Tracker) { s.Resumed("x"); s.Abandon("x") }, 1, 0},
-		"box ends":               {func(s *inflight.Tracker) { s.Close() }, 0, 1},
+		"not resumed":              {func(*inflight.Tracker) {}, 1, 0},
+		"resumed here":             {func(s *inflight.Tracker) { s.Resumed("x") }, 0, 1},
+		"resumed elsewhere":        {func(s *inflight.Tracker) { s.ResumedElsewhere("x") }, 0, 0},
+		"resumed, abandoned again": {func(s *inflight.Tracker) { s.Resumed("x"); s.Abandon("x") }, 1, 0},
+		"box closes":               {func(s *inflight.Tracker) { s.Close() }, 0, 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				e := &engines{}
-				s := inflight.New(&homes{told: map[string][]wire.SettleItem{}}, outputlen.New(), e, 3*time.Second)
+				s := inflight.New(&homes{received: map[string][]wire.SettleItem{}}, outputlen.New(), e, 3*time.Second)
 				s.Start(&inflight.Generation{Attempt: "x"})
 				s.Abandon("x")
 				time.Sleep(2 * time.Second)
-				is.Equal(e.count(), 0) // not before its time
-				tt.does(s)
+				is.Equal(e.count(), 0) // not before the timeout
+				tt.action(s)
 				time.Sleep(5 * time.Second)
 				is.Equal(e.count(), tt.cancelled)
 				is.Equal(s.Len(), tt.left)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease keeps one lease in the platform's table. Its fence grows with
-// each holder. Clocks are never compared across boxes: a successor counts
-// from when it first saw the holder's last renewal, by its own clock.
+// Package lease implements a lease in the platform's table. Its fence grows with
+// each holder. Clocks are never compared across boxes: a successor counts from
+// when it first observed the holder's last renewal, by its own clock.
 package lease
 
 import (
@@ -12,9 +12,9 @@
 	"petrelstep/wire"
 )
 
-// drift is added to each wait for another's lease to lapse: two clocks that
-// run apart by a tenth over a lease are covered.
-const driftPart = 10
+// driftDivisor is the divisor of the duration that is added to the wait for
+// another holder's lease to lapse: it tolerates a clock drift of a tenth.
+const driftDivisor = 10
 
 // Table is the platform's table.
 type Table interface {
@@ -22,38 +22,38 @@
 	Transact(ctx context.Context, tx wire.Transaction) (wire.TransactionAnswer, error)
 }
 
-// Lease is safe for use by several goroutines.
+// Lease is one holder's view of a lease. It is safe for concurrent use.
 type Lease struct {
 	table    Table
 	key      string
 	holder   string
 	duration time.Duration
-	extra    time.Duration // waited beyond a lapse, for orders still under way
-
-	mu      sync.Mutex
-	fence   int
-	until   time.Time                           // own, by this box's clock
-	began   time.Time                           // own, likewise
-	slept   func(since time.Time) time.Duration // nil: never
-	version int
-	seen    int // version of another's row
-	seenAt  time.Time
+	grace    time.Duration // waited after a lapse, for orders still in progress
+
+	mu              sync.Mutex
+	fence           int
+	until           time.Time                           // end of the own lease, by this box's clock
+	began           time.Time                           // start of the own lease, by this box's clock
+	slept           func(since time.Time) time.Duration // suspended time, nil if unknown
+	version         int
+	observedVersion int // version of another holder's row
+	observedAt      time.Time
 }
 
-// New returns a lease by its key that this holder does not have yet.
+// New returns the lease of a key, not held yet.
 func New(t Table, key, holder string, duration, extra time.Duration) *Lease {
-	return &Lease{table: t, key: "lease/" + key, holder: holder, duration: duration, extra: extra}
+	return &Lease{table: t, key: "lease/" + key, holder: holder, duration: duration, grace: extra}
 }
 
-// OnSlept lets the lease count the time in which the machine was suspended, which the
-// steady clock leaves out: another has taken it meanwhile.
+// OnSlept sets the function that returns for how long the machine was suspended.
+// The monotonic clock leaves this time out, in which the lease may have lapsed.
 func (l *Lease) OnSlept(slept func(since time.Time) time.Duration) *Lease {
 	l.slept = slept
 	return l
 }
 
-// Held returns the fence and how long the lease is surely held from now; zero
-// when it is not.
+// Held returns the fence and the remaining time for which the lease is certainly
+// held; both are 0 if it is not held.
 func (l *Lease) Held(now time.Time) (fence int, left time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +67,7 @@
 	return l.fence, left
 }
 
-// Tend renews a held lease, or takes one that has lapsed. It is to be called
+// Tend renews a held lease, or acquires one that has lapsed. It has to be called
 // several times within a lease's duration. The error is the table's.
 func (l *Lease) Tend(ctx context.Context) error {
 	row, err := l.table.Get(ctx, l.key)
@@ -80,34 +80,34 @@
 		return nil
 	}
 	next := wire.LeaseRecord{Holder: l.holder, Fence: record.Fence, UntilMs: int(now.Add(l.duration).UnixMilli())}
-	if record.Holder != l.holder || !l.own(row.Version) {
+	if record.Holder != l.holder || !l.ownsVersion(row.Version) {
 		next.Fence++
 	}
 	return l.write(ctx, now, row.Version, next)
 }
 
-// mayWrite tells whether the row is ours, free, or another's that lapsed.
+// mayWrite reports whether the lease is held by this holder, free or lapsed.
 func (l *Lease) mayWrite(now time.Time, row wire.Row, record wire.LeaseRecord) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if row.Version == 0 || record.Holder == "" || record.Holder == l.holder {
 		return true
 	}
-	if row.Version != l.seen {
-		l.seen, l.seenAt = row.Version, now
+	if row.Version != l.observedVersion {
+		l.observedVersion, l.observedAt = row.Version, now
 		return false
 	}
-	return now.Sub(l.seenAt) > l.duration+l.duration/driftPart+l.extra
+	return now.Sub(l.observedAt) > l.duration+l.duration/driftDivisor+l.grace
 }
 
-func (l *Lease) own(version int) bool {
+func (l *Lease) ownsVersion(version int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.version == version && version != 0
 }
 
-// write counts the lease from before the write went out, so that a slow reply
-// never makes it seem longer than others see it.
+// write counts the lease from before the write was sent, so that a slow reply
+// never extends it beyond what others observe.
 func (l *Lease) write(ctx context.Context, began time.Time, version int, next wire.LeaseRecord) error {
 	answer, err := l.table.Transact(ctx, wire.Transaction{
 		Token:  l.holder,
@@ -117,7 +117,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		// Written or not: the next Tend sees. Until then the old end counts.
+		// The outcome is unknown: the old end holds until the next Tend.
 		return err
 	}
 	if !answer.Committed {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Release gives a held lease up, so that a successor need not wait.
+// Release releases a held lease, so that a successor need not wait for its lapse.
 func (l *Lease) Release(ctx context.Context) error {
 	l.mu.Lock()
 	version, fence := l.version, l.fence
@@ -147,7 +147,7 @@
 
 func decode(row wire.Row) wire.LeaseRecord {
 	var r wire.LeaseRecord
-	_ = json.Unmarshal([]byte(row.Value), &r) // no row is a free lease
+	_ = json.Unmarshal([]byte(row.Value), &r) // a missing row is a free lease
 	return r
 }
 
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -20,7 +20,7 @@
 	tick     = 500 * time.Millisecond
 )
 
-// holders returns two that race for one lease.
+// holders returns two competing holders of one lease.
 func holders(p *platform.Platform) [2]*lease.Lease {
 	return [2]*lease.Lease{
 		lease.New(p.Direct(), "leith", "a", duration, timeout),
@@ -28,19 +28,19 @@
 	}
 }
 
-// TestLapse is the matrix of a lease's life: what happens to the holder, and
-// after how long the other holds it.
+// TestLapse is the fault matrix of a lease: a fault of the holder, and after how
+// long the other holder acquires the lease.
 func TestLapse(t *testing.T) {
 	tests := map[string]struct {
-		during func(p *platform.Platform, a *lease.Lease) // after a holds it
-		tends  bool                                       // a goes on tending
-		least  time.Duration                              // before b may hold it
-		most   time.Duration                              // by when b must hold it, 0 for never
+		during  func(p *platform.Platform, a *lease.Lease) // after a holds it
+		tends   bool                                       // a keeps renewing
+		minWait time.Duration                              // until b may hold it
+		maxWait time.Duration                              // until b must hold it, 0 for never
 	}{
-		"sound x held":        {tends: true},
-		"kill x held":         {least: duration + timeout, most: 2*duration + timeout},
-		"freeze x held":       {least: duration + timeout, most: 2*duration + timeout},
-		"planned stop x held": {during: func(_ *platform.Platform, a *lease.Lease) { _ = a.Release(context.Background()) }, most: time.Second},
+		"no fault x held":     {tends: true},
+		"kill x held":         {minWait: duration + timeout, maxWait: 2*duration + timeout},
+		"freeze x held":       {minWait: duration + timeout, maxWait: 2*duration + timeout},
+		"planned stop x held": {during: func(_ *platform.Platform, a *lease.Lease) { _ = a.Release(context.Background()) }, maxWait: time.Second},
 		"store down x renewal": {tends: true, during: func(p *platform.Platform, _ *lease.Lease) {
 			p.Fault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeDown, Count: 10})
 		}},
@@ -64,16 +64,16 @@
 				}
 				taken, fence := takenAfter(both, tt.tends)
 				is.True(taken == 0 || fence == 2)
-				is.True(taken >= tt.least)
-				is.Equal(taken > 0, tt.most > 0)
-				is.True(taken <= tt.most)
+				is.True(taken >= tt.minWait)
+				is.Equal(taken > 0, tt.maxWait > 0)
+				is.True(taken <= tt.maxWait)
 			})
 		})
 	}
 }
 
-// takenAfter lets the second holder tend, and the first if it goes on, and
-// returns after how long the second holds the lease, and its fence.
+// takenAfter calls Tend on the second holder, and on the first if tends is set.
+// It returns after how long the second holds the lease, and its fence.
 func takenAfter(both [2]*lease.Lease, tends bool) (time.Duration, int) {
 	began := time.Now()
 	for time.Since(began) < 4*duration {
@@ -89,10 +89,10 @@
 	return 0, 0
 }
 
-// TestNeverTwo lets two holders tend, pause for random times and lose replies:
-// at no time do both hold the lease, and an order sent within the time-out
-// right before a lapse ends before the successor holds it.
-func TestNeverTwo(t *testing.T) {
+// TestSingleHolder renews, pauses and loses replies at random with two holders:
+// never do both hold the lease, and an order sent right before a lapse times out
+// before the successor holds it.
+func TestSingleHolder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 11), 20, 60).Draw(rt, "steps")
 		wrong := ""
@@ -117,21 +117,21 @@
 			time.Sleep(duration) // both are paused
 		}
 		time.Sleep(tick)
-		if wrong := w.look(time.Now()); wrong != "" {
+		if wrong := w.check(time.Now()); wrong != "" {
 			return wrong
 		}
 	}
 	return ""
 }
 
-// witness sees who holds the lease, and until when each surely did.
+// witness records who holds the lease, and until when.
 type witness struct {
 	both  [2]*lease.Lease
 	until [2]time.Time
-	top   int // fence
+	top   int // highest fence
 }
 
-func (w *witness) look(now time.Time) string {
+func (w *witness) check(now time.Time) string {
 	held := 0
 	for i, l := range w.both {
 		fence, left := l.Held(now)
@@ -140,30 +140,30 @@
 		}
 		held++
 		if fence < w.top {
-			return "a fence that is not the highest is held"
+			return "held with a fence that is not the highest"
 		}
 		justTaken := fence > w.top && left == duration-tick
 		if justTaken && now.Add(-tick).Before(w.until[1-i]) {
-			return "taken before the other's had ended"
+			return "acquired before the other holder's lease ended"
 		}
 		w.top, w.until[i] = fence, now.Add(left)
 	}
 	if held > 1 {
-		return "two hold the lease"
+		return "both hold the lease"
 	}
 	return ""
 }
 
-// TestSuspended shows that a holder whose machine was suspended knows that it may hold
-// the lease no longer, though its steady clock stood still.
+// TestSuspended checks that a holder deducts the time for which its machine was
+// suspended, during which the monotonic clock stood still.
 func TestSuspended(t *testing.T) {
 	tests := map[string]struct {
 		slept time.Duration
 		left  time.Duration
 	}{
-		"not at all":                 {0, duration - time.Second},
-		"for a moment":               {2 * time.Second, duration - 3*time.Second},
-		"longer than the lease runs": {duration, 0},
+		"not at all":            {0, duration - time.Second},
+		"for a moment":          {2 * time.Second, duration - 3*time.Second},
+		"longer than the lease": {duration, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
