--- a/broadcast/broadcast.go
+++ b/broadcast/broadcast.go
@@ -1,6 +1,6 @@
-// Package broadcast tells the other boxes of an accepted change: all boxes of
-// this hall, and one of each other hall, which passes it on in its own. What
-// does not get through is made up for by heartbeats and by reading the table.
+// Package broadcast sends an accepted change to the other boxes: to all boxes of
+// this hall, and to one of each other hall, which relays it there. Boxes that
+// miss a change catch up by heartbeats and by reading the table.
 package broadcast
 
 import (
@@ -13,24 +13,24 @@
 	"petrelstep/wire"
 )
 
-// tellTime bounds one telling.
-const tellTime = 800 * time.Millisecond
+// sendTimeout bounds the call to one box.
+const sendTimeout = 800 * time.Millisecond
 
 // Peers calls other boxes.
 type Peers interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Broadcaster is safe for use by several goroutines.
+// Broadcaster sends changes to other boxes. It is safe for concurrent use.
 type Broadcaster struct {
 	members *members.Members
 	peers   Peers
 }
 
-// New returns a way to tell the boxes that m knows.
+// New returns a broadcaster to the boxes in m.
 func New(m *members.Members, p Peers) *Broadcaster { return &Broadcaster{members: m, peers: p} }
 
-// Broadcast tells of a change that was accepted here.
+// Broadcast sends a change that was accepted by this box.
 func (s *Broadcaster) Broadcast(ctx context.Context, set wire.ChangeSet) {
 	now := time.Now()
 	self := s.members.Self()
@@ -41,15 +41,15 @@
 	var all sync.WaitGroup
 	for hall, boxes := range halls {
 		if hall == self.Hall {
-			all.Go(func() { s.each(ctx, boxes, set) })
+			all.Go(func() { s.sendAll(ctx, boxes, set) })
 			continue
 		}
-		all.Go(func() { s.first(ctx, boxes, set) })
+		all.Go(func() { s.sendFirst(ctx, boxes, set) })
 	}
 	all.Wait()
 }
 
-// Relay passes a change on in this box's hall.
+// Relay sends a change to the other boxes of this box's hall.
 func (s *Broadcaster) Relay(ctx context.Context, set wire.ChangeSet) {
 	set.Relay = false
 	self := s.members.Self()
@@ -59,32 +59,33 @@
 			boxes = append(boxes, b)
 		}
 	}
-	s.each(ctx, boxes, set)
+	s.sendAll(ctx, boxes, set)
 }
 
-func (s *Broadcaster) each(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
+func (s *Broadcaster) sendAll(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
 	set.Relay = false
 	var all sync.WaitGroup
 	for _, b := range boxes {
-		all.Go(func() { s.tell(ctx, b, set) })
+		all.Go(func() { s.send(ctx, b, set) })
 	}
 	all.Wait()
 }
 
-// first tells one box of a hall, live ones before others, until one has it.
-func (s *Broadcaster) first(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
+// sendFirst sends a change to the boxes of a hall in turn, live ones first, until
+// one has received it.
+func (s *Broadcaster) sendFirst(ctx context.Context, boxes []members.Box, set wire.ChangeSet) {
 	set.Relay = true
 	for _, want := range []members.State{members.Live, members.Leaving, members.Suspect} {
 		for _, b := range boxes {
-			if b.State == want && s.tell(ctx, b, set) {
+			if b.State == want && s.send(ctx, b, set) {
 				return
 			}
 		}
 	}
 }
 
-func (s *Broadcaster) tell(ctx context.Context, b members.Box, set wire.ChangeSet) bool {
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+func (s *Broadcaster) send(ctx context.Context, b members.Box, set wire.ChangeSet) bool {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	var done wire.Nothing
 	return s.peers.Call(ctx, b.Address, peer.Tell, set, &done) == nil
--- a/catchup/catchup.go
+++ b/catchup/catchup.go
@@ -1,6 +1,6 @@
-// Package catchup brings the configuration in force at a box up to the
-// platform's table. It never goes back: a table that hands out an older state
-// changes nothing.
+// Package catchup updates the configuration in force at a box from the
+// platform's table. It never reverts to an older state, even if the table
+// returns one.
 package catchup
 
 import (
@@ -13,28 +13,28 @@
 	"petrelstep/wire"
 )
 
-// snapshotTries bounds how often a whole state is read until no write falls
-// into the reading.
-const snapshotTries = 8
+// maxSnapshotTries bounds the attempts to read the complete state without a
+// concurrent write.
+const maxSnapshotTries = 8
 
-// UnsteadyError says that writes fell into each reading of the whole state.
+// UnsteadyError reports that each read of the complete state overlapped a write.
 type UnsteadyError struct{}
 
 // Error implements error.
-func (*UnsteadyError) Error() string { return "the table changed during each reading" }
+func (*UnsteadyError) Error() string { return "the table changed during each read" }
 
-// CatchUp reads the table.
+// CatchUp updates the configuration in force from the table.
 type CatchUp struct {
 	table     configwriter.Table
 	resources *resource.Resources
 }
 
-// New returns a reader of the table into r.
+// New returns a CatchUp from the table t to r.
 func New(t configwriter.Table, r *resource.Resources) *CatchUp {
 	return &CatchUp{table: t, resources: r}
 }
 
-// Run brings the configuration up to date once.
+// Run updates the configuration once.
 func (c *CatchUp) Run(ctx context.Context) error {
 	newest, err := c.revision(ctx)
 	if err != nil {
@@ -45,14 +45,15 @@
 		return nil
 	}
 	if now > 0 {
-		whole, err := c.changes(ctx, now, newest)
-		if err != nil || whole {
+		complete, err := c.changes(ctx, now, newest)
+		if err != nil || complete {
 			return err
 		}
 	}
 	return c.snapshot(ctx)
 }
 
+// revision returns the latest revision in the table.
 func (c *CatchUp) revision(ctx context.Context) (int, error) {
 	row, err := c.table.Get(ctx, configwriter.RevisionKey)
 	if err != nil {
@@ -62,7 +63,8 @@
 	return revision, nil
 }
 
-func (c *CatchUp) changes(ctx context.Context, now, newest int) (whole bool, err error) {
+// changes applies the changes between two revisions; complete is false at a gap.
+func (c *CatchUp) changes(ctx context.Context, now, newest int) (complete bool, err error) {
 	rows, err := c.table.Scan(ctx, configwriter.ChangePrefix, configwriter.ChangeKey(now))
 	if err != nil {
 		return false, err
@@ -76,10 +78,10 @@
 	return c.resources.Apply(set), nil
 }
 
-// snapshot reads the whole state; a revision that is the same before and
-// after tells that no write fell into the reading.
+// snapshot reads the complete state. An equal revision before and after proves
+// that no write overlapped the read.
 func (c *CatchUp) snapshot(ctx context.Context) error {
-	for range snapshotTries {
+	for range maxSnapshotTries {
 		before, err := c.revision(ctx)
 		if err != nil {
 			return err
--- a/cells/cells.go
+++ b/cells/cells.go
@@ -1,6 +1,6 @@
 // Package cells divides the declared engines into cells. Each cell has a home
-// box that grants room on its engines; every box works out the same cells
-// from the same configuration.
+// box that grants memory on its engines; all boxes compute the same cells from
+// the same configuration.
 package cells
 
 import (
@@ -10,7 +10,7 @@
 	"petrelstep/resource"
 )
 
-// Cell is a few engines of one hall. Values are immutable.
+// Cell is a group of engines of one hall. Values are immutable.
 type Cell struct {
 	ID      string
 	Hall    string
--- a/digest/digest.go
+++ b/digest/digest.go
@@ -1,6 +1,6 @@
-// Package digest picks what of a box's knowledge is worth telling its peers
-// with the next heartbeat: what changed, a bounded number of entries, and all
-// of it now and then, so that what is lost on the way is made up for.
+// Package digest selects the loads and demands that a box sends to its peers with
+// the next heartbeat: a bounded number of changed entries, and periodically all
+// entries, to make up for lost messages.
 package digest
 
 import (
@@ -13,13 +13,13 @@
 )
 
 const (
-	// leastRefresh is how often all is told at most, changed or not.
-	leastRefresh = 3 * time.Second
-	// change is the part of an engine's memory by which its use must move to
-	// be told at once.
-	change = 0.05
-	// demandsMost bounds the demand entries of one heartbeat.
-	demandsMost = 4
+	// minRefresh is the minimum time between reports of an unchanged load.
+	minRefresh = 3 * time.Second
+	// minChange is the change of memory use, as a fraction of the capacity, that is
+	// sent at once.
+	minChange = 0.05
+	// maxDemands bounds the demand entries of one heartbeat.
+	maxDemands = 4
 )
 
 type sentLoad struct {
@@ -32,33 +32,34 @@
 	at     time.Time
 }
 
-// Digest is for peers that are all told with the same period: each gets each
-// digest once. It is safe for use by several goroutines.
+// Digest makes the digests for peers with the same heartbeat period. It is safe
+// for concurrent use.
 type Digest struct {
-	mu      sync.Mutex
-	period  time.Duration
-	refresh time.Duration
-	made    time.Time
-	loads   []wire.EngineLoad
-	demands []wire.Demand
-	sent    map[string]sentLoad
-	told    map[string]sentDemand
+	mu          sync.Mutex
+	period      time.Duration
+	refresh     time.Duration
+	madeAt      time.Time
+	loads       []wire.EngineLoad
+	demands     []wire.Demand
+	sentLoads   map[string]sentLoad
+	sentDemands map[string]sentDemand
 }
 
-// New returns a digest for peers that are told with a period. All is told again
-// within two periods, or 3 s if that is more.
+// New returns a digest for peers with the given heartbeat period. Unchanged loads
+// are sent again after two periods, or 3 s if that is more.
 func New(period time.Duration) *Digest {
-	return &Digest{period: period, refresh: max(leastRefresh, 2*period), sent: map[string]sentLoad{}, told: map[string]sentDemand{}}
+	return &Digest{period: period, refresh: max(minRefresh, 2*period), sentLoads: map[string]sentLoad{}, sentDemands: map[string]sentDemand{}}
 }
 
-// Make returns what to tell now. It is worked out once a period, for all peers.
+// Make returns the entries to send now. It computes them once per period, for all
+// peers.
 func (d *Digest) Make(now time.Time, loads []wire.EngineLoad, demands []wire.Demand) ([]wire.EngineLoad, []wire.Demand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now.Sub(d.made) < d.period {
+	if now.Sub(d.madeAt) < d.period {
 		return d.loads, d.demands
 	}
-	d.made = now
+	d.madeAt = now
 	d.loads = d.pickLoads(now, loads)
 	d.demands = d.pickDemands(now, demands)
 	return d.loads, d.demands
@@ -67,29 +68,29 @@
 func (d *Digest) pickLoads(now time.Time, loads []wire.EngineLoad) []wire.EngineLoad {
 	var picked []wire.EngineLoad
 	for _, l := range loads {
-		last, ok := d.sent[l.Engine]
-		if ok && now.Sub(last.at) < d.refresh && !moved(last.load, l) {
+		last, ok := d.sentLoads[l.Engine]
+		if ok && now.Sub(last.at) < d.refresh && !changed(last.load, l) {
 			continue
 		}
-		d.sent[l.Engine] = sentLoad{l, now}
+		d.sentLoads[l.Engine] = sentLoad{l, now}
 		picked = append(picked, l)
 	}
 	return picked
 }
 
-// moved tells whether a report says something new enough to be told at once.
-func moved(old, now wire.EngineLoad) bool {
+// changed reports whether a load differs enough from the last to be sent at once.
+func changed(old, now wire.EngineLoad) bool {
 	if old.Incarnation != now.Incarnation || old.Leaving != now.Leaving || old.Ready != now.Ready || old.Model != now.Model {
 		return true
 	}
 	if (old.Waiting == 0) != (now.Waiting == 0) {
 		return true
 	}
-	return math.Abs(float64(now.Used-old.Used)) > change*float64(now.Capacity)
+	return math.Abs(float64(now.Used-old.Used)) > minChange*float64(now.Capacity)
 }
 
-// pickDemands takes the entries that have waited longest for their turn,
-// weighed by how much they moved.
+// pickDemands picks the entries by the time since they were last sent, weighted
+// by their change.
 func (d *Digest) pickDemands(now time.Time, demands []wire.Demand) []wire.Demand {
 	type ranked struct {
 		demand wire.Demand
@@ -97,14 +98,14 @@
 	}
 	all := make([]ranked, len(demands))
 	for i, x := range demands {
-		last := d.told[x.Organisation]
+		last := d.sentDemands[x.Organisation]
 		moved := math.Abs(x.Rate-last.demand.Rate) + math.Abs(float64(x.Tokens-last.demand.Tokens))/1000
 		all[i] = ranked{x, (1 + moved) * now.Sub(last.at).Seconds()}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].rank > all[j].rank })
 	var picked []wire.Demand
-	for _, r := range all[:min(len(all), demandsMost)] {
-		d.told[r.demand.Organisation] = sentDemand{r.demand, now}
+	for _, r := range all[:min(len(all), maxDemands)] {
+		d.sentDemands[r.demand.Organisation] = sentDemand{r.demand, now}
 		picked = append(picked, r.demand)
 	}
 	return picked
--- a/digest/digest_test.go
+++ b/digest/digest_test.go
@@ -17,20 +17,20 @@
 	return []wire.EngineLoad{{Engine: "e", Incarnation: 1, Capacity: 1000, Used: used, Waiting: waiting, Leaving: leaving, Ready: true}}
 }
 
-// TestLoads tells whether a second report is passed on a while after the first.
+// TestLoads checks whether a second report is sent some time after the first.
 func TestLoads(t *testing.T) {
 	tests := map[string]struct {
 		second []wire.EngineLoad
 		after  time.Duration
-		told   bool
+		sent   bool
 	}{
 		"the same":          {load(500, 0, false), time.Second, false},
 		"a little more":     {load(540, 0, false), time.Second, false},
 		"much more":         {load(560, 0, false), time.Second, true},
-		"one waits":         {load(500, 1, false), time.Second, true},
+		"one waiting":       {load(500, 1, false), time.Second, true},
 		"leaving":           {load(500, 0, true), time.Second, true},
 		"the same, refresh": {load(500, 0, false), 3 * time.Second, true},
-		"within the period": {load(900, 0, false), time.Second / 2, true}, // the first again
+		"within the period": {load(900, 0, false), time.Second / 2, true}, // the first is sent again
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,12 +39,13 @@
 			first, _ := d.Make(start, load(500, 0, false), nil)
 			is.Equal(len(first), 1)
 			second, _ := d.Make(start.Add(tt.after), tt.second, nil)
-			is.Equal(len(second) == 1, tt.told)
+			is.Equal(len(second) == 1, tt.sent)
 		})
 	}
 }
 
-// TestDemands bounds the entries and lets each have its turn.
+// TestDemands checks that the entries of a digest are bounded, and that all
+// entries are sent eventually.
 func TestDemands(t *testing.T) {
 	is := is.New(t)
 	d := digest.New(time.Second)
@@ -52,13 +53,13 @@
 	for i := range 30 {
 		all = append(all, wire.Demand{Organisation: fmt.Sprint("o", i), Rate: 1})
 	}
-	told := map[string]bool{}
+	sent := map[string]bool{}
 	for i := range 8 {
 		_, demands := d.Make(start.Add(time.Duration(i)*time.Second), nil, all)
 		is.True(len(demands) <= 4)
 		for _, x := range demands {
-			told[x.Organisation] = true
+			sent[x.Organisation] = true
 		}
 	}
-	is.Equal(len(told), 30)
+	is.Equal(len(sent), 30)
 }
--- a/engineload/engineload.go
+++ b/engineload/engineload.go
@@ -1,5 +1,5 @@
-// Package engineload keeps what one box knows of the engines' load: lagging
-// reports, and what was dispatched since each was true.
+// Package engineload tracks the load of the engines as one box knows it: the
+// last, delayed reports, and the dispatches since.
 package engineload
 
 import (
@@ -10,41 +10,42 @@
 	"petrelstep/wire"
 )
 
-// forgetDispatches bounds how long a dispatch is held against an engine whose
-// reports have stopped.
-const forgetDispatches = 10 * time.Second
+// dispatchTimeout is how long a dispatch counts as load of an engine that stopped
+// reporting.
+const dispatchTimeout = 10 * time.Second
 
 type dispatch struct {
 	at     time.Time
 	tokens int
 }
 
-type known struct {
-	load   wire.EngineLoad
-	at     time.Time // by the engine's clock
-	heard  time.Time
-	recent []dispatch
+type engineState struct {
+	load     wire.EngineLoad
+	at       time.Time  // of the report, by the engine's clock
+	lastSeen time.Time  // arrival of the report
+	recent   []dispatch // since the report
 }
 
-// Tracker is safe for use by several goroutines.
+// Tracker holds the load of all engines. It is safe for concurrent use.
 type Tracker struct {
 	mu      sync.Mutex
-	engines map[string]*known
+	engines map[string]*engineState
 }
 
-// New returns an empty view.
-func New() *Tracker { return &Tracker{engines: map[string]*known{}} }
+// New returns an empty tracker.
+func New() *Tracker { return &Tracker{engines: map[string]*engineState{}} }
 
-// Report takes a report; one older than the last is dropped and false returned.
+// Report applies a load report. It ignores a report older than the last, and
+// reports whether it was applied.
 func (l *Tracker) Report(now time.Time, load wire.EngineLoad) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.known(load.Engine)
+	k := l.state(load.Engine)
 	at := time.UnixMilli(int64(load.AtMs))
 	if load.Incarnation < k.load.Incarnation || load.Incarnation == k.load.Incarnation && !at.After(k.at) {
 		return false
 	}
-	k.load, k.at, k.heard = load, at, now
+	k.load, k.at, k.lastSeen = load, at, now
 	kept := k.recent[:0]
 	for _, d := range k.recent {
 		if d.at.After(at) {
@@ -55,12 +56,12 @@
 	return true
 }
 
-// Dispatched notes that work for so many tokens went to an engine, from this
-// box or, as a peer announced, from another.
+// Dispatched records that a prompt of the given tokens was sent to an engine, by
+// this box or by another box that announced it.
 func (l *Tracker) Dispatched(now time.Time, engine string, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	k := l.known(engine)
+	k := l.state(engine)
 	k.recent = append(k.recent, dispatch{at: now, tokens: tokens})
 }
 
@@ -75,18 +76,18 @@
 	return k.load, true
 }
 
-// Fresh returns the last report of an engine if it came within a while.
+// Fresh returns the last report of an engine if it arrived within the given time.
 func (l *Tracker) Fresh(now time.Time, engine string, within time.Duration) (wire.EngineLoad, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k, ok := l.engines[engine]
-	if !ok || k.load.Engine == "" || now.Sub(k.heard) > within {
+	if !ok || k.load.Engine == "" || now.Sub(k.lastSeen) > within {
 		return wire.EngineLoad{}, false
 	}
 	return k.load, true
 }
 
-// View returns what placement needs of one engine.
+// View returns the load of one engine for placement.
 func (l *Tracker) View(now time.Time, engine string) (placement.View, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +104,7 @@
 		Step:     time.Duration(k.load.StepUs) * time.Microsecond,
 	}
 	for _, d := range k.recent {
-		if now.Sub(d.at) < forgetDispatches {
+		if now.Sub(d.at) < dispatchTimeout {
 			v.Used += d.tokens
 			v.Running++
 		}
@@ -118,10 +119,10 @@
 	delete(l.engines, engine)
 }
 
-func (l *Tracker) known(engine string) *known {
+func (l *Tracker) state(engine string) *engineState {
 	k, ok := l.engines[engine]
 	if !ok {
-		k = &known{}
+		k = &engineState{}
 		l.engines[engine] = k
 	}
 	return k
--- a/engineload/engineload_test.go
+++ b/engineload/engineload_test.go
@@ -19,12 +19,12 @@
 	return wire.EngineLoad{Engine: engine, Incarnation: 1, AtMs: int(at.UnixMilli()), Capacity: 60000, Used: used, Running: 3, Ready: true}
 }
 
-// TestView adds to a report what was dispatched since it was true, and no more.
+// TestView checks that a view adds to a report only the dispatches since.
 func TestView(t *testing.T) {
 	tests := map[string]struct {
-		does func(l *engineload.Tracker)
-		at   time.Duration
-		used int
+		action func(l *engineload.Tracker)
+		at     time.Duration
+		used   int
 	}{
 		"report alone":     {func(*engineload.Tracker) {}, time.Second, 100},
 		"dispatched since": {func(l *engineload.Tracker) { l.Dispatched(start.Add(time.Second), "e", 50) }, 2 * time.Second, 150},
@@ -40,7 +40,7 @@
 			is := is.New(t)
 			l := engineload.New()
 			l.Report(start, report("e", start, 100))
-			tt.does(l)
+			tt.action(l)
 			v, ok := l.View(start.Add(tt.at), "e")
 			is.True(ok)
 			is.Equal(v.Used, tt.used)
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkMemory is the memory of the state, by engines.
+// BenchmarkMemory measures the memory of the state, by the number of engines.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10, 170, 2200} {
 		b.Run(fmt.Sprint(n, " engines"), func(b *testing.B) {
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -1,7 +1,7 @@
-// Package heartbeat keeps one task for each peer of this box, which tells it
-// each second that the box is alive, what configuration is in force, and what
-// it knows of engines and demand. A box beats to all boxes of its hall and to
-// a few of each other hall, so that the cost does not grow with all boxes.
+// Package heartbeat runs one task for each peer of this box, which periodically
+// sends it the configuration in force, engine loads and demands. A box sends
+// heartbeats to all boxes of its hall and to a few of each other hall, to bound
+// the cost in large fleets.
 package heartbeat
 
 import (
@@ -21,15 +21,15 @@
 const (
 	// Period is the time between heartbeats to a peer.
 	Period = time.Second
-	// acrossHalls is to how many boxes of each other hall a box beats.
-	acrossHalls = 2
-	// AcrossPeriod is the time between heartbeats to other halls: their boxes
-	// are not in this hall's orders, and calls to them tell soon enough.
+	// boxesPerHall is the number of boxes in each other hall that get heartbeats.
+	boxesPerHall = 2
+	// AcrossPeriod is the time between heartbeats to other halls. It may be longer,
+	// as failed calls to their boxes are noticed anyway.
 	AcrossPeriod = 2 * time.Second
-	beatTime     = 900 * time.Millisecond
+	callTimeout  = 900 * time.Millisecond
 )
 
-// Box makes heartbeats and learns from the answers.
+// Box creates heartbeats and handles the answers.
 type Box interface {
 	Beat(to members.Box) wire.Heartbeat
 	Answered(ctx context.Context, b members.Box, a wire.HeartbeatAnswer)
@@ -40,7 +40,7 @@
 	Call(ctx context.Context, address, method string, args, reply any) error
 }
 
-// Heartbeat is one box's.
+// Heartbeat sends the heartbeats of one box.
 type Heartbeat struct {
 	members *members.Members
 	peers   Peers
@@ -49,7 +49,7 @@
 	log     *logrus.Entry
 }
 
-// New returns heartbeats that Run sends.
+// New returns heartbeats of a box; Run sends them.
 func New(m *members.Members, p Peers, box Box, t tasks.Timer, log *logrus.Entry) *Heartbeat {
 	return &Heartbeat{members: m, peers: p, box: box, timer: t, log: log}
 }
@@ -57,11 +57,11 @@
 // Run sends heartbeats, by a task for each peer, until ctx ends.
 func (h *Heartbeat) Run(ctx context.Context) {
 	choose := func(now time.Time) map[string]members.Box { return Choose(h.members.Self(), h.members.Peers(now)) }
-	tasks.New(h.timer, Period/2, choose, h.beatTo).Run(ctx)
+	tasks.New(h.timer, Period/2, choose, h.sendTo).Run(ctx)
 }
 
-// Choose returns the peers to beat to, by address: the whole hall, and of each
-// other hall the first few in this box's own rendezvous order.
+// Choose returns the peers to send heartbeats to, by address: all boxes of the
+// hall, and of each other hall the first few in this box's rendezvous order.
 func Choose(self members.Box, peers []members.Box) map[string]members.Box {
 	chosen := map[string]members.Box{}
 	halls := map[string][]members.Box{}
@@ -76,21 +76,21 @@
 		sort.Slice(boxes, func(i, j int) bool {
 			return xxhash.Sum64String(self.Name+"/"+boxes[i].Name) < xxhash.Sum64String(self.Name+"/"+boxes[j].Name)
 		})
-		for _, b := range boxes[:min(acrossHalls, len(boxes))] {
+		for _, b := range boxes[:min(boxesPerHall, len(boxes))] {
 			chosen[b.Address] = b
 		}
 	}
 	return chosen
 }
 
-func (h *Heartbeat) beatTo(ctx context.Context, b members.Box) {
+func (h *Heartbeat) sendTo(ctx context.Context, b members.Box) {
 	lost := false
 	period := Period
 	if b.Hall != h.members.Self().Hall {
 		period = AcrossPeriod
 	}
 	h.timer.Every(ctx, b.Name, period, func(time.Time) {
-		call, cancel := context.WithTimeout(ctx, beatTime)
+		call, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		var answer wire.HeartbeatAnswer
 		err := h.peers.Call(call, b.Address, peer.Heartbeat, h.box.Beat(b), &answer)
--- a/heartbeat/heartbeat_test.go
+++ b/heartbeat/heartbeat_test.go
@@ -10,19 +10,18 @@
 	"petrelstep/members"
 )
 
-// TestChoose bounds the peers of a box, and holds that every box is beaten to
-// by some box of each other hall.
+// TestChoose checks the bounds of the number of peers of each box.
 func TestChoose(t *testing.T) {
-	tests := map[string]struct{ halls, each, most int }{
-		"today":   {halls: 4, each: 2, most: 1 + 3*2},
-		"one":     {halls: 1, each: 7, most: 6},
-		"at size": {halls: 13, each: 27, most: 26 + 12*2},
+	tests := map[string]struct{ halls, boxesPerHall, maxPeers int }{
+		"small fleet": {halls: 4, boxesPerHall: 2, maxPeers: 1 + 3*2},
+		"one hall":    {halls: 1, boxesPerHall: 7, maxPeers: 6},
+		"large fleet": {halls: 13, boxesPerHall: 27, maxPeers: 26 + 12*2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var all []members.Box
-			for i := range tt.halls * tt.each {
+			for i := range tt.halls * tt.boxesPerHall {
 				all = append(all, members.Box{Name: fmt.Sprint("b", i), Hall: fmt.Sprint("h", i%tt.halls), Address: fmt.Sprint(i)})
 			}
 			for _, self := range all {
@@ -33,8 +32,8 @@
 					}
 				}
 				chosen := heartbeat.Choose(self, peers)
-				is.True(len(chosen) <= tt.most)
-				is.True(len(chosen) >= tt.each-1)
+				is.True(len(chosen) <= tt.maxPeers)
+				is.True(len(chosen) >= tt.boxesPerHall-1)
 			}
 		})
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement picks an engine from what one box knows of each. The
-// baselines are kept as methods, so that every comparison is one run.
+// Package placement picks an engine by one box's own data about each. It also
+// implements the baselines that the forecast method is compared with.
 package placement
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Method names a way of picking.
+// Method names a placement method.
 type Method string
 
-// The methods. Forecast's own picking for granted generations is in package
-// home; here it means the picking of calls that pass without a grant.
+// The methods. Forecast here places the requests that need no grant; package home
+// places granted generations.
 const (
 	RoundRobin    Method = "round_robin"
 	LeastRequests Method = "least_requests"
@@ -20,19 +20,19 @@
 	Forecast      Method = "forecast"
 )
 
-// View is what a box knows of one engine, its own dispatches since the
-// engine's report included.
+// View is the load of one engine as a box knows it, including the dispatches
+// since the engine's last report.
 type View struct {
 	Engine   string
 	Used     int // tokens
 	Capacity int // tokens
 	Running  int
 	Waiting  int
-	Cached   int // tokens of this prompt believed to be in the prefix cache
-	Step     time.Duration
+	Cached   int           // tokens of this prompt estimated to be in the prefix cache
+	Step     time.Duration // time per step
 }
 
-// Placer is not safe for use by several goroutines.
+// Placer picks engines by one method. It is not safe for concurrent use.
 type Placer struct {
 	method Method
 	rng    *rand.Rand
@@ -58,7 +58,7 @@
 	case LeastMemory:
 		return p.least(views, memory)
 	}
-	return p.least(views, crowding)
+	return p.least(views, loadScore)
 }
 
 func (p *Placer) twoChoices(views []View) int {
@@ -69,7 +69,7 @@
 	return a
 }
 
-// least picks the lowest score; equals are settled by a random start.
+// least picks the lowest score; ties are broken by a random start.
 func (p *Placer) least(views []View, score func(View) float64) int {
 	start := p.rng.IntN(len(views))
 	best, lowest := start, score(views[start])
@@ -86,14 +86,15 @@
 
 func memory(v View) float64 { return float64(v.Used) / float64(max(v.Capacity, 1)) }
 
-// Weights of crowding, in parts of an engine's memory.
+// Weights of loadScore, as fractions of an engine's memory.
 const (
-	waitingWeight = 0.25 // each waiting generation: the next would wait too
-	stepWeight    = 2.0  // each second of a step
-	cachedWeight  = 0.2  // each thousand prompt tokens saved
+	waitingWeight = 0.25 // per waiting generation
+	stepWeight    = 2.0  // per second of step time
+	cachedWeight  = 0.2  // per thousand cached prompt tokens
 )
 
-func crowding(v View) float64 {
+// loadScore combines memory use, queue, step time and cached prefix.
+func loadScore(v View) float64 {
 	return memory(v) +
 		waitingWeight*float64(v.Waiting) +
 		stepWeight*v.Step.Seconds() -
--- a/poll/poll.go
+++ b/poll/poll.go
@@ -1,5 +1,5 @@
-// Package poll reads the load reports of the engines that this box is home
-// of, one task for each engine, so that each engine is asked by one box only.
+// Package poll polls the load reports of the engines whose home box this box is,
+// with one task for each engine, so that only one box polls each engine.
 package poll
 
 import (
@@ -12,13 +12,13 @@
 )
 
 const (
-	period   = 500 * time.Millisecond
-	readTime = time.Second
-	// cacheEvery is how many load reports pass between reads of cache events.
+	period      = 500 * time.Millisecond // of load reports
+	readTimeout = time.Second
+	// cacheEvery is the number of load reports per read of cache events.
 	cacheEvery = 4
 )
 
-// Engine names one to poll.
+// Engine identifies an engine to poll.
 type Engine struct {
 	Name    string
 	Address string
@@ -30,7 +30,7 @@
 	CacheEvents(ctx context.Context, address string, after int) (wire.CacheEvents, error)
 }
 
-// Sink takes what was read.
+// Sink receives the load reports and cache events.
 type Sink interface {
 	Loaded(load wire.EngineLoad)
 	Cached(engine string, seq int, stored bool, block uint64)
@@ -41,17 +41,17 @@
 	Every(ctx context.Context, name string, period time.Duration, f func(now time.Time))
 }
 
-// Poll is one box's.
+// Poll polls the engines of one box.
 type Poll struct {
-	client Client
-	sink   Sink
-	timer  Timer
-	which  func() []Engine
+	client  Client
+	sink    Sink
+	timer   Timer
+	engines func() []Engine
 }
 
-// New returns a poll of the engines that which names at each time.
-func New(c Client, s Sink, t Timer, which func() []Engine) *Poll {
-	return &Poll{client: c, sink: s, timer: t, which: which}
+// New returns a poll of the engines that engines returns.
+func New(c Client, s Sink, t Timer, engines func() []Engine) *Poll {
+	return &Poll{client: c, sink: s, timer: t, engines: engines}
 }
 
 // Run starts and stops the tasks of engines until ctx ends.
@@ -60,14 +60,14 @@
 	var all sync.WaitGroup
 	p.timer.Every(ctx, "poll", period/2, func(time.Time) {
 		wanted := map[Engine]bool{}
-		for _, e := range p.which() {
+		for _, e := range p.engines() {
 			wanted[e] = true
 			if _, ok := tasks[e]; ok {
 				continue
 			}
 			task, stop := context.WithCancel(ctx)
 			tasks[e] = stop
-			all.Go(func() { p.one(task, e) })
+			all.Go(func() { p.pollEngine(task, e) })
 		}
 		for e, stop := range tasks {
 			if !wanted[e] {
@@ -82,25 +82,25 @@
 	all.Wait()
 }
 
-func (p *Poll) one(ctx context.Context, e Engine) {
+func (p *Poll) pollEngine(ctx context.Context, e Engine) {
 	n, seq := 0, 0
 	p.timer.Every(ctx, e.Name, period, func(time.Time) {
-		read, cancel := context.WithTimeout(ctx, readTime)
+		read, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
 		load, err := p.client.Load(read, e.Address)
 		if err != nil {
-			return // silence is what health goes by
+			return // health checks go by missing reports
 		}
-		load.Engine = e.Name // the name it is declared by
+		load.Engine = e.Name // the declared name
 		p.sink.Loaded(load)
 		n++
 		if n%cacheEvery == 0 {
-			seq = p.cache(read, e, seq)
+			seq = p.readCacheEvents(read, e, seq)
 		}
 	})
 }
 
-func (p *Poll) cache(ctx context.Context, e Engine, seq int) int {
+func (p *Poll) readCacheEvents(ctx context.Context, e Engine, seq int) int {
 	events, err := p.client.CacheEvents(ctx, e.Address, seq)
 	if err != nil {
 		return seq
@@ -109,7 +109,7 @@
 		for _, b := range c.Blocks {
 			block, err := strconv.ParseUint(b, 16, 64)
 			if err != nil {
-				continue // one bad hash costs one guess
+				continue // only degrades the estimate
 			}
 			p.sink.Cached(e.Name, c.Seq, c.Stored, block)
 		}
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,5 +1,5 @@
 // Package prefix estimates which prompt prefixes an engine has in its cache,
-// from own dispatches and from the engine's late and gappy cache events.
+// from own dispatches and from the engine's delayed and incomplete cache events.
 package prefix
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockWords is how many words of a prompt make one block.
+// BlockWords is the number of words of a prompt in one block.
 const BlockWords = 64
 
-// Chain returns the hash of each whole block of a prompt together with all
-// that stands before it.
+// Chain returns, for each whole block of a prompt, the hash of the prompt up to
+// its end.
 func Chain(prompt string) []uint64 {
 	words := strings.Fields(prompt)
 	digest := xxhash.New()
@@ -28,49 +28,50 @@
 	return chain
 }
 
-// Prefixes is what one box believes of one engine's cache. It is not safe
-// for use by several goroutines.
+// Prefixes is one box's estimate of one engine's cache, an LRU of blocks. It is
+// not safe for concurrent use.
 type Prefixes struct {
 	capacity int
 	recent   *list.List
-	places   map[uint64]*list.Element
+	elements map[uint64]*list.Element
 	seq      int
 }
 
-// New returns an empty estimate of at most so many blocks.
+// New returns an empty estimate of at most capacity blocks.
 func New(capacity int) *Prefixes {
-	return &Prefixes{capacity: capacity, recent: list.New(), places: map[uint64]*list.Element{}}
+	return &Prefixes{capacity: capacity, recent: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-// Dispatched notes that a prompt with this chain went to the engine.
+// Dispatched records that a prompt with this chain was sent to the engine.
 func (p *Prefixes) Dispatched(chain []uint64) {
 	for _, b := range chain {
 		p.store(b)
 	}
 }
 
-// Apply applies a cache event. Over a gap, evictions may have been missed:
-// half of what is believed, the older half, is given up.
+// Apply applies a cache event. At a gap in the sequence evictions may have been
+// missed, so the least recently used half is dropped.
 func (p *Prefixes) Apply(seq int, stored bool, block uint64) {
 	if p.seq != 0 && seq > p.seq+1 {
-		p.shrink(p.recent.Len() / 2)
+		p.evictTo(p.recent.Len() / 2)
 	}
 	p.seq = max(p.seq, seq)
 	if stored {
 		p.store(block)
 		return
 	}
-	if e, ok := p.places[block]; ok {
+	if e, ok := p.elements[block]; ok {
 		p.recent.Remove(e)
-		delete(p.places, block)
+		delete(p.elements, block)
 	}
 }
 
-// Match returns how many words at the start of a prompt are believed cached.
+// Match returns the number of words at the start of a prompt that are estimated
+// to be cached.
 func (p *Prefixes) Match(chain []uint64) int {
 	n := 0
 	for _, b := range chain {
-		if _, ok := p.places[b]; !ok {
+		if _, ok := p.elements[b]; !ok {
 			break
 		}
 		n++
@@ -79,16 +80,16 @@
 }
 
 func (p *Prefixes) store(block uint64) {
-	if e, ok := p.places[block]; ok {
+	if e, ok := p.elements[block]; ok {
 		p.recent.MoveToFront(e)
 		return
 	}
-	p.places[block] = p.recent.PushFront(block)
-	p.shrink(p.capacity)
+	p.elements[block] = p.recent.PushFront(block)
+	p.evictTo(p.capacity)
 }
 
-func (p *Prefixes) shrink(to int) {
+func (p *Prefixes) evictTo(to int) {
 	for p.recent.Len() > to {
-		delete(p.places, p.recent.Remove(p.recent.Back()).(uint64))
+		delete(p.elements, p.recent.Remove(p.recent.Back()).(uint64))
 	}
 }
