--- a/edge/answers.go
+++ b/edge/answers.go
@@ -157,7 +157,7 @@
 		e.answerWholeFleet(now, from, a)
 		return
 	case from.WholeFleet && from.FleetAfter == 0:
-		e.metrics.FleetTold("changes")
+		e.metrics.FleetRequested("changes")
 	}
 	changed, at := e.fleet.Since(after)
 	a.FleetAt = at
@@ -178,10 +178,10 @@
 	}
 	if !e.fleetPacer.allow(now, len(packed)+fleetCallBytes) && !e.members.IsHubBox(now, from.Sender.Box) {
 		a.FleetLater = true
-		e.metrics.FleetTold("later")
+		e.metrics.FleetRequested("later")
 		return
 	}
-	e.metrics.FleetTold("whole")
+	e.metrics.FleetRequested("whole")
 	a.FleetAt = at
 	if from.Unpacks {
 		a.Fleet = packed
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -309,7 +309,7 @@
 		return nil
 	}
 	b := buffers.New(buffers.Limits{Stream: maxStreamBuffer, Box: int(e.config.Edge.MemoryMb * 1024 * 1024 * bufferMemoryPercent / 100)})
-	if err := e.metrics.Holds(b.Held); err != nil {
+	if err := e.metrics.ObserveHeldBytes(b.Held); err != nil {
 		e.log.WithError(err).Warn("held_not_counted")
 	}
 	return b
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -193,13 +193,13 @@
 	outcome := metrics.LimitGranted
 	if by == "" {
 		share := ratelimit.Request{Rate: l.shareRate(perSecond), Urgency: a.Urgency, Wait: a.Wait}
-		turn, outcome = l.fallback.Take(now, a.Upstream, share), metrics.LimitUnheard
+		turn, outcome = l.fallback.Take(now, a.Upstream, share), metrics.LimitOwnerUnreachable
 	}
 	if !turn.Granted {
 		outcome = metrics.LimitUsedUp
 		l.recordUsedUp(now, a.Upstream, turn.Delay)
 	}
-	l.metrics.LimitAsked(outcome)
+	l.metrics.LimitRequested(outcome)
 	l.log.WithFields(logrus.Fields{
 		"request": a.Request, "upstream": a.Upstream, "per_second": perSecond, "said_ms": now.Sub(at).Milliseconds(), "keeper": by, "granted": turn.Granted,
 		"in_ms": turn.Delay.Milliseconds(), "took_ms": time.Since(now).Milliseconds(),
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -30,7 +30,7 @@
 	RetryHomeGone     = "home_gone"
 	RetryIdempotent   = "idempotent_call"
 	RetryMoved        = "moved"
-	RetryBeside       = "beside"
+	RetryConcurrent   = "beside"
 	RetryLeft         = "upstream_left" // before the request went
 	RetryRests        = "upstream_rests"
 )
@@ -43,16 +43,16 @@
 
 // Reasons for a second try that was due and not sent.
 const (
-	NotBesideBudget  = "budget"
-	NotBesideNoRoom  = "no_room"
-	NotBesideSuspect = "suspect" // upstreams ended under it: one try at a time
+	SecondTryNoBudget   = "budget"
+	SecondTryNoCapacity = "no_room"
+	SecondTrySuspect    = "suspect" // upstreams ended under it: one try at a time
 )
 
 // Outcomes of requests that were about to go to a limited upstream.
 const (
-	LimitGranted = "granted"
-	LimitUsedUp  = "used_up"
-	LimitUnheard = "keeper_unheard" // it goes by the box's own part
+	LimitGranted          = "granted"
+	LimitUsedUp           = "used_up"
+	LimitOwnerUnreachable = "keeper_unheard" // it goes by the box's own part
 )
 
 // Changes of a hall.
@@ -63,11 +63,13 @@
 
 // RetryReasons lists every reason for a retry.
 func RetryReasons() []string {
-	return []string{RetryNeverStarted, RetryEngineLost, RetryResume, RetryHomeGone, RetryIdempotent, RetryMoved, RetryBeside, RetryLeft, RetryRests}
+	return []string{RetryNeverStarted, RetryEngineLost, RetryResume, RetryHomeGone, RetryIdempotent, RetryMoved, RetryConcurrent, RetryLeft, RetryRests}
 }
 
-// NotBesideReasons lists every reason for a second try that was not sent.
-func NotBesideReasons() []string { return []string{NotBesideBudget, NotBesideNoRoom, NotBesideSuspect} }
+// SecondTrySkipReasons lists every reason for a second try that was not sent.
+func SecondTrySkipReasons() []string {
+	return []string{SecondTryNoBudget, SecondTryNoCapacity, SecondTrySuspect}
+}
 
 // Metrics holds the instruments of one box.
 type Metrics struct {
@@ -168,7 +170,7 @@
 	for _, change := range quarantine.Changes() {
 		m.closed.Add(ctx, 0, metric.WithAttributes(attribute.String("change", change)))
 	}
-	for _, outcome := range []string{LimitGranted, LimitUsedUp, LimitUnheard} {
+	for _, outcome := range []string{LimitGranted, LimitUsedUp, LimitOwnerUnreachable} {
 		m.allowed.Add(ctx, 0, metric.WithAttributes(attribute.String("outcome", outcome)))
 	}
 	for _, change := range backoff.Changes() {
@@ -186,7 +188,7 @@
 	for _, class := range speeds.Classes() {
 		m.classes.Add(ctx, 0, metric.WithAttributes(attribute.String("class", string(class))))
 	}
-	for _, r := range NotBesideReasons() {
+	for _, r := range SecondTrySkipReasons() {
 		m.alone.Add(ctx, 0, metric.WithAttributes(attribute.String("reason", r)))
 	}
 	for _, change := range []string{hallEvacuated, hallTakenBack} {
@@ -204,8 +206,8 @@
 	m.retries.Add(context.Background(), 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
 
-// NotBeside counts a second try that was due and not sent.
-func (m *Metrics) NotBeside(reason string) {
+// SecondTrySkipped counts a second try that was due and not sent.
+func (m *Metrics) SecondTrySkipped(reason string) {
 	m.alone.Add(context.Background(), 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
 
@@ -267,8 +269,8 @@
 	m.slow.Add(context.Background(), 1, metric.WithAttributes(attribute.String("reason", reason)))
 }
 
-// Holds makes a box's count of the bytes that it holds for callers seen.
-func (m *Metrics) Holds(held func() int) error {
+// ObserveHeldBytes makes a box's count of the bytes that it holds for callers seen.
+func (m *Metrics) ObserveHeldBytes(held func() int) error {
 	_, err := m.meter.RegisterCallback(func(_ context.Context, o metric.Observer) error {
 		o.ObserveInt64(m.held, int64(held()))
 		return nil
@@ -281,9 +283,9 @@
 	m.reads.Add(context.Background(), 1, metric.WithAttributes(attribute.String("table", table), attribute.String("reason", reason)))
 }
 
-// FleetTold counts an answer to a box that wants the whole fleet: all of it, what
+// FleetRequested counts an answer to a box that wants the whole fleet: all of it, what
 // changed since the box knew all, or that it follows.
-func (m *Metrics) FleetTold(outcome string) {
+func (m *Metrics) FleetRequested(outcome string) {
 	m.fleets.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
@@ -310,8 +312,8 @@
 	m.limits.Add(context.Background(), 1, metric.WithAttributes(attribute.String("change", change)))
 }
 
-// LimitAsked counts a request that was about to go to a limited upstream.
-func (m *Metrics) LimitAsked(outcome string) {
+// LimitRequested counts a request that was about to go to a limited upstream.
+func (m *Metrics) LimitRequested(outcome string) {
 	m.allowed.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -31,9 +31,9 @@
 		m.Retried(r)
 		is.Equal(value(m, "petrelstep_retries_total", r), "1")
 	}
-	for _, r := range metrics.NotBesideReasons() {
+	for _, r := range metrics.SecondTrySkipReasons() {
 		is.Equal(value(m, "petrelstep_second_tries_not_sent_total", r), "0")
-		m.NotBeside(r)
+		m.SecondTrySkipped(r)
 		is.Equal(value(m, "petrelstep_second_tries_not_sent_total", r), "1")
 		is.True(strings.Contains(string(page), "`"+r+"`"))
 	}
--- a/relay/whole.go
+++ b/relay/whole.go
@@ -142,20 +142,20 @@
 		return
 	}
 	_, load, ok := r.Picker.Choose(time.Now(), j.want())
-	why := metrics.NotBesideBudget
+	why := metrics.SecondTryNoBudget
 	if !ok || load >= 1 || r.sharesPlaces(j) && r.Places.Overloaded(time.Now(), j.service) {
-		why = metrics.NotBesideNoRoom
+		why = metrics.SecondTryNoCapacity
 	}
 	if r.Quarantine.Status(time.Now(), j.print).Kind != quarantine.Free {
-		why = metrics.NotBesideSuspect
+		why = metrics.SecondTrySuspect
 	}
-	if why != metrics.NotBesideBudget || !r.Budget.Spend() {
-		r.Metrics.NotBeside(why)
+	if why != metrics.SecondTryNoBudget || !r.Budget.Spend() {
+		r.Metrics.SecondTrySkipped(why)
 		j.log.WithFields(logrus.Fields{"why": why, "load": load, "tried": len(j.tried)}).Info("first_goes_on")
 		return
 	}
-	r.Metrics.Retried(metrics.RetryBeside)
-	j.log.WithFields(logrus.Fields{"why": metrics.RetryBeside, "tried": len(j.tried)}).Info("sent_again")
+	r.Metrics.Retried(metrics.RetryConcurrent)
+	j.log.WithFields(logrus.Fields{"why": metrics.RetryConcurrent, "tried": len(j.tried)}).Info("sent_again")
 	j.noWait = true // the first try may be answered while this one waits
 	if err := r.startTry(ctx, race); err != nil {
 		j.log.WithError(err).Info("not_sent_again")
