--- a/client/client.go
+++ b/client/client.go
@@ -31,7 +31,7 @@
 	Request    string
 	First      time.Duration
 	Gaps       []time.Duration
-	TakenUp    int // times that the stream was taken up again
+	Resumed    int // times that the stream was taken up again
 }
 
 // Error is an answer of an interface that is not the one asked for.
@@ -117,7 +117,7 @@
 	if err != nil {
 		return
 	}
-	r.out.TakenUp++
+	r.out.Resumed++
 	r.read(resp)
 }
 
--- a/commands/generate.go
+++ b/commands/generate.go
@@ -75,7 +75,7 @@
 		fmt.Println()
 	}
 	fmt.Fprintf(os.Stderr, "ending=%s reason=%s tokens=%d whole=%v taken_up=%d first_ms=%d retry_after_ms=%d generation=%s\n",
-		out.Ending, out.Reason, out.Tokens, out.Whole, out.TakenUp, out.First.Milliseconds(), out.RetryAfter.Milliseconds(), out.Generation)
+		out.Ending, out.Reason, out.Tokens, out.Whole, out.Resumed, out.First.Milliseconds(), out.RetryAfter.Milliseconds(), out.Generation)
 	if out.Ending == "done" && !out.Whole {
 		fmt.Fprintln(os.Stderr, "the answer was not whole:", out.Wrong)
 		return exitFailed
--- a/commands/load.go
+++ b/commands/load.go
@@ -102,7 +102,7 @@
 	r := &t.report
 	r.Requests++
 	r.Tokens += o.Tokens
-	r.TakenUp += o.TakenUp
+	r.TakenUp += o.Resumed
 	r.Endings[o.Ending]++
 	if o.Reason != "" {
 		r.Reasons[o.Reason]++
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -422,7 +422,7 @@
 		}
 	})
 	is.Equal(r.out.Ending, "done")
-	is.Equal(r.out.TakenUp, 0) // it was not cut off
+	is.Equal(r.out.Resumed, 0) // it was not cut off
 	is.Equal(refused.Load(), "503 Service Unavailable 1")
 }
 
@@ -480,7 +480,7 @@
 		s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeFreeze, DelayMs: 1500})
 		time.AfterFunc(300*time.Millisecond, stop)
 		r := generate(s, 0, draft("stream"), 0, nil)
-		return r.out.Ending, r.out.TakenUp
+		return r.out.Ending, r.out.Resumed
 	}},
 	"stream, table down":       {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }},
 	"stream, list down":        {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "members", Mode: wire.FaultModeDown}) }},
@@ -493,10 +493,10 @@
 		if deliver == "whole" {
 			time.AfterFunc(200*time.Millisecond, stop)
 			r := generate(s, 0, draft(deliver), 0, nil)
-			return r.out.Ending, r.out.TakenUp
+			return r.out.Ending, r.out.Resumed
 		}
 		r := generate(s, 0, draft(deliver), 5, stop)
-		return r.out.Ending, r.out.TakenUp
+		return r.out.Ending, r.out.Resumed
 	}
 }
 
@@ -580,7 +580,7 @@
 			r := generate(s, 0, draft("stream"), 10, func() { s.Relays[0].Cut(tt.last) })
 			is.Equal(r.out.Ending, tt.ending)
 			is.Equal(r.out.Wrong, "")
-			is.Equal(r.out.TakenUp, 0) // the box goes on by itself
+			is.Equal(r.out.Resumed, 0) // the box goes on by itself
 			r.oneGeneration(is)
 		})
 	}
--- a/dispatch/failed.go
+++ b/dispatch/failed.go
@@ -15,10 +15,10 @@
 func (d *Dispatcher) failed(ctx context.Context, t try, err error) (refusal.Refusal, string) {
 	var lost *generation.LostError
 	switch {
-	case engine.KindOf(err) == engine.NotSent, engine.KindOf(err) == engine.NotTaken:
+	case engine.KindOf(err) == engine.NotSent, engine.KindOf(err) == engine.Rejected:
 		d.Health.RecordFailure(t.engine)
 		return refusal.New(refusal.NoUpstream, "engine took nothing").WithRetryAfter(comeAgain), metrics.RetryNeverStarted
-	case errors.As(err, &lost) && engine.KindOf(lost.Err) == engine.Gone:
+	case errors.As(err, &lost) && engine.KindOf(lost.Err) == engine.AttemptUnknown:
 		d.Health.RecordFailure(t.engine)
 		return refusal.New(refusal.UpstreamLost, "engine lost it before its first token").WithRetryAfter(comeAgain), metrics.RetryEngineLost
 	}
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -182,7 +182,7 @@
 	counts, err := metrics.New()
 	is.NoErr(err)
 	w := httptest.NewRecorder()
-	New(Components{Metrics: counts}).answer(w, service.Answer{Status: http.StatusServiceUnavailable, Again: "7"})
+	New(Components{Metrics: counts}).answer(w, service.Answer{Status: http.StatusServiceUnavailable, RetryAfter: "7"})
 	is.Equal(w.Code, http.StatusServiceUnavailable)
 	is.Equal(w.Header().Get("Retry-After"), "7")
 }
--- a/front/generation.go
+++ b/front/generation.go
@@ -225,7 +225,7 @@
 func (f *Front) resume(w http.ResponseWriter, r *http.Request, id string, claims ticket.Claims, from int) error {
 	g, err := generation.Resume(r.Context(), f.Engines, claims.Address, claims.Attempt, func() { f.Metrics.Retried(metrics.RetryResume) })
 	if err != nil {
-		if engine.KindOf(err) == engine.Gone {
+		if engine.KindOf(err) == engine.AttemptUnknown {
 			return refusal.New(refusal.GenerationLost, "the engine no longer has it").WithRetryAfter(defaultRetryAfter)
 		}
 		return refusal.New(refusal.UpstreamLost, "the engine does not answer").WithOutcome(refusal.Unknown).WithRetryAfter(defaultRetryAfter)
--- a/front/service.go
+++ b/front/service.go
@@ -168,8 +168,8 @@
 	if a.Type != "" {
 		w.Header().Set("Content-Type", a.Type)
 	}
-	if a.Again != "" {
-		w.Header().Set("Retry-After", a.Again)
+	if a.RetryAfter != "" {
+		w.Header().Set("Retry-After", a.RetryAfter)
 	}
 	w.Header().Set("Petrelstep-Ending", string(refusal.Done))
 	w.WriteHeader(a.Status)
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -263,7 +263,7 @@
 			return ctx.Err()
 		}
 		cause = err
-		if engine.KindOf(err) == engine.Gone {
+		if engine.KindOf(err) == engine.AttemptUnknown {
 			break
 		}
 		time.Sleep(waits.NextBackOff())
--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -107,7 +107,7 @@
 		return engine.NewStream(newBody(s.String(), s.frozen)), nil
 	}
 	if e.gone {
-		return nil, &engine.Error{Kind: engine.Gone, Err: &engine.StatusError{Status: 404}}
+		return nil, &engine.Error{Kind: engine.AttemptUnknown, Err: &engine.StatusError{Status: 404}}
 	}
 	complete := new(stream).start(attempt).tokens(attempt, from, whole).end(attempt, whole, wire.EngineEndWhyDone)
 	return engine.NewStream(newBody(complete.String(), false)), nil
--- a/upstream/engine/engine.go
+++ b/upstream/engine/engine.go
@@ -22,10 +22,10 @@
 
 // The kinds of failure.
 const (
-	NotSent  Kind = iota // no byte left the box
-	NotTaken             // the engine answered that it started nothing
-	Gone                 // the engine does not hold the attempt
-	Lost                 // nothing is certain
+	NotSent        Kind = iota // no byte left the box
+	Rejected                   // the engine answered that it started nothing
+	AttemptUnknown             // the engine does not hold the attempt
+	Indeterminate              // nothing is certain
 )
 
 // Error is a failed call to an engine.
@@ -52,7 +52,7 @@
 	if errors.As(err, &e) {
 		return e.Kind
 	}
-	return Lost
+	return Indeterminate
 }
 
 // Engine calls engines by their addresses. It is safe for use by several
@@ -179,7 +179,7 @@
 		err = json.Unmarshal(raw, out)
 	}
 	if err != nil {
-		return &Error{Kind: Lost, Err: err}
+		return &Error{Kind: Indeterminate, Err: err}
 	}
 	return nil
 }
@@ -189,15 +189,15 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return NotSent
 	}
-	return Lost
+	return Indeterminate
 }
 
 func kindOfStatus(status int) Kind {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest:
-		return NotTaken
+		return Rejected
 	case http.StatusNotFound:
-		return Gone
+		return AttemptUnknown
 	}
-	return Lost
+	return Indeterminate
 }
--- a/upstream/service/service.go
+++ b/upstream/service/service.go
@@ -23,10 +23,10 @@
 
 // Answer is a service's whole answer.
 type Answer struct {
-	Status int
-	Type   string
-	Again  string // when to come back, as its head says; empty where it does not
-	Body   []byte
+	Status     int
+	Type       string
+	RetryAfter string // when to come back, as its head says; empty where it does not
+	Body       []byte
 }
 
 // Error is a call without an answer.
@@ -87,5 +87,5 @@
 	if err != nil {
 		return Answer{}, &Error{Err: err}
 	}
-	return Answer{Status: resp.StatusCode, Type: resp.Header.Get("Content-Type"), Again: resp.Header.Get("Retry-After"), Body: body}, nil
+	return Answer{Status: resp.StatusCode, Type: resp.Header.Get("Content-Type"), RetryAfter: resp.Header.Get("Retry-After"), Body: body}, nil
 }
--- a/upstream/service/service_test.go
+++ b/upstream/service/service_test.go
@@ -23,5 +23,5 @@
 	a, err := service.New(time.Second).Do(t.Context(), service.Call{Method: http.MethodGet, Address: strings.TrimPrefix(server.URL, "http://"), Path: "/x"})
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusServiceUnavailable)
-	is.Equal(a.Again, "7")
+	is.Equal(a.RetryAfter, "7")
 }
