--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -12,8 +12,8 @@
 	"petrelstep/refusal"
 )
 
-// TestEveryReason holds that each reason for a refusal and for a retry has its
-// counter from the start, counts, and stands on the operators' page.
+// TestEveryReason checks that every reason has a counter that starts at zero and
+// counts, and that the reasons for refusals and skipped second tries are documented.
 func TestEveryReason(t *testing.T) {
 	is := is.New(t)
 	m, err := metrics.New()
@@ -24,7 +24,7 @@
 		is.True(strings.Contains(scrape(m), `petrelstep_refusals_total{`) && value(m, "petrelstep_refusals_total", string(r)) == "0")
 		m.Refused(r)
 		is.Equal(value(m, "petrelstep_refusals_total", string(r)), "1")
-		is.True(strings.Contains(string(page), string(r))) // the operators' page tells of it
+		is.True(strings.Contains(string(page), string(r)))
 	}
 	for _, r := range metrics.RetryReasons() {
 		is.Equal(value(m, "petrelstep_retries_total", r), "0")
