--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -16,8 +16,8 @@
 	"petrelstep/wire"
 )
 
-// BenchmarkFirstToken is the time to the first token of a short call: straight
-// from a stand-in engine, and through a box. The difference is what a box adds.
+// BenchmarkFirstToken measures the time to the first token of a short request, directly
+// from a stand-in engine and through a box.
 func BenchmarkFirstToken(b *testing.B) {
 	options := []engine.Options{{Name: "e0", Model: "m", Speed: 1000}}
 	s, err := cluster.New(cluster.Options{Boxes: 1, Engines: options})
@@ -36,19 +36,19 @@
 		for b.Loop() {
 			n++
 			job := wire.EngineJob{Attempt: "x" + strconv.Itoa(n), Model: "m", Prompt: "is it so?", Class: "check", MaxTokens: 4}
-			first(b, server.URL+"/generate", job)
+			readFirst(b, server.URL+"/generate", job)
 		}
 	})
 	b.Run("box", func(b *testing.B) {
 		for b.Loop() {
 			req := wire.GenerationRequest{Model: "m", Prompt: "is it so?", Class: "check", MaxTokens: 4, Deliver: "stream", DeadlineMs: 10000}
-			first(b, "http://"+s.Boxes[0].Settings.Listen.Callers+"/v1/generations", req)
+			readFirst(b, "http://"+s.Boxes[0].Settings.Listen.Callers+"/v1/generations", req)
 		}
 	})
 }
 
-// first posts a request, waits for its first token and reads the rest.
-func first(b *testing.B, url string, body any) {
+// readFirst posts a request, times its first token and reads the rest untimed.
+func readFirst(b *testing.B, url string, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		b.Fatal(err)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of one box together and runs them from start
-// to planned stop.
+// Package daemon assembles the components of a box and runs them from start to planned
+// stop.
 package daemon
 
 import (
@@ -49,57 +49,57 @@
 	"petrelstep/wire"
 )
 
-// serviceTime bounds a call to a plain service.
-const serviceTime = time.Minute
+// serviceTimeout bounds a call to a plain service.
+const serviceTimeout = time.Minute
 
-// Daemon is one box.
+// Daemon is a running box with all its components.
 type Daemon struct {
 	config      config.Config
 	incarnation int
 	log         *logrus.Entry
 	timer       *timer.Service
 	metrics     *metrics.Metrics
-	keys        *tlscerts.Reloader
+	certs       *tlscerts.Reloader
 
-	resources *resource.Resources
-	catchUp   *catchup.CatchUp
-	members   *members.Members
-	list      *platformmembers.Members
-	table     *table.Table
-	peers     *peer.Peers
-	spread    *broadcast.Broadcaster
+	resources   *resource.Resources
+	catchUp     *catchup.CatchUp
+	members     *members.Members
+	memberList  *platformmembers.Members
+	table       *table.Table
+	peers       *peer.Peers
+	broadcaster *broadcast.Broadcaster
 
-	lengths *outputlen.Estimator
-	loads   *engineload.Tracker
-	health  *health.Health
-	quota   *quota.Quota
-	within  *digest.Digest // for peers of this hall
-	across  *digest.Digest // for peers of other halls
-	grants  *grantserver.Server
-	homes   *grantclient.Client
-	flights *inflight.Tracker
-	engines *engine.Engine
-	ledger  *ledger.Ledger
-	front   *front.Front
-	admin   *admin.Admin
+	lengths         *outputlen.Estimator
+	loads           *engineload.Tracker
+	health          *health.Health
+	quota           *quota.Quota
+	hallDigest      *digest.Digest // load digest for peers of this hall
+	crossHallDigest *digest.Digest // load digest for peers of other halls
+	grants          *grantserver.Server
+	homes           *grantclient.Client
+	flights         *inflight.Tracker
+	engines         *engine.Engine
+	ledger          *ledger.Ledger
+	front           *front.Front
+	admin           *admin.Admin
 
-	caughtUp  atomic.Bool
-	heard     atomic.Int64 // highest revision that a peer has told of
-	draining  atomic.Bool
-	drain     chan struct{}
-	cancel    context.CancelFunc // ends what outlives single requests
-	drainOnce sync.Once
+	caughtUp        atomic.Bool
+	highestRevision atomic.Int64 // highest revision that a peer has reported
+	draining        atomic.Bool
+	drain           chan struct{}
+	cancel          context.CancelFunc // cancels work that outlives single requests
+	drainOnce       sync.Once
 
-	mu      sync.Mutex
-	own     []poll.Engine // that this box is home of
-	cells   *cells.Cells
-	cellsAt int // revision that cells were made from
-	placers map[placement.Method]*placement.Placer
-	since   map[string]time.Time
+	mu             sync.Mutex
+	pollTargets    []poll.Engine // engines that this box is home of
+	cells          *cells.Cells
+	cellsRevision  int // revision that cells were built from
+	placers        map[placement.Method]*placement.Placer
+	placementSince map[string]time.Time
 }
 
-// OnClock lets the box see by a clock that counts them when its machine was suspended.
-// It is called before Run.
+// OnClock sets a clock that includes suspend time, which lets the box detect that its
+// machine was suspended. It is called before Run.
 func (d *Daemon) OnClock(c timer.Clock) *Daemon {
 	d.timer.On(c)
 	d.timer.OnWake(func(slept time.Duration) {
@@ -109,56 +109,56 @@
 	return d
 }
 
-// New puts a box together; nothing runs and no port is open before Run. ctx
-// bounds what outlives single requests.
+// New assembles a box; nothing runs and no port is open before Run. Work that outlives
+// single requests ends with ctx.
 func New(ctx context.Context, c config.Config, log *logrus.Entry, counts *metrics.Metrics) (*Daemon, error) {
 	k, err := tlscerts.New(tlscerts.Files{Certificate: c.TLS.Certificate, Key: c.TLS.Key, Authority: c.TLS.PeerAuthority})
 	if err != nil {
 		return nil, err
 	}
 	d := &Daemon{
-		config:      c,
-		incarnation: int(time.Now().UnixMilli()),
-		log:         log,
-		timer:       timer.New(),
-		metrics:     counts,
-		keys:        k,
-		resources:   resource.New(),
-		lengths:     outputlen.New(),
-		loads:       engineload.New(),
-		health:      health.New(),
-		quota:       quota.New(1),
-		within:      digest.New(heartbeat.Period),
-		across:      digest.New(heartbeat.AcrossPeriod),
-		engines:     engine.New(),
-		drain:       make(chan struct{}),
-		cells:       cells.New(resource.NewView(0, nil), c.CellSize),
-		placers:     map[placement.Method]*placement.Placer{},
-		since:       map[string]time.Time{},
+		config:          c,
+		incarnation:     int(time.Now().UnixMilli()),
+		log:             log,
+		timer:           timer.New(),
+		metrics:         counts,
+		certs:           k,
+		resources:       resource.New(),
+		lengths:         outputlen.New(),
+		loads:           engineload.New(),
+		health:          health.New(),
+		quota:           quota.New(1),
+		hallDigest:      digest.New(heartbeat.Period),
+		crossHallDigest: digest.New(heartbeat.AcrossPeriod),
+		engines:         engine.New(),
+		drain:           make(chan struct{}),
+		cells:           cells.New(resource.NewView(0, nil), c.CellSize),
+		placers:         map[placement.Method]*placement.Placer{},
+		placementSince:  map[string]time.Time{},
 	}
 	ctx, d.cancel = context.WithCancel(ctx)
-	d.connect()
-	d.control(ctx)
-	d.serve()
+	d.initClients()
+	d.initCoordination(ctx)
+	d.initInterfaces()
 	return d, nil
 }
 
-// connect makes the clients of the platform and of the peers.
-func (d *Daemon) connect() {
+// initClients creates the clients of the platform and of the peers.
+func (d *Daemon) initClients() {
 	c := d.config
 	platform, timeout := store.New(c.Platform.Address, d.metrics), config.Millis(c.Platform.TimeoutMs)
 	d.table = table.New(platform, timeout)
-	d.list = platformmembers.New(platform, timeout)
+	d.memberList = platformmembers.New(platform, timeout)
 	d.members = members.New(members.Box{
 		Name: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: d.incarnation, State: members.Live,
 	})
-	d.peers = peer.New(d.keys.PeerClient())
-	d.spread = broadcast.New(d.members, d.peers)
+	d.peers = peer.New(d.certs.PeerClient())
+	d.broadcaster = broadcast.New(d.members, d.peers)
 	d.catchUp = catchup.New(d.table, d.resources)
 }
 
-// control makes the parts that act together with the other boxes.
-func (d *Daemon) control(ctx context.Context) {
+// initCoordination creates the components that coordinate with the other boxes.
+func (d *Daemon) initCoordination(ctx context.Context) {
 	c := d.config
 	d.grants = grantserver.New(d.params(), d.lengths, d.health, d.enginesOf)
 	d.homes = grantclient.New(d.members, d.peers, d.grants, d.metrics)
@@ -166,8 +166,8 @@
 	d.ledger = ledger.New(ctx, d.table, d, c.Box, d.incarnation, config.Millis(c.AnswersKeptMs))
 }
 
-// serve makes the parts that callers and operators meet.
-func (d *Daemon) serve() {
+// initInterfaces creates the interfaces for callers and operators.
+func (d *Daemon) initInterfaces() {
 	c := d.config
 	budget := retry.New()
 	dispatcher := dispatch.New(dispatch.Components{
@@ -176,38 +176,40 @@
 		Metrics: d.metrics,
 	})
 	d.front = front.New(front.Components{
-		Box: c.Box, Resources: d.resources, Dispatcher: dispatcher, Engines: d.engines, Services: service.New(serviceTime),
+		Box: c.Box, Resources: d.resources, Dispatcher: dispatcher, Engines: d.engines, Services: service.New(serviceTimeout),
 		Ledger: d.ledger, Flights: d.flights, Tickets: ticket.New(c.SharedKey()), Budget: budget,
-		Metrics: d.metrics, Log: d.log, NotifyResumed: d.tellTaken, Ready: d.configured,
+		Metrics: d.metrics, Log: d.log, NotifyResumed: d.notifyResumed, Ready: d.configured,
 		MaxBodySize: c.Limits.BodyBytes, MaxStreams: c.Limits.Streams,
 	})
-	declarer := configwriter.New(d.table, verify.New(), d.resources, d.catchUp.Run)
+	writer := configwriter.New(d.table, verify.New(), d.resources, d.catchUp.Run)
 	d.admin = admin.New(admin.Components{
-		Resources: d.resources, Write: d.write(declarer), Status: d.status, Drain: d.Drain, Ready: d.ready,
+		Resources: d.resources, Write: d.write(writer), Status: d.status, Drain: d.Drain, Ready: d.ready,
 		Metrics: d.metrics, OperatorKey: c.OperatorKeyHash, Log: d.log,
 	})
 }
 
-// write commits a resource and tells the other boxes before it is answered.
-func (d *Daemon) write(declarer *configwriter.Writer) func(context.Context, wire.Resource) (wire.Resource, error) {
+// write returns a function that commits a resource and broadcasts it to the other boxes
+// before the operator gets the answer.
+func (d *Daemon) write(writer *configwriter.Writer) func(context.Context, wire.Resource) (wire.Resource, error) {
 	return func(ctx context.Context, r wire.Resource) (wire.Resource, error) {
-		done, err := declarer.Write(ctx, r)
+		done, err := writer.Write(ctx, r)
 		if err != nil {
 			return r, err
 		}
 		set := wire.ChangeSet{Revision: done.Revision, Since: done.Revision - 1, Items: []wire.Resource{done}}
 		d.resources.Apply(set)
-		d.spread.Broadcast(ctx, set)
+		d.broadcaster.Broadcast(ctx, set)
 		return done, nil
 	}
 }
 
+// cellsNow returns the cells of the current configuration.
 func (d *Daemon) cellsNow() *cells.Cells {
 	view := d.resources.View()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cellsAt != view.Revision {
-		d.cells, d.cellsAt = cells.New(view, d.config.CellSize), view.Revision
+	if d.cellsRevision != view.Revision {
+		d.cells, d.cellsRevision = cells.New(view, d.config.CellSize), view.Revision
 	}
 	return d.cells
 }
@@ -221,9 +223,9 @@
 	return nil
 }
 
-// gapPart is the part of a model's bound for gaps that the mean step may
-// take: prompts that come in between need the rest.
-const gapPart = 0.85
+// meanStepShare is the fraction of a model's gap limit that the mean step may take; the
+// rest is for prefills between steps.
+const meanStepShare = 0.85
 
 func (d *Daemon) params() home.Params {
 	view := d.resources.View()
@@ -232,7 +234,7 @@
 		Gaps: map[string]time.Duration{},
 	}
 	for name, m := range view.Models {
-		params.Gaps[name] = time.Duration(gapPart * float64(config.Millis(m.GapMs)))
+		params.Gaps[name] = time.Duration(meanStepShare * float64(config.Millis(m.GapMs)))
 	}
 	return params
 }
@@ -248,24 +250,24 @@
 	return p.Pick(views)
 }
 
-// configured tells whether this box has a configuration to serve by. One that
-// started in an outage of the table serves by the highest that its peers have.
+// configured reports whether this box has a configuration to serve with. If the table
+// was unavailable at start, it is the highest revision that its peers have reported.
 func (d *Daemon) configured() bool {
 	if d.caughtUp.Load() {
 		return true
 	}
 	revision := int64(d.resources.View().Revision)
-	return revision > 0 && revision >= d.heard.Load()
+	return revision > 0 && revision >= d.highestRevision.Load()
 }
 
 func (d *Daemon) ready() bool { return d.configured() && !d.draining.Load() }
 
-// Drain begins the planned stop.
+// Drain starts the planned stop.
 func (d *Daemon) Drain() { d.drainOnce.Do(func() { close(d.drain) }) }
 
-// Reload reads the key files again.
+// Reload reads the certificate and key files again.
 func (d *Daemon) Reload() {
-	if err := d.keys.Reload(); err != nil {
+	if err := d.certs.Reload(); err != nil {
 		d.log.WithError(err).Error("keys_not_reloaded")
 		return
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -26,11 +26,11 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"), goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-// draftLength is that of every draft: a fault that strikes at the tenth token
-// strikes in the middle, and a stream outlasts a box's notice of leaving.
+// draftLength is the length of every draft in tokens: long enough that a fault at the
+// tenth token is in the middle and that a stream outlasts a box's leave notice.
 const draftLength = 400
 
-// engines returns options of quick engines that serve model m.
+// engines returns the options of n fast engines that serve model m.
 func engines(n int, speed float64) []engine.Options {
 	names := []string{"e0", "e1", "e2", "e3"}
 	var all []engine.Options
@@ -40,7 +40,7 @@
 	return all
 }
 
-func newSet(t testing.TB, boxes int, all []engine.Options) *cluster.Cluster {
+func newCluster(t testing.TB, boxes int, all []engine.Options) *cluster.Cluster {
 	t.Helper()
 	s, err := cluster.New(cluster.Options{Boxes: boxes, Engines: all})
 	if err != nil {
@@ -57,17 +57,17 @@
 	}
 }
 
-// reading is what a caller received.
-type reading struct {
+// response is the outcome and the tokens that a caller received.
+type response struct {
 	out  client.Outcome
 	text []string
 }
 
-// generate reads a generation to its end; at the token of a number it calls at.
-func generate(s *cluster.Cluster, box int, req wire.GenerationRequest, token int, at func()) reading {
+// generate reads a generation to its end and calls at when it receives the given token.
+func generate(s *cluster.Cluster, box int, req wire.GenerationRequest, token int, at func()) response {
 	c := s.Callers(cluster.CallerKey)
 	defer c.Close()
-	var r reading
+	var r response
 	r.out = c.Generate(context.Background(), box, req, func(t string) {
 		r.text = append(r.text, t)
 		if len(r.text) == token && at != nil {
@@ -77,40 +77,39 @@
 	return r
 }
 
-// oneGeneration holds what was received against the attempt's own text.
-func (r reading) oneGeneration(is *is.I) {
+// checkTokens compares the received tokens with those of the attempt.
+func (r response) checkTokens(is *is.I) {
 	is.Helper()
 	for i, t := range r.text {
 		is.Equal(t, text.Token(r.out.Generation, i))
 	}
 }
 
-// generationTests is the fault matrix of a generation's life over the whole
-// path, fault x step. What a caller received is held against what the engine's
-// attempt would say, token by token.
+// generationTests is the fault matrix of a generation over the whole path, fault x
+// step. The received tokens are compared with those of the engine's attempt.
 var generationTests = map[string]struct {
 	deliver wire.GenerationRequestDeliver
-	strike  func(s *cluster.Cluster) // at the tenth token
+	inject  func(s *cluster.Cluster) // at the tenth token
 	before  func(s *cluster.Cluster)
 	ending  string
 	reason  string
 }{
-	"sound x stream": {deliver: "stream", ending: "done"},
-	"sound x whole":  {deliver: "whole", ending: "done"},
+	"no fault x stream": {deliver: "stream", ending: "done"},
+	"no fault x whole":  {deliver: "whole", ending: "done"},
 	"box killed x middle": {
-		deliver: "stream", strike: func(s *cluster.Cluster) { s.Kill(0) }, ending: "done",
+		deliver: "stream", inject: func(s *cluster.Cluster) { s.Kill(0) }, ending: "done",
 	},
 	"planned stop x middle": {
-		deliver: "stream", strike: func(s *cluster.Cluster) { s.Boxes[0].Daemon.Drain() }, ending: "done",
+		deliver: "stream", inject: func(s *cluster.Cluster) { s.Boxes[0].Daemon.Drain() }, ending: "done",
 	},
 	"engine killed x middle": {
-		deliver: "stream", strike: func(s *cluster.Cluster) { killAll(s, 100) }, ending: "failed", reason: "generation_lost",
+		deliver: "stream", inject: func(s *cluster.Cluster) { killAll(s, 100) }, ending: "failed", reason: "generation_lost",
 	},
 	"engine frozen x middle": {
-		deliver: "stream", strike: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeFreeze, 500) }, ending: "done",
+		deliver: "stream", inject: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeFreeze, 500) }, ending: "done",
 	},
 	"engine reclaimed x middle": {
-		deliver: "stream", strike: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeReclaim, 60_000) }, ending: "done",
+		deliver: "stream", inject: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeReclaim, 60_000) }, ending: "done",
 	},
 	"one engine killed x before first token": {
 		deliver: "stream", before: func(s *cluster.Cluster) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeKill, DelayMs: 60_000}) }, ending: "done",
@@ -122,7 +121,7 @@
 		deliver: "stream", before: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }, ending: "done",
 	},
 	"box killed and engine frozen x middle": {
-		deliver: "stream", strike: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeFreeze, 400); s.Kill(0) }, ending: "done",
+		deliver: "stream", inject: func(s *cluster.Cluster) { faultAll(s, wire.FaultModeFreeze, 400); s.Kill(0) }, ending: "done",
 	},
 }
 
@@ -137,33 +136,32 @@
 func TestGeneration(t *testing.T) {
 	for name, tt := range generationTests {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // each has a set of its own
+			t.Parallel() // each has its own cluster
 			is := is.New(t)
-			s := newSet(t, 2, engines(2, 8))
+			s := newCluster(t, 2, engines(2, 8))
 			if tt.before != nil {
 				tt.before(s)
 			}
 			r := generate(s, 0, draft(tt.deliver), 10, func() {
-				if tt.strike != nil {
-					tt.strike(s)
+				if tt.inject != nil {
+					tt.inject(s)
 				}
 			})
 			is.Equal(r.out.Ending, tt.ending)
 			is.Equal(r.out.Reason, tt.reason)
 			is.Equal(r.out.Wrong, "")
 			is.Equal(r.out.Whole, tt.ending == "done")
-			r.oneGeneration(is)
+			r.checkTokens(is)
 		})
 	}
 }
 
-// TestWholeOverLoss loses the engine in the middle of an answer that is
-// delivered whole: the caller sees another generation, all of it, and nothing
-// of the first.
+// TestWholeOverLoss kills the engine during an answer that is delivered whole: the
+// caller must receive a complete second generation and nothing of the first.
 func TestWholeOverLoss(t *testing.T) {
 	is := is.New(t)
-	s := newSet(t, 1, engines(2, 4))
-	done := make(chan reading)
+	s := newCluster(t, 1, engines(2, 4))
+	done := make(chan response)
 	go func() { done <- generate(s, 0, draft("whole"), 0, nil) }()
 	is.True(s.Await(func() bool { return len(s.Engines[0].History())+len(s.Engines[1].History()) > 0 }))
 	for _, e := range s.Engines {
@@ -174,29 +172,29 @@
 	r := <-done
 	is.Equal(r.out.Ending, "done")
 	is.True(r.out.Whole)
-	r.oneGeneration(is)
+	r.checkTokens(is)
 	is.True(len(s.Engines[0].History())+len(s.Engines[1].History()) >= 2)
 }
 
-// TestHangUp lets a caller hang up: the generation is cancelled at its engine
-// after the time for coming back, and not before.
+// TestHangUp checks that a generation is cancelled at its engine after its caller has
+// disconnected and not resumed in time, and not before.
 func TestHangUp(t *testing.T) {
 	is := is.New(t)
-	s := newSet(t, 1, engines(1, 0.5))
+	s := newCluster(t, 1, engines(1, 0.5))
 	ctx, cancel := context.WithCancel(context.Background())
 	c := s.Callers(cluster.CallerKey)
 	defer c.Close()
 	out := c.Generate(ctx, 0, draft("stream"), func(string) { cancel() })
-	is.Equal(out.Ending, "unknown") // the client's own word: it gave up
+	is.Equal(out.Ending, "unknown") // set by the client, which gave up
 	id := out.Request
-	answer := takeUp(s, id, out.Tokens-1)
-	is.Equal(answer.StatusCode, http.StatusOK) // within the time for coming back
+	answer := resume(s, id, out.Tokens-1)
+	is.Equal(answer.StatusCode, http.StatusOK) // within the time to resume
 	answer.Body.Close()
 	is.True(s.Await(func() bool { return s.Engines[0].Running() == 0 }))
 	is.Equal(s.Boxes[0].Daemon.InFlight(), 0)
 }
 
-func takeUp(s *cluster.Cluster, id string, last int) *http.Response {
+func resume(s *cluster.Cluster, id string, last int) *http.Response {
 	req, _ := http.NewRequest(http.MethodGet, "http://"+s.Boxes[0].Settings.Listen.Callers+"/v1/generations/"+id, nil)
 	req.Header.Set("Authorization", "Bearer "+cluster.CallerKey)
 	req.Header.Set("Last-Event-ID", strings.Repeat("0", 1)+itoa(last))
@@ -212,55 +210,55 @@
 	return string(b)
 }
 
-// callTests is the fault matrix of a call that must not be repeated, over the
-// whole path. The call is sent again with its key until it is settled; the
-// service's own history says how often it ran.
+// callTests is the fault matrix of a call that must not be repeated, over the whole
+// path. The call is repeated with its key until it has the final outcome; the service's
+// history shows how often it ran.
 var callTests = map[string]struct {
-	strike func(s *cluster.Cluster)
-	first  string // ending of the first sending
-	last   string // ending of the last
+	inject func(s *cluster.Cluster)
+	first  string // ending of the first request
+	last   string // ending of the last request
 	ran    int
 }{
-	"sound x call":         {first: "done", last: "done", ran: 1},
-	"reply lost x service": {strike: func(s *cluster.Cluster) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeLoseReply, Count: 1}) }, first: "unknown", last: "unknown", ran: 1},
-	"cut x service":        {strike: func(s *cluster.Cluster) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeDown, Count: 1}) }, first: "unknown", last: "unknown", ran: 0},
-	"store down x intent":  {strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeDown}) }, first: "not_run", last: "done", ran: 1},
-	"reply lost x intent": {strike: func(s *cluster.Cluster) {
+	"no fault x call":      {first: "done", last: "done", ran: 1},
+	"reply lost x service": {inject: func(s *cluster.Cluster) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeLoseReply, Count: 1}) }, first: "unknown", last: "unknown", ran: 1},
+	"cut x service":        {inject: func(s *cluster.Cluster) { s.Service.Fault(wire.Fault{Mode: wire.FaultModeDown, Count: 1}) }, first: "unknown", last: "unknown", ran: 0},
+	"store down x intent":  {inject: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeDown}) }, first: "not_run", last: "done", ran: 1},
+	"reply lost x intent": {inject: func(s *cluster.Cluster) {
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeLoseReply, Count: 1})
 	}, first: "done", last: "done", ran: 1},
-	"replies lost x intent": {strike: func(s *cluster.Cluster) {
+	"replies lost x intent": {inject: func(s *cluster.Cluster) {
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeLoseReply, Count: 3})
 	}, first: "not_run", last: "done", ran: 1},
-	"slow x intent": {strike: func(s *cluster.Cluster) {
+	"slow x intent": {inject: func(s *cluster.Cluster) {
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeSlow, DelayMs: 200, Count: 1})
 	}, first: "done", last: "done", ran: 1},
-	"service slow x call": {strike: func(s *cluster.Cluster) {
+	"service slow x call": {inject: func(s *cluster.Cluster) {
 		s.Service.Fault(wire.Fault{Mode: wire.FaultModeSlow, DelayMs: 300, Count: 1})
 	}, first: "done", last: "done", ran: 1},
-	"reply lost x both sides": {strike: func(s *cluster.Cluster) {
+	"reply lost x both sides": {inject: func(s *cluster.Cluster) {
 		s.Service.Fault(wire.Fault{Mode: wire.FaultModeLoseReply, Count: 1})
 		s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeLoseReply, Count: 1})
 	}, first: "unknown", last: "unknown", ran: 1},
 }
 
 func TestCall(t *testing.T) {
-	s := newSet(t, 2, engines(1, 8))
+	s := newCluster(t, 2, engines(1, 8))
 	for name, tt := range callTests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			if tt.strike != nil {
-				tt.strike(s)
+			if tt.inject != nil {
+				tt.inject(s)
 			}
 			is.Equal(callOnce(s, 0, name), tt.first)
 			s.Platform.Fault(wire.Fault{Part: "table_writes", Mode: wire.FaultModeNone})
-			is.Equal(again(s, name, tt.last), tt.last)
-			is.Equal(ranTimes(s, name), tt.ran)
+			is.Equal(callUntil(s, name, tt.last), tt.last)
+			is.Equal(runCount(s, name), tt.ran)
 		})
 	}
 }
 
-// again sends a call again, to either box, until it ends as wanted.
-func again(s *cluster.Cluster, key, want string) string {
+// callUntil repeats a call, at alternating boxes, until it ends as wanted.
+func callUntil(s *cluster.Cluster, key, want string) string {
 	last := ""
 	for i := range 20 {
 		last = callOnce(s, i%2, key)
@@ -272,8 +270,8 @@
 	return last
 }
 
-// ranTimes returns how often the service ran a call.
-func ranTimes(s *cluster.Cluster, body string) int {
+// runCount returns the number of times that the service ran a call.
+func runCount(s *cluster.Cluster, body string) int {
 	ran := 0
 	for _, r := range s.Service.History() {
 		if r.Body == body {
@@ -303,8 +301,8 @@
 	return ok
 }
 
-// badTests are requests that no box may start anything for.
-var badTests = map[string]struct {
+// badRequestTests are requests that must be refused before anything is started.
+var badRequestTests = map[string]struct {
 	method, path, key, body string
 	status                  int
 	reason                  string
@@ -328,8 +326,8 @@
 }
 
 func TestBadRequest(t *testing.T) {
-	s := newSet(t, 1, engines(1, 8))
-	for name, tt := range badTests {
+	s := newCluster(t, 1, engines(1, 8))
+	for name, tt := range badRequestTests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			before := counter(s, tt.reason)
@@ -367,7 +365,7 @@
 	is.Equal(len(s.Service.History()), 0)
 }
 
-// counter reads a refusal's counter from the box's metrics.
+// counter returns the value of a refusal's counter in the box's metrics.
 func counter(s *cluster.Cluster, reason string) int {
 	resp, err := http.Get("http://" + s.Boxes[0].Settings.Listen.Admin + "/metrics")
 	if err != nil {
@@ -385,15 +383,15 @@
 	return -1
 }
 
-// TestInForce declares at one box: all boxes have it, also one that starts in
-// an outage of the table.
+// TestInForce checks that a resource declared at one box is in force at all boxes, also
+// at one that starts during an outage of the table.
 func TestInForce(t *testing.T) {
 	is := is.New(t)
-	s := newSet(t, 3, engines(1, 8))
+	s := newCluster(t, 3, engines(1, 8))
 	done, err := s.Put(1, cluster.Resource(wire.ResourceKindHall, "leith", map[string]string{"region": "edinburgh"}))
 	is.NoErr(err)
 	for _, b := range s.Boxes {
-		is.Equal(b.Daemon.Revision(), done.Revision) // told before the operator was answered
+		is.Equal(b.Daemon.Revision(), done.Revision) // broadcast before the operator was answered
 	}
 	_, err = s.Put(2, cluster.Resource(wire.ResourceKindHall, "leith", map[string]string{"region": "x"}))
 	var refused *client.Error
@@ -406,11 +404,11 @@
 	is.True(s.Await(func() bool { return s.Boxes[2].Daemon.Revision() == done.Revision }))
 }
 
-// TestDrainRefuses sends to a box that is being stopped: it refuses at once
-// and says when to come back, while what is in flight goes on.
+// TestDrainRefuses checks that a draining box refuses new requests at once, with a
+// Retry-After header, while requests in flight continue.
 func TestDrainRefuses(t *testing.T) {
 	is := is.New(t)
-	s := newSet(t, 2, engines(1, 1))
+	s := newCluster(t, 2, engines(1, 1))
 	var refused atomic.Value
 	r := generate(s, 0, draft("stream"), 5, func() {
 		s.Boxes[0].Daemon.Drain()
@@ -426,7 +424,7 @@
 	is.Equal(refused.Load(), "503 Service Unavailable 1")
 }
 
-// leavingTests are the ways in which an upstream says, or is said, to leave.
+// leavingTests are the ways in which boxes learn that an upstream is leaving.
 var leavingTests = map[string]func(s *cluster.Cluster){
 	"its own report": func(s *cluster.Cluster) { s.Engines[0].Leave() },
 	"reclaimed":      func(s *cluster.Cluster) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeReclaim, DelayMs: 60_000}) },
@@ -443,14 +441,14 @@
 	},
 }
 
-// TestLeaving lets one of two engines leave: a few seconds later no box even
-// tries it, by the engine's own count.
+// TestLeaving makes one of two engines leave: a few seconds later no box may try it, by
+// the engine's own count.
 func TestLeaving(t *testing.T) {
 	for name, leave := range leavingTests {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // each has a set of its own
+			t.Parallel() // each has its own cluster
 			is := is.New(t)
-			s := newSet(t, 2, engines(2, 50))
+			s := newCluster(t, 2, engines(2, 50))
 			leave(s)
 			time.Sleep(4 * time.Second)
 			before := s.Engines[0].Refused() + len(s.Engines[0].History())
@@ -463,11 +461,11 @@
 	}
 }
 
-// stopTests is the fault matrix of a planned stop: what is in flight at the box
-// that is stopped, and what else strikes.
+// stopTests is the fault matrix of a planned stop: the work in flight at the stopped
+// box, and the fault injected.
 var stopTests = map[string]struct {
-	work   func(s *cluster.Cluster, stop func()) (ending string, takenUp int)
-	strike func(s *cluster.Cluster)
+	work   func(s *cluster.Cluster, stop func()) (ending string, resumed int)
+	inject func(s *cluster.Cluster)
 }{
 	"stream":       {work: stopInStream("stream")},
 	"whole answer": {work: stopInStream("whole")},
@@ -476,16 +474,16 @@
 		time.AfterFunc(300*time.Millisecond, stop)
 		return callOnce(s, 0, "k"), 0
 	}},
-	"draft waiting for room": {work: func(s *cluster.Cluster, stop func()) (string, int) {
+	"draft waiting for capacity": {work: func(s *cluster.Cluster, stop func()) (string, int) {
 		s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeFreeze, DelayMs: 1500})
 		time.AfterFunc(300*time.Millisecond, stop)
 		r := generate(s, 0, draft("stream"), 0, nil)
 		return r.out.Ending, r.out.Resumed
 	}},
-	"stream, table down":       {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }},
-	"stream, list down":        {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "members", Mode: wire.FaultModeDown}) }},
-	"stream, engine frozen":    {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeFreeze, DelayMs: 500}) }},
-	"stream, other box killed": {work: stopInStream("stream"), strike: func(s *cluster.Cluster) { s.Kill(1) }},
+	"stream, table down":       {work: stopInStream("stream"), inject: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "table", Mode: wire.FaultModeDown}) }},
+	"stream, list down":        {work: stopInStream("stream"), inject: func(s *cluster.Cluster) { s.Platform.Fault(wire.Fault{Part: "members", Mode: wire.FaultModeDown}) }},
+	"stream, engine frozen":    {work: stopInStream("stream"), inject: func(s *cluster.Cluster) { s.Engines[0].Fault(wire.Fault{Mode: wire.FaultModeFreeze, DelayMs: 500}) }},
+	"stream, other box killed": {work: stopInStream("stream"), inject: func(s *cluster.Cluster) { s.Kill(1) }},
 }
 
 func stopInStream(deliver wire.GenerationRequestDeliver) func(*cluster.Cluster, func()) (string, int) {
@@ -500,39 +498,39 @@
 	}
 }
 
-// TestPlannedStop stops a box with work in flight: nothing is cut off, and the
-// box ends by itself.
+// TestPlannedStop stops a box with work in flight: nothing is cut off, and the box
+// exits by itself.
 func TestPlannedStop(t *testing.T) {
 	for name, tt := range stopTests {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // each has a set of its own
+			t.Parallel() // each has its own cluster
 			is := is.New(t)
-			s := newSet(t, 2, engines(1, 2))
-			if tt.strike != nil {
-				tt.strike(s)
+			s := newCluster(t, 2, engines(1, 2))
+			if tt.inject != nil {
+				tt.inject(s)
 			}
 			ended := make(chan error, 1)
-			ending, takenUp := tt.work(s, func() { go func() { ended <- s.Stop(0) }() })
+			ending, resumed := tt.work(s, func() { go func() { ended <- s.Stop(0) }() })
 			is.Equal(ending, "done")
-			is.Equal(takenUp, 0)
+			is.Equal(resumed, 0)
 			is.NoErr(<-ended)
 		})
 	}
 }
 
-// TestQueueSentOn stops the home box while a draft of another box waits in its
-// queue: the draft is sent on to the next home box, and is answered.
+// TestQueueSentOn stops the home box while a draft of another box waits in its queue:
+// the draft must move to the next home box and be answered.
 func TestQueueSentOn(t *testing.T) {
 	is := is.New(t)
 	small := batch.Usual()
 	small.Capacity = 900
-	s := newSet(t, 2, []engine.Options{{Name: "e0", Model: "m", Speed: 2, Length: 200, Seed: 3, Params: small}})
+	s := newCluster(t, 2, []engine.Options{{Name: "e0", Model: "m", Speed: 2, Length: 200, Seed: 3, Params: small}})
 	long := draft("stream")
 	long.Prompt = strings.Repeat("word ", 500)
-	first := make(chan reading)
+	first := make(chan response)
 	go func() { first <- generate(s, 0, long, 0, nil) }()
 	is.True(s.Await(func() bool { return len(s.Engines[0].History()) == 1 }))
-	second := make(chan reading)
+	second := make(chan response)
 	go func() { second <- generate(s, 1, long, 0, nil) }()
 	is.True(s.Await(func() bool { return s.Boxes[0].Daemon.Waiting() == 1 }))
 	is.NoErr(s.Stop(0))
@@ -540,11 +538,11 @@
 	is.Equal((<-second).out.Ending, "done")
 }
 
-// TestToldAcrossHalls sends short calls, seldom, by boxes that are not the
-// engine's home box: what they are told of it has to be enough.
-func TestToldAcrossHalls(t *testing.T) {
+// TestReportsAcrossHalls sends a few short requests through boxes that are not the
+// engine's home box: the reports between halls must keep the engine from looking dead.
+func TestReportsAcrossHalls(t *testing.T) {
 	is := is.New(t)
-	s := newSet(t, 3, engines(1, 8))
+	s := newCluster(t, 3, engines(1, 8))
 	short := draft("stream")
 	short.Class = wire.GenerationRequestClassCheck
 	for range 3 {
@@ -556,32 +554,31 @@
 	}
 }
 
-// cutTests cut the link between boxes and their engine in the middle of a
-// stream, for a while.
+// cutTests are the durations of a cut of the link to the engine during a stream.
 var cutTests = map[string]struct {
-	last   time.Duration
-	ending string
+	duration time.Duration
+	ending   string
 }{
 	"for a moment":            {0, "done"},
 	"for a second":            {time.Second, "done"},
-	"longer than it is tried": {20 * time.Second, "failed"},
+	"longer than the retries": {20 * time.Second, "failed"},
 }
 
-// TestCut holds that a stream goes on over a cut, token by token, or that the
-// caller is told.
+// TestCut checks that a stream continues after a cut without losing tokens, or ends
+// with a failure that the caller sees.
 func TestCut(t *testing.T) {
 	for name, tt := range cutTests {
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // each has a set of its own
+			t.Parallel() // each has its own cluster
 			is := is.New(t)
 			s, err := cluster.New(cluster.Options{Boxes: 1, Engines: engines(1, 2), Relays: true})
 			is.NoErr(err)
 			defer s.Close()
-			r := generate(s, 0, draft("stream"), 10, func() { s.Relays[0].Cut(tt.last) })
+			r := generate(s, 0, draft("stream"), 10, func() { s.Relays[0].Cut(tt.duration) })
 			is.Equal(r.out.Ending, tt.ending)
 			is.Equal(r.out.Wrong, "")
-			is.Equal(r.out.Resumed, 0) // the box goes on by itself
-			r.oneGeneration(is)
+			is.Equal(r.out.Resumed, 0) // the box itself resumes at the engine
+			r.checkTokens(is)
 		})
 	}
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// freshFor is the age up to which a load report is passed on to peers.
-	freshFor = 1500 * time.Millisecond
-	callTime = 2 * time.Second
-	// polledSilence and toldSilence are the silences of an engine that make it
-	// suspect: one that is polled here is heard every half second; of others a
-	// box is told after two heartbeats across halls, one of which may be lost.
-	polledSilence = 3 * time.Second
-	toldSilence   = 5 * heartbeat.AcrossPeriod
+	// maxLoadAge is the age up to which a load report is passed on to peers.
+	maxLoadAge  = 1500 * time.Millisecond
+	callTimeout = 2 * time.Second
+	// polledSilence and reportedSilence are how long an engine may be silent before it is
+	// suspect. A home box polls its engines every half second; other boxes receive reports
+	// by heartbeats between halls, of which one may be lost.
+	polledSilence   = 3 * time.Second
+	reportedSilence = 5 * heartbeat.AcrossPeriod
 )
 
-// Beat makes the heartbeat for a peer.
+// Beat returns the heartbeat for a peer.
 func (d *Daemon) Beat(to members.Box) wire.Heartbeat {
 	now := time.Now()
 	self := d.members.Self()
@@ -38,9 +38,9 @@
 		beat.GoneUpstreams = append(beat.GoneUpstreams, name+"@"+strconv.Itoa(incarnation))
 	}
 	sort.Strings(beat.GoneUpstreams)
-	digest := d.across
+	digest := d.crossHallDigest
 	if to.Hall == self.Hall {
-		digest = d.within
+		digest = d.hallDigest
 	}
 	beat.Loads, beat.Demand = digest.Make(now, d.ownLoads(now), d.ownDemand(now))
 	return beat
@@ -49,14 +49,14 @@
 func (d *Daemon) ownLoads(now time.Time) []wire.EngineLoad {
 	var loads []wire.EngineLoad
 	for _, e := range d.ownEngines() {
-		if l, ok := d.loads.Fresh(now, e.Name, freshFor); ok {
+		if l, ok := d.loads.Fresh(now, e.Name, maxLoadAge); ok {
 			loads = append(loads, l)
 		}
 	}
 	return loads
 }
 
-// ownDemand returns the demand for what is limited: the rest concerns nobody.
+// ownDemand returns the demand of the organisations that have a quota.
 func (d *Daemon) ownDemand(now time.Time) []wire.Demand {
 	view := d.resources.View()
 	var demand []wire.Demand
@@ -69,7 +69,7 @@
 	return demand
 }
 
-// Heartbeat takes a peer's.
+// Heartbeat handles a peer's heartbeat.
 func (d *Daemon) Heartbeat(from wire.Heartbeat) wire.HeartbeatAnswer {
 	now := time.Now()
 	d.members.MarkSeen(now, boxOf(from))
@@ -79,7 +79,7 @@
 	}
 	d.quota.Update(now, from.Box, uses)
 	for _, l := range from.Loads {
-		d.heardOf(l, toldSilence)
+		d.applyLoad(l, reportedSilence)
 	}
 	for _, gone := range from.GoneUpstreams {
 		name, incarnation, _ := strings.Cut(gone, "@")
@@ -87,7 +87,7 @@
 			d.health.MarkLeaving(name, n)
 		}
 	}
-	d.newer(from.Revision, from.Address)
+	d.fetchNewer(from.Revision, from.Address)
 	self := d.members.Self()
 	return wire.HeartbeatAnswer{Incarnation: self.Incarnation, Revision: d.resources.View().Revision, Leaving: d.draining.Load()}
 }
@@ -100,21 +100,21 @@
 	return b
 }
 
-// Answered takes the answer to a heartbeat.
+// Answered handles the answer to a heartbeat.
 func (d *Daemon) Answered(_ context.Context, b members.Box, a wire.HeartbeatAnswer) {
 	b.Incarnation, b.Revision, b.State = a.Incarnation, a.Revision, members.Live
 	if a.Leaving {
 		b.State = members.Leaving
 	}
 	d.members.MarkSeen(time.Now(), b)
-	d.newer(a.Revision, b.Address)
+	d.fetchNewer(a.Revision, b.Address)
 }
 
-// newer fetches what changed from a peer that has a newer configuration.
-func (d *Daemon) newer(revision int, address string) {
+// fetchNewer fetches the changes from a peer that has a newer configuration.
+func (d *Daemon) fetchNewer(revision int, address string) {
 	for {
-		heard := d.heard.Load()
-		if int64(revision) <= heard || d.heard.CompareAndSwap(heard, int64(revision)) {
+		known := d.highestRevision.Load()
+		if int64(revision) <= known || d.highestRevision.CompareAndSwap(known, int64(revision)) {
 			break
 		}
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), callTime)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		var set wire.ChangeSet
 		err := d.peers.Call(ctx, address, peer.Changes, wire.ChangesAsk{Since: d.resources.View().Revision}, &set)
@@ -132,52 +132,52 @@
 	}()
 }
 
-// Changes answers what changed since a revision.
+// Changes returns the changes since a revision.
 func (d *Daemon) Changes(since int) wire.ChangeSet { return d.resources.Since(since) }
 
-// Tell takes changes from the box that accepted them.
+// Tell applies changes that another box accepted and relays them where asked to.
 func (d *Daemon) Tell(set wire.ChangeSet) {
 	if !d.resources.Apply(set) {
-		// A change before it is missing: the table has it.
+		// An earlier change is missing; read it from the table.
 		go d.readTable(context.Background())
 	}
 	if set.Relay {
-		go d.spread.Relay(context.Background(), set)
+		go d.broadcaster.Relay(context.Background(), set)
 	}
 }
 
-// TakenUp learns that another box goes on with a generation.
+// TakenUp handles the notice that another box has resumed a generation.
 func (d *Daemon) TakenUp(attempt string) { d.flights.ResumedElsewhere(attempt) }
 
-// tellTaken tells the box that dispatched a generation that this one goes on
-// with it, so that it is not cancelled there. Until it is told, the caller's
-// stream waits: after that no cancel can cross with it.
-func (d *Daemon) tellTaken(box, attempt string) {
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+// notifyResumed notifies the box that dispatched a generation that this box has resumed
+// it, so that it does not cancel the generation. The caller's stream waits for the call,
+// so that no cancel can overtake it.
+func (d *Daemon) notifyResumed(box, attempt string) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	for _, b := range d.members.Peers(time.Now()) {
 		if b.Name == box && b.State != members.Suspect {
 			var done wire.Nothing
-			// A box that cannot be told is dead, or cut off and may still cancel:
-			// docs/PROOFS.md lists that as not proved.
+			// If the call fails, the box is dead, or partitioned and may still cancel;
+			// docs/PROOFS.md lists the latter as not proved.
 			_ = d.peers.Call(ctx, b.Address, peer.TakenUp, wire.TakenUp{Attempt: attempt}, &done)
 		}
 	}
 }
 
-// ownEngines returns the engines that this box is home of, as it last looked.
+// ownEngines returns the engines that this box was home of at the last refresh.
 func (d *Daemon) ownEngines() []poll.Engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.own
+	return d.pollTargets
 }
 
-// lookForEngines works out anew which engines this box is home of.
-func (d *Daemon) lookForEngines() []poll.Engine {
+// refreshEngines updates and returns the engines that this box is home of.
+func (d *Daemon) refreshEngines() []poll.Engine {
 	own := d.homeEngines()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.own = own
+	d.pollTargets = own
 	return own
 }
 
@@ -195,11 +195,11 @@
 	return own
 }
 
-// Loaded takes a load report that was polled here.
-func (d *Daemon) Loaded(load wire.EngineLoad) { d.heardOf(load, polledSilence) }
+// Loaded applies a load report that this box polled.
+func (d *Daemon) Loaded(load wire.EngineLoad) { d.applyLoad(load, polledSilence) }
 
-// heardOf takes a load report, polled or told.
-func (d *Daemon) heardOf(load wire.EngineLoad, silence time.Duration) {
+// applyLoad applies a load report. The engine is suspect after the given silence.
+func (d *Daemon) applyLoad(load wire.EngineLoad, silence time.Duration) {
 	now := time.Now()
 	if !d.loads.Report(now, load) {
 		return
@@ -214,13 +214,13 @@
 	d.grants.Report(now, d.cellsNow().Of(load.Engine), load)
 }
 
-// Cached takes a cache event.
+// Cached records a cache event of an engine.
 func (d *Daemon) Cached(engine string, seq int, stored bool, block uint64) {
 	d.grants.RecordCacheEvent(d.cellsNow().Of(engine), engine, seq, stored, block)
 }
 
-// Runs tells whether a box still runs as the incarnation that owns a row of
-// the ledger. One that is only silent may still run.
+// Runs reports whether a box may still run as the incarnation that owns a ledger row;
+// a box that is only silent may.
 func (d *Daemon) Runs(box string, incarnation int) bool {
 	for _, b := range d.members.All(time.Now()) {
 		if b.Name == box {
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// tableEvery is how often the table is read, should all telling fail.
-	tableEvery = 2 * time.Second
-	listEvery  = 2 * time.Second
-	roundEvery = 50 * time.Millisecond
-	cleanEvery = 10 * time.Minute
-	// drainLook is how often a stopping box looks whether work is in flight.
-	drainLook  = 50 * time.Millisecond
-	headerTime = 10 * time.Second
-	// leaveNotice is how long a stopping box still answers refusals, so that
-	// peers and the balancer learn of the stop before the port closes.
+	// tableInterval is how often the table is read, in case a broadcast was missed.
+	tableInterval      = 2 * time.Second
+	listInterval       = 2 * time.Second
+	grantRoundInterval = 50 * time.Millisecond
+	cleanInterval      = 10 * time.Minute
+	// drainCheckInterval is how often a draining box checks for work in flight.
+	drainCheckInterval = 50 * time.Millisecond
+	headerTimeout      = 10 * time.Second
+	// leaveNotice is how long a draining box keeps answering with refusals, so that
+	// peers and the load balancer learn of the stop before the port closes.
 	leaveNotice = 1500 * time.Millisecond
 )
 
-// ListenError says that an address could not be opened.
+// ListenError reports that an address could not be opened.
 type ListenError struct {
 	Address string
 	Err     error
@@ -46,44 +46,44 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// listeners are the box's three addresses.
+// listeners are the open ports of a box.
 type listeners struct{ callers, admin, peers net.Listener }
 
 func (d *Daemon) listen() (listeners, error) {
 	l := d.config.Listen
 	var open listeners
-	for _, one := range []struct {
+	for _, spec := range []struct {
 		address string
 		into    *net.Listener
 		tls     *tls.Config
 	}{
-		{l.Callers, &open.callers, d.keys.Callers()},
-		{l.Admin, &open.admin, d.keys.Callers()},
-		{l.Peers, &open.peers, d.keys.PeerServer()},
+		{l.Callers, &open.callers, d.certs.Callers()},
+		{l.Admin, &open.admin, d.certs.Callers()},
+		{l.Peers, &open.peers, d.certs.PeerServer()},
 	} {
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", spec.address)
 		if err != nil {
 			open.close()
-			return listeners{}, &ListenError{Address: one.address, Err: err}
+			return listeners{}, &ListenError{Address: spec.address, Err: err}
 		}
-		if one.tls != nil {
-			listener = tls.NewListener(listener, one.tls)
+		if spec.tls != nil {
+			listener = tls.NewListener(listener, spec.tls)
 		}
-		*one.into = listener
+		*spec.into = listener
 	}
 	return open, nil
 }
 
 func (l listeners) close() {
-	for _, one := range []net.Listener{l.callers, l.admin, l.peers} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.callers, l.admin, l.peers} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
 
-// Run serves until Drain is called and all work in flight is done, or until
-// ctx ends, which cuts off what is left.
+// Run serves until Drain is called and all work in flight is done. It stops at once
+// when ctx ends.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.cancel()
 	open, err := d.listen()
@@ -99,7 +99,7 @@
 	select {
 	case <-ctx.Done():
 	case <-d.drain:
-		d.drainAll(ctx)
+		d.awaitDrained(ctx)
 	}
 	d.flights.Close()
 	d.stop(ctx, servers)
@@ -112,19 +112,19 @@
 	return nil
 }
 
-// start starts the tasks that are not bound to a caller.
+// start starts the background tasks.
 func (d *Daemon) start(ctx context.Context, all *sync.WaitGroup, open listeners) {
 	all.Go(d.ledger.Run)
-	all.Go(func() { d.timer.Every(ctx, "round", roundEvery, d.grants.Round) })
-	all.Go(func() { d.timer.Every(ctx, "share", time.Second, d.shareRoom) })
-	all.Go(func() { d.readTableEach(ctx) })
-	all.Go(func() { d.readListEach(ctx) })
-	all.Go(func() { d.follow(ctx) })
+	all.Go(func() { d.timer.Every(ctx, "round", grantRoundInterval, d.grants.Round) })
+	all.Go(func() { d.timer.Every(ctx, "share", time.Second, d.shareCapacity) })
+	all.Go(func() { d.pollTable(ctx) })
+	all.Go(func() { d.pollList(ctx) })
+	all.Go(func() { d.applyConfigurations(ctx) })
 	all.Go(func() { d.flights.Run(ctx, d.timer) })
 	all.Go(func() { heartbeat.New(d.members, d.peers, d, d.timer, d.log).Run(ctx) })
-	all.Go(func() { poll.New(d.engines, d, d.timer, d.lookForEngines).Run(ctx) })
-	all.Go(func() { d.reconcileEach(ctx) })
-	all.Go(func() { d.cleanEach(ctx) })
+	all.Go(func() { poll.New(d.engines, d, d.timer, d.refreshEngines).Run(ctx) })
+	all.Go(func() { d.reconcileHalls(ctx) })
+	all.Go(func() { d.cleanPeriodically(ctx) })
 	all.Go(func() {
 		if err := endpoint.New(ctx, d, d.grants).Serve(open.peers); err != nil {
 			d.log.WithError(err).Error("peers_not_served")
@@ -132,15 +132,16 @@
 	})
 }
 
-// shareRoom lets home boxes of parted sides spend their parts only.
-func (d *Daemon) shareRoom(now time.Time) {
+// shareCapacity limits the home boxes to the reachable fraction of the fleet, so that
+// partitioned sides together do not grant more than the whole capacity.
+func (d *Daemon) shareCapacity(now time.Time) {
 	reached, all := d.members.CountReachable(now)
 	d.grants.SetShare(float64(reached) / float64(all))
 }
 
 func (d *Daemon) httpServers(all *sync.WaitGroup, open listeners) []*http.Server {
-	callers := &http.Server{Handler: d.front.Handler(), ReadHeaderTimeout: headerTime}
-	operators := &http.Server{Handler: d.admin.Handler(), ReadHeaderTimeout: headerTime}
+	callers := &http.Server{Handler: d.front.Handler(), ReadHeaderTimeout: headerTimeout}
+	operators := &http.Server{Handler: d.admin.Handler(), ReadHeaderTimeout: headerTimeout}
 	serve := func(s *http.Server, l net.Listener) {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			d.log.WithError(err).Error("not_served")
@@ -151,34 +152,34 @@
 	return []*http.Server{callers, operators}
 }
 
-// drainAll is the planned stop: nothing new, and all in flight is waited for.
-func (d *Daemon) drainAll(ctx context.Context) {
+// awaitDrained refuses new requests and waits for those in flight, up to the drain time.
+func (d *Daemon) awaitDrained(ctx context.Context) {
 	d.log.WithField("in_flight", d.front.Serving()).Info("draining")
 	d.draining.Store(true)
 	d.members.Leave()
 	d.front.Drain()
 	d.grants.Close()
-	d.tellList(ctx, wire.MemberStateLeaving)
+	d.announceState(ctx, wire.MemberStateLeaving)
 	until := time.Now().Add(config.Millis(d.config.DrainMs))
-	least := time.Now().Add(min(leaveNotice, config.Millis(d.config.DrainMs)))
+	earliestStop := time.Now().Add(min(leaveNotice, config.Millis(d.config.DrainMs)))
 	for time.Now().Before(until) && ctx.Err() == nil {
-		if d.front.Serving() == 0 && time.Now().After(least) {
+		if d.front.Serving() == 0 && time.Now().After(earliestStop) {
 			break
 		}
-		d.timer.Sleep(ctx, drainLook)
+		d.timer.Sleep(ctx, drainCheckInterval)
 	}
 	if n := d.front.Serving(); n > 0 {
 		d.log.WithField("in_flight", n).Warn("drain_cut_off")
 	}
 	member := d.member(wire.MemberStateLeaving)
-	off, cancel := context.WithTimeout(ctx, callTime)
+	leaveCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := d.list.Leave(off, member); err != nil {
+	if err := d.memberList.Leave(leaveCtx, member); err != nil {
 		d.log.WithError(err).Warn("list_not_left")
 	}
 }
 
-// stop closes the ports; at once where the stop was not planned.
+// stop shuts the servers down and closes connections that stay busy.
 func (d *Daemon) stop(ctx context.Context, servers []*http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -193,8 +194,9 @@
 	return wire.Member{Box: d.config.Box, Hall: d.config.Hall, Address: d.config.Listen.Peers, State: state}
 }
 
-func (d *Daemon) tellList(ctx context.Context, state wire.MemberState) {
-	if err := d.list.Join(ctx, d.member(state)); err != nil {
+// announceState writes this box's state to the platform's member list.
+func (d *Daemon) announceState(ctx context.Context, state wire.MemberState) {
+	if err := d.memberList.Join(ctx, d.member(state)); err != nil {
 		d.log.WithError(err).Warn("list_not_told")
 	}
 }
@@ -209,20 +211,20 @@
 	}
 }
 
-func (d *Daemon) readTableEach(ctx context.Context) {
+func (d *Daemon) pollTable(ctx context.Context) {
 	d.readTable(ctx)
-	d.timer.Every(ctx, d.config.Box, tableEvery, func(time.Time) { d.readTable(ctx) })
+	d.timer.Every(ctx, d.config.Box, tableInterval, func(time.Time) { d.readTable(ctx) })
 }
 
-// readListEach keeps the membership by the platform's list; an outage keeps
-// the last one.
-func (d *Daemon) readListEach(ctx context.Context) {
+// pollList updates the membership from the platform's list. During an outage the last
+// list stays in use.
+func (d *Daemon) pollList(ctx context.Context) {
 	joined := false
 	read := func(time.Time) {
 		if !joined && !d.draining.Load() {
-			joined = d.list.Join(ctx, d.member(wire.MemberStateLive)) == nil
+			joined = d.memberList.Join(ctx, d.member(wire.MemberStateLive)) == nil
 		}
-		list, err := d.list.List(ctx)
+		list, err := d.memberList.List(ctx)
 		if err != nil {
 			d.log.WithError(err).Debug("list_not_read")
 			return
@@ -231,11 +233,11 @@
 		d.quota.SetBoxes(len(d.members.All(time.Now())))
 	}
 	read(time.Now())
-	d.timer.Every(ctx, d.config.Box, listEvery, read)
+	d.timer.Every(ctx, d.config.Box, listInterval, read)
 }
 
-// follow applies each new configuration to the parts that depend on it.
-func (d *Daemon) follow(ctx context.Context) {
+// applyConfigurations applies each new configuration to the components that use it.
+func (d *Daemon) applyConfigurations(ctx context.Context) {
 	for {
 		changed := d.resources.Changed()
 		view := d.resources.View()
@@ -254,8 +256,9 @@
 	}
 }
 
-func (d *Daemon) cleanEach(ctx context.Context) {
-	d.timer.Every(ctx, d.config.Box, cleanEvery, func(now time.Time) {
+// cleanPeriodically deletes expired ledger rows; one box of the fleet does it.
+func (d *Daemon) cleanPeriodically(ctx context.Context) {
+	d.timer.Every(ctx, d.config.Box, cleanInterval, func(now time.Time) {
 		order := d.members.Order(now, "clean", "")
 		if len(order) == 0 || order[0].Name != d.config.Box {
 			return
@@ -266,14 +269,13 @@
 	})
 }
 
-// reconcileEach runs a reconciler for each hall that this box stands for: its
-// own, and halls without boxes.
-func (d *Daemon) reconcileEach(ctx context.Context) {
+// reconcileHalls runs a reconciler for each hall whose orders this box may issue.
+func (d *Daemon) reconcileHalls(ctx context.Context) {
 	tasks := map[string]context.CancelFunc{}
 	var all sync.WaitGroup
 	d.timer.Every(ctx, "halls", time.Second, func(now time.Time) {
 		for hall := range d.resources.View().Halls {
-			if _, ok := tasks[hall]; ok || !d.standsFor(now, hall) {
+			if _, ok := tasks[hall]; ok || !d.isCandidateFor(now, hall) {
 				continue
 			}
 			task, stop := context.WithCancel(ctx)
@@ -281,7 +283,7 @@
 			all.Go(func() { d.reconcile(task, hall) })
 		}
 		for hall, stop := range tasks {
-			if !d.standsFor(now, hall) {
+			if !d.isCandidateFor(now, hall) {
 				stop()
 				delete(tasks, hall)
 			}
@@ -293,12 +295,12 @@
 	all.Wait()
 }
 
-// standsFor tells whether this box is among the first two for a hall's
-// orders: one holds the lease, the other waits for it.
-func (d *Daemon) standsFor(now time.Time, hall string) bool {
-	const standing = 2
+// isCandidateFor reports whether this box is one of the two candidates for a hall's
+// order lease: one holds it, the other waits for it.
+func (d *Daemon) isCandidateFor(now time.Time, hall string) bool {
+	const candidates = 2
 	order := d.members.Order(now, "orders/"+hall, hall)
-	for _, b := range order[:min(standing, len(order))] {
+	for _, b := range order[:min(candidates, len(order))] {
 		if b.Name == d.config.Box {
 			return !d.draining.Load()
 		}
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -9,8 +9,8 @@
 	"petrelstep/wire"
 )
 
-// status is the state of the whole as this box sees it: what is declared,
-// held against what engines report and boxes have in force.
+// status returns the state of the fleet as this box sees it: the declared resources
+// compared with the engines' reports and the revisions of the boxes.
 func (d *Daemon) status() wire.Status {
 	now := time.Now()
 	view := d.resources.View()
@@ -44,22 +44,22 @@
 	}
 	fresh := map[string]wire.EngineLoad{}
 	for _, name := range view.Engines(hall) {
-		if l, ok := d.loads.Fresh(now, name, statusFresh); ok {
+		if l, ok := d.loads.Fresh(now, name, maxStatusAge); ok {
 			fresh[name] = l
 		}
 	}
 	h.Placements = append(h.Placements, rollout.New(view, hall, fresh).Status...)
 	for i := range h.Placements {
-		h.Placements[i].SinceMs = d.sinceWhen(now, hall, h.Placements[i])
+		h.Placements[i].SinceMs = d.stateDurationMs(now, hall, h.Placements[i])
 	}
 	return h
 }
 
-// statusFresh is the age up to which an engine's report counts as its state.
-const statusFresh = toldSilence
+// maxStatusAge is the age up to which a load report is used for the status.
+const maxStatusAge = reportedSilence
 
-// sinceWhen returns for how long a placement has stood as it stands now.
-func (d *Daemon) sinceWhen(now time.Time, hall string, p wire.PlacementStatus) int {
+// stateDurationMs returns how long a placement has been met or short.
+func (d *Daemon) stateDurationMs(now time.Time, hall string, p wire.PlacementStatus) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	key := hall + "/" + p.Placement
@@ -68,34 +68,34 @@
 		state = "short"
 	}
 	other := map[string]string{"met": "short", "short": "met"}[state]
-	delete(d.since, key+"/"+other)
-	began, ok := d.since[key+"/"+state]
+	delete(d.placementSince, key+"/"+other)
+	began, ok := d.placementSince[key+"/"+state]
 	if !ok {
 		began = now
-		d.since[key+"/"+state] = now
+		d.placementSince[key+"/"+state] = now
 	}
 	return int(now.Sub(began).Milliseconds())
 }
 
-// KnownEngines returns how many declared engines have a fresh load report here.
+// KnownEngines returns the number of declared engines with a fresh load report.
 func (d *Daemon) KnownEngines() int {
 	n := 0
 	for _, name := range d.resources.View().Engines("") {
-		if _, ok := d.loads.Fresh(time.Now(), name, statusFresh); ok {
+		if _, ok := d.loads.Fresh(time.Now(), name, maxStatusAge); ok {
 			n++
 		}
 	}
 	return n
 }
 
-// Revision returns the configuration in force at this box.
+// Revision returns the revision of the configuration that this box uses.
 func (d *Daemon) Revision() int { return d.resources.View().Revision }
 
-// InFlight returns how many generations this box has in flight.
+// InFlight returns the number of generations that this box has in flight.
 func (d *Daemon) InFlight() int { return d.flights.Len() }
 
-// Draining tells whether the planned stop has begun.
+// Draining reports whether the planned stop has begun.
 func (d *Daemon) Draining() bool { return d.draining.Load() }
 
-// Waiting returns how many requests wait here for a grant.
+// Waiting returns the number of requests that wait at this box for a grant.
 func (d *Daemon) Waiting() int { return d.grants.Waiting() }
