--- a/dispatch/failed.go
+++ b/dispatch/failed.go
@@ -16,10 +16,10 @@
 func (d *Dispatcher) classifyFailure(ctx context.Context, t try, err error) (refusal.Refusal, string) {
 	var lost *generation.LostError
 	switch {
-	case engine.KindOf(err) == engine.NotSent, engine.KindOf(err) == engine.NotTaken:
+	case engine.KindOf(err) == engine.NotSent, engine.KindOf(err) == engine.Rejected:
 		d.Health.RecordFailure(t.engine)
 		return refusal.New(refusal.NoUpstream, "engine did not accept the request").WithRetryAfter(retryAfter), metrics.RetryNeverStarted
-	case errors.As(err, &lost) && engine.KindOf(lost.Err) == engine.Gone:
+	case errors.As(err, &lost) && engine.KindOf(lost.Err) == engine.AttemptUnknown:
 		d.Health.RecordFailure(t.engine)
 		return refusal.New(refusal.UpstreamLost, "engine lost the generation before its first token").WithRetryAfter(retryAfter), metrics.RetryEngineLost
 	}
