--- a/soak/checker/checker.go
+++ b/soak/checker/checker.go
@@ -85,15 +85,15 @@
 	Rest    = "REST"    // a worker got requests in a rest that it had asked the box for
 )
 
-// Break is one broken promise.
-type Break struct {
-	Promise string
-	Request string
-	Detail  string
+// Violation is one broken promise.
+type Violation struct {
+	Guarantee string
+	Request   string
+	Detail    string
 }
 
 // String returns a line.
-func (b Break) String() string { return b.Promise + " " + b.Request + ": " + b.Detail }
+func (b Violation) String() string { return b.Guarantee + " " + b.Request + ": " + b.Detail }
 
 // Checker checks histories of one site.
 type Checker struct {
@@ -108,12 +108,12 @@
 }
 
 // closed returns the runs that began in a hall while it was evacuated.
-func (v *Checker) closed(ran []Ran, evacuations []Evacuation) []Break {
-	var broken []Break
+func (v *Checker) closed(ran []Ran, evacuations []Evacuation) []Violation {
+	var broken []Violation
 	for _, r := range ran {
 		for _, e := range evacuations {
 			if late := r.At.Sub(e.From); r.Hall == e.Hall && late > v.hall && r.At.Before(e.Until) {
-				broken = append(broken, Break{Closed, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, late)})
+				broken = append(broken, Violation{Closed, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, late)})
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 }
 
 // Check returns what is broken.
-func (v *Checker) Check(attempts []Attempt, ran []Ran, stops []Stop, evacuations []Evacuation) []Break {
+func (v *Checker) Check(attempts []Attempt, ran []Ran, stops []Stop, evacuations []Evacuation) []Violation {
 	runs := map[string][]Ran{}
 	for _, r := range ran {
 		runs[r.ID] = append(runs[r.ID], r)
@@ -132,18 +132,18 @@
 		asked[a.ID] = true
 		for _, check := range []func(Attempt, []Ran) (string, string){v.answer, runOnce, refused, asAsked, v.revoked} {
 			if promise, detail := check(a, runs[a.ID]); promise != "" {
-				broken = append(broken, Break{promise, a.ID, detail})
+				broken = append(broken, Violation{promise, a.ID, detail})
 			}
 		}
 		for _, s := range stops {
 			if detail := cut(a, s); detail != "" {
-				broken = append(broken, Break{Cut, a.ID, detail})
+				broken = append(broken, Violation{Cut, a.ID, detail})
 			}
 		}
 	}
 	for id := range runs {
 		if !asked[id] {
-			broken = append(broken, Break{Unasked, id, "no caller sent it"})
+			broken = append(broken, Violation{Unasked, id, "no caller sent it"})
 		}
 	}
 	return broken
--- a/soak/checker/checker_test.go
+++ b/soak/checker/checker_test.go
@@ -84,7 +84,7 @@
 				return
 			}
 			is.Equal(len(broken), 1)
-			is.Equal(broken[0].Promise, tt.want)
+			is.Equal(broken[0].Guarantee, tt.want)
 		})
 	}
 }
@@ -109,7 +109,7 @@
 			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Ran{ran}, nil, evacuated)
 			is := is.New(t)
 			is.Equal(len(broken), tt.want)
-			is.True(len(broken) == 0 || broken[0].Promise == checker.Closed)
+			is.True(len(broken) == 0 || broken[0].Guarantee == checker.Closed)
 		})
 	}
 }
--- a/soak/checker/limits.go
+++ b/soak/checker/limits.go
@@ -38,7 +38,7 @@
 // Limited returns the needs in which a worker got more than it took, from boxes that it
 // had told; struck is when each box was ended, stopped or held, which excuses it until
 // it has had time to hear. It returns how many requests were counted too.
-func (v *Checker) Limited(attempts []Attempt, ran []Ran, needs []Need, struck map[string][]Span) (broken []Break, counted int) {
+func (v *Checker) Limited(attempts []Attempt, ran []Ran, needs []Need, struck map[string][]Span) (broken []Violation, counted int) {
 	boxes := make(map[string]string, len(attempts))
 	for _, a := range attempts {
 		boxes[a.ID] = a.Box
@@ -55,7 +55,7 @@
 		counted += len(at)
 		for i := range at {
 			if most, allowed := within(at[i:]), n.allowed(at[i]); float64(most) > allowed {
-				broken = append(broken, Break{Limits, n.Worker, fmt.Sprintf("%d requests in %v, %.1f allowed", most, needWindow, allowed)})
+				broken = append(broken, Violation{Limits, n.Worker, fmt.Sprintf("%d requests in %v, %.1f allowed", most, needWindow, allowed)})
 				break
 			}
 		}
--- a/soak/checker/words.go
+++ b/soak/checker/words.go
@@ -41,7 +41,7 @@
 // Heard returns the requests that reached workers against what those had said to the
 // boxes that sent them. A box that was struck meanwhile is excused. It returns how many
 // words were held against them too.
-func (v *Checker) Heard(attempts []Attempt, arrived []Arrived, struck, broken map[string][]Span) (breaks []Break, counted int) {
+func (v *Checker) Heard(attempts []Attempt, arrived []Arrived, struck, broken map[string][]Span) (breaks []Violation, counted int) {
 	h := heard{attempts: map[string]Attempt{}, arrived: arrived, struck: struck, broken: broken}
 	for _, a := range attempts {
 		h.attempts[a.ID] = a
@@ -53,7 +53,7 @@
 
 // left holds arrivals against the first answer by which each box told a caller that the
 // worker leaves.
-func (h heard) left() (breaks []Break, counted int) {
+func (h heard) left() (breaks []Violation, counted int) {
 	type key struct {
 		box, worker string
 		life        int64
@@ -73,14 +73,14 @@
 		a := h.attempts[r.ID]
 		at, ok := told[key{a.Box, r.Worker, r.Life}]
 		if late := a.Sent.Sub(at); ok && late > leftMost && !overlaps(h.struck[a.Box], at, r.At) {
-			breaks = append(breaks, Break{Drain, r.ID, fmt.Sprintf("reached %s from %s %v after its word", r.Worker, a.Box, late)})
+			breaks = append(breaks, Violation{Drain, r.ID, fmt.Sprintf("reached %s from %s %v after its word", r.Worker, a.Box, late)})
 		}
 	}
 	return breaks, len(told)
 }
 
 // rested holds arrivals against each answer that asked a box for rest.
-func (h heard) rested() (breaks []Break, counted int) {
+func (h heard) rested() (breaks []Violation, counted int) {
 	for _, r := range h.arrived {
 		a, ok := h.attempts[r.ID]
 		until := r.At.Add(r.Rest)
@@ -96,7 +96,7 @@
 			}
 		}
 		if n > restAllowed {
-			breaks = append(breaks, Break{Rest, r.ID, fmt.Sprintf("%s asked %s for %v of rest and got %d requests", r.Worker, a.Box, r.Rest, n)})
+			breaks = append(breaks, Violation{Rest, r.ID, fmt.Sprintf("%s asked %s for %v of rest and got %d requests", r.Worker, a.Box, r.Rest, n)})
 		}
 	}
 	return breaks, counted
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -66,7 +66,7 @@
 	Ends                              int // of workers, under the request that ends them
 	Limited                           int // requests at workers that named limits
 	Heard                             int // words of workers that leave or ask for rest
-	Breaks                            []checker.Break
+	Breaks                            []checker.Violation
 }
 
 // String returns the closing line.
@@ -206,7 +206,7 @@
 	}
 	t.Breaks = checker.New(site.Events, site.KeyAge+keySlack, hallTime).Check(attempts, ran, stops, evacuations)
 	if t.Ends > endsMost {
-		t.Breaks = append(t.Breaks, checker.Break{Promise: checker.Ends, Detail: fmt.Sprint(t.Ends, " workers ended under it")})
+		t.Breaks = append(t.Breaks, checker.Violation{Guarantee: checker.Ends, Detail: fmt.Sprint(t.Ends, " workers ended under it")})
 	}
 	return t
 }
