--- a/soak/checker/checker.go
+++ b/soak/checker/checker.go
@@ -71,18 +71,18 @@
 
 // Promises are those that are checked.
 const (
-	Mixed   = "MIXED"   // an answer that is not the worker's, or of another request
-	Order   = "ORDER"   // a stream with a gap, a repeat, or cut but complete to see
-	Unasked = "UNASKED" // a run of what no caller asked
-	Twice   = "TWICE"   // a second run of what may run once
-	Refused = "REFUSED" // told that it was not run, and it ran
-	Revoked = "REVOKED" // served by a key that was taken away
-	Cut     = "CUT"     // a planned stop broke it off
-	Closed  = "CLOSED"  // a run begun in an evacuated hall
-	Limits  = "LIMIT"   // a worker got more than it named
-	Ends    = "ENDS"    // a request under which workers end reached too many
-	Drain   = "DRAIN"   // a worker got requests long after it had told the box that it leaves
-	Rest    = "REST"    // a worker got requests in a rest that it had asked the box for
+	Mixed       = "MIXED"   // an answer that is not the worker's, or of another request
+	Order       = "ORDER"   // a stream with a gap, a repeat, or cut but complete to see
+	Unrequested = "UNASKED" // a run of what no caller asked
+	Duplicate   = "TWICE"   // a second run of what may run once
+	Refused     = "REFUSED" // told that it was not run, and it ran
+	Revoked     = "REVOKED" // served by a key that was taken away
+	CutOff      = "CUT"     // a planned stop broke it off
+	Evacuated   = "CLOSED"  // a run begun in an evacuated hall
+	Limits      = "LIMIT"   // a worker got more than it named
+	Poison      = "ENDS"    // a request under which workers end reached too many
+	Drain       = "DRAIN"   // a worker got requests long after it had told the box that it leaves
+	Rest        = "REST"    // a worker got requests in a rest that it had asked the box for
 )
 
 // Violation is one broken promise.
@@ -113,7 +113,7 @@
 	for _, r := range ran {
 		for _, e := range evacuations {
 			if late := r.At.Sub(e.From); r.Hall == e.Hall && late > v.hall && r.At.Before(e.Until) {
-				broken = append(broken, Violation{Closed, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, late)})
+				broken = append(broken, Violation{Evacuated, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, late)})
 			}
 		}
 	}
@@ -137,13 +137,13 @@
 		}
 		for _, s := range stops {
 			if detail := cut(a, s); detail != "" {
-				broken = append(broken, Violation{Cut, a.ID, detail})
+				broken = append(broken, Violation{CutOff, a.ID, detail})
 			}
 		}
 	}
 	for id := range runs {
 		if !asked[id] {
-			broken = append(broken, Violation{Unasked, id, "no caller sent it"})
+			broken = append(broken, Violation{Unrequested, id, "no caller sent it"})
 		}
 	}
 	return broken
@@ -193,7 +193,7 @@
 		}
 	}
 	if begun > 1 && !a.Kind.Repeatable() {
-		return Twice, fmt.Sprintf("%d runs", begun)
+		return Duplicate, fmt.Sprintf("%d runs", begun)
 	}
 	return "", ""
 }
@@ -213,7 +213,7 @@
 func asAsked(a Attempt, runs []Ran) (promise, detail string) {
 	for _, r := range runs {
 		if r.Organisation != a.Organisation || r.Target != a.Target || r.Body != a.Body {
-			return Unasked, fmt.Sprintf("ran as %s %s %q", r.Organisation, r.Target, r.Body)
+			return Unrequested, fmt.Sprintf("ran as %s %s %q", r.Organisation, r.Target, r.Body)
 		}
 	}
 	return "", ""
--- a/soak/checker/checker_test.go
+++ b/soak/checker/checker_test.go
@@ -65,14 +65,14 @@
 		"an answer of no run":              {attempt(checker.Once, nil), nil, nil, checker.Mixed},
 		"a gap":                            {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[len(a.Answer)/2:] }), once, nil, checker.Order},
 		"cut, and complete to see":         {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[:len(a.Answer)/2] }), once, nil, checker.Order},
-		"nobody asked":                     {attempt(checker.Once, func(a *checker.Attempt) { a.ID, a.Status = "q", 502 }), once, nil, checker.Unasked},
-		"another organisation's":           {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Organisation = "firm" })}, nil, checker.Unasked},
-		"another body":                     {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Body = "x" })}, nil, checker.Unasked},
-		"two runs":                         {attempt(checker.Draft, nil), again, nil, checker.Twice},
+		"nobody asked":                     {attempt(checker.Once, func(a *checker.Attempt) { a.ID, a.Status = "q", 502 }), once, nil, checker.Unrequested},
+		"another organisation's":           {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Organisation = "firm" })}, nil, checker.Unrequested},
+		"another body":                     {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Body = "x" })}, nil, checker.Unrequested},
+		"two runs":                         {attempt(checker.Draft, nil), again, nil, checker.Duplicate},
 		"refused, and ran":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), once, nil, checker.Refused},
 		"a key taken away just now":        {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-4 * time.Second) }), once, nil, ""},
 		"a key taken away":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-6 * time.Second) }), once, nil, checker.Revoked},
-		"broken off by a planned stop":     {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = "", false }), once, stop, checker.Cut},
+		"broken off by a planned stop":     {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = "", false }), once, stop, checker.CutOff},
 		"its caller left before that stop": {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete, a.GaveUp = "", false, true }), once, stop, ""},
 	}
 	for name, tt := range tests {
@@ -109,7 +109,7 @@
 			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Ran{ran}, nil, evacuated)
 			is := is.New(t)
 			is.Equal(len(broken), tt.want)
-			is.True(len(broken) == 0 || broken[0].Guarantee == checker.Closed)
+			is.True(len(broken) == 0 || broken[0].Guarantee == checker.Evacuated)
 		})
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -206,7 +206,7 @@
 	}
 	t.Breaks = checker.New(site.Events, site.KeyAge+keySlack, hallTime).Check(attempts, ran, stops, evacuations)
 	if t.Ends > endsMost {
-		t.Breaks = append(t.Breaks, checker.Violation{Guarantee: checker.Ends, Detail: fmt.Sprint(t.Ends, " workers ended under it")})
+		t.Breaks = append(t.Breaks, checker.Violation{Guarantee: checker.Poison, Detail: fmt.Sprint(t.Ends, " workers ended under it")})
 	}
 	return t
 }
