--- a/soak/checker/checker.go
+++ b/soak/checker/checker.go
@@ -16,17 +16,17 @@
 
 // The kinds of requests, named like their routes.
 const (
-	Draft Kind = "draft" // a stream that may run once
-	Check Kind = "check" // a stream that may be resumed
-	Once  Kind = "once"  // a whole answer, may run once
-	Look  Kind = "look"  // a whole answer, may be repeated
+	Draft  Kind = "draft" // a stream that may run once
+	Check  Kind = "check" // a stream that may be resumed
+	Once   Kind = "once"  // a whole answer, may run once
+	Lookup Kind = "look"  // a whole answer, may be repeated
 )
 
 // Streams tells whether answers are streams.
 func (k Kind) Streams() bool { return k == Draft || k == Check }
 
 // Repeatable tells whether a request may run more than once.
-func (k Kind) Repeatable() bool { return k == Check || k == Look }
+func (k Kind) Repeatable() bool { return k == Check || k == Lookup }
 
 // Attempt is one request as its caller saw it.
 type Attempt struct {
--- a/soak/checker/checker_test.go
+++ b/soak/checker/checker_test.go
@@ -57,7 +57,7 @@
 		"a whole answer":                   {attempt(checker.Once, nil), once, nil, ""},
 		"a stream":                         {attempt(checker.Draft, nil), once, nil, ""},
 		"a moved stream":                   {attempt(checker.Draft, nil), moved, nil, ""},
-		"a repeated look":                  {attempt(checker.Look, nil), again, nil, ""},
+		"a repeated look":                  {attempt(checker.Lookup, nil), again, nil, ""},
 		"a refusal":                        {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), nil, nil, ""},
 		"a broken stream":                  {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = a.Answer[:20], false }), once, nil, ""},
 		"without a seal":                   {attempt(checker.Once, func(a *checker.Attempt) { a.Sealed = false }), once, nil, checker.Mixed},
--- a/soak/loadgen/loadgen.go
+++ b/soak/loadgen/loadgen.go
@@ -46,9 +46,9 @@
 	endsEvery = 400 * time.Millisecond
 )
 
-var plain = []checker.Kind{checker.Once, checker.Look}
+var plain = []checker.Kind{checker.Once, checker.Lookup}
 
-var kinds = []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Once, checker.Look, checker.Look}
+var kinds = []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Once, checker.Lookup, checker.Lookup}
 
 // Generator is safe for use by several goroutines.
 type Generator struct {
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -178,7 +178,7 @@
 	s.Platform.Declare(platform.Manifest{
 		Version: s.version, Keys: keys,
 		Routes: []platform.Route{
-			route(checker.Draft, "llm", 1), route(checker.Check, "llm", 2), route(checker.Once, "plain", 2), route(checker.Look, "plain", 2),
+			route(checker.Draft, "llm", 1), route(checker.Check, "llm", 2), route(checker.Once, "plain", 2), route(checker.Lookup, "plain", 2),
 		},
 	})
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -158,7 +158,7 @@
 		return err
 	}
 	began := time.Now()
-	for _, kind := range []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Look} {
+	for _, kind := range []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Lookup} {
 		served := func() bool {
 			for _, a := range callers.Attempts() {
 				if a.Kind == kind && a.Sent.After(began) && a.Complete && a.Status == http.StatusOK {
