--- a/soak/checker/checker.go
+++ b/soak/checker/checker.go
@@ -46,11 +46,11 @@
 	GaveUp       bool   // the caller left
 }
 
-// Ran is one run at a worker.
-type Ran struct {
-	Worker string
-	Life   int64 // of the worker
-	Hall   string
+// Execution is one run at a worker.
+type Execution struct {
+	Worker      string
+	Incarnation int64 // of the worker
+	Hall        string
 	worker.Run
 }
 
@@ -108,7 +108,7 @@
 }
 
 // closed returns the runs that began in a hall while it was evacuated.
-func (v *Checker) closed(ran []Ran, evacuations []Evacuation) []Violation {
+func (v *Checker) closed(ran []Execution, evacuations []Evacuation) []Violation {
 	var broken []Violation
 	for _, r := range ran {
 		for _, e := range evacuations {
@@ -121,8 +121,8 @@
 }
 
 // Check returns what is broken.
-func (v *Checker) Check(attempts []Attempt, ran []Ran, stops []Stop, evacuations []Evacuation) []Violation {
-	runs := map[string][]Ran{}
+func (v *Checker) Check(attempts []Attempt, ran []Execution, stops []Stop, evacuations []Evacuation) []Violation {
+	runs := map[string][]Execution{}
 	for _, r := range ran {
 		runs[r.ID] = append(runs[r.ID], r)
 	}
@@ -130,7 +130,7 @@
 	asked := map[string]bool{}
 	for _, a := range attempts {
 		asked[a.ID] = true
-		for _, check := range []func(Attempt, []Ran) (string, string){v.answer, runOnce, refused, asAsked, v.revoked} {
+		for _, check := range []func(Attempt, []Execution) (string, string){v.answer, runOnce, refused, asAsked, v.revoked} {
 			if promise, detail := check(a, runs[a.ID]); promise != "" {
 				broken = append(broken, Violation{promise, a.ID, detail})
 			}
@@ -150,7 +150,7 @@
 }
 
 // answer holds a success against the worker's own text.
-func (v *Checker) answer(a Attempt, runs []Ran) (promise, detail string) {
+func (v *Checker) answer(a Attempt, runs []Execution) (promise, detail string) {
 	if a.Status != http.StatusOK {
 		return "", ""
 	}
@@ -185,7 +185,7 @@
 	return "", ""
 }
 
-func runOnce(a Attempt, runs []Ran) (promise, detail string) {
+func runOnce(a Attempt, runs []Execution) (promise, detail string) {
 	begun := 0
 	for _, r := range runs {
 		if r.From == "" {
@@ -198,7 +198,7 @@
 	return "", ""
 }
 
-func refused(a Attempt, runs []Ran) (promise, detail string) {
+func refused(a Attempt, runs []Execution) (promise, detail string) {
 	switch a.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
 	default:
@@ -210,7 +210,7 @@
 	return Refused, fmt.Sprintf("told %d, and ran at %s", a.Status, runs[0].Worker)
 }
 
-func asAsked(a Attempt, runs []Ran) (promise, detail string) {
+func asAsked(a Attempt, runs []Execution) (promise, detail string) {
 	for _, r := range runs {
 		if r.Organisation != a.Organisation || r.Target != a.Target || r.Body != a.Body {
 			return Unrequested, fmt.Sprintf("ran as %s %s %q", r.Organisation, r.Target, r.Body)
@@ -219,7 +219,7 @@
 	return "", ""
 }
 
-func (v *Checker) revoked(a Attempt, runs []Ran) (promise, detail string) {
+func (v *Checker) revoked(a Attempt, runs []Execution) (promise, detail string) {
 	if len(runs) == 0 || a.Revoked.IsZero() || a.Sent.Sub(a.Revoked) <= v.key {
 		return "", ""
 	}
--- a/soak/checker/checker_test.go
+++ b/soak/checker/checker_test.go
@@ -34,8 +34,8 @@
 }
 
 // run is its run, changed by change.
-func run(change func(*checker.Ran)) checker.Ran {
-	r := checker.Ran{Worker: "w", Run: worker.Run{ID: "r", Organisation: "council", Target: "/x", At: now}}
+func run(change func(*checker.Execution)) checker.Execution {
+	r := checker.Execution{Worker: "w", Run: worker.Run{ID: "r", Organisation: "council", Target: "/x", At: now}}
 	if change != nil {
 		change(&r)
 	}
@@ -44,13 +44,13 @@
 
 // TestCheck shows that each broken promise is seen, and nothing else is.
 func TestCheck(t *testing.T) {
-	once := []checker.Ran{run(nil)}
-	again := []checker.Ran{run(nil), run(func(r *checker.Ran) { r.Worker = "v" })}
-	moved := []checker.Ran{run(nil), run(func(r *checker.Ran) { r.From = "10.0.0.1:1/copy" })}
+	once := []checker.Execution{run(nil)}
+	again := []checker.Execution{run(nil), run(func(r *checker.Execution) { r.Worker = "v" })}
+	moved := []checker.Execution{run(nil), run(func(r *checker.Execution) { r.From = "10.0.0.1:1/copy" })}
 	stop := []checker.Stop{{Box: "b", From: now.Add(-time.Second), Signal: now.Add(500 * time.Millisecond), Until: now.Add(2 * time.Second)}}
 	tests := map[string]struct {
 		attempt checker.Attempt
-		runs    []checker.Ran
+		runs    []checker.Execution
 		stops   []checker.Stop
 		want    string
 	}{
@@ -66,8 +66,8 @@
 		"a gap":                            {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[len(a.Answer)/2:] }), once, nil, checker.Order},
 		"cut, and complete to see":         {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[:len(a.Answer)/2] }), once, nil, checker.Order},
 		"nobody asked":                     {attempt(checker.Once, func(a *checker.Attempt) { a.ID, a.Status = "q", 502 }), once, nil, checker.Unrequested},
-		"another organisation's":           {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Organisation = "firm" })}, nil, checker.Unrequested},
-		"another body":                     {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Body = "x" })}, nil, checker.Unrequested},
+		"another organisation's":           {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Organisation = "firm" })}, nil, checker.Unrequested},
+		"another body":                     {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Body = "x" })}, nil, checker.Unrequested},
 		"two runs":                         {attempt(checker.Draft, nil), again, nil, checker.Duplicate},
 		"refused, and ran":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), once, nil, checker.Refused},
 		"a key taken away just now":        {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-4 * time.Second) }), once, nil, ""},
@@ -105,8 +105,8 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			ran := run(func(r *checker.Ran) { r.Hall, r.At = tt.hall, now.Add(tt.at) })
-			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Ran{ran}, nil, evacuated)
+			ran := run(func(r *checker.Execution) { r.Hall, r.At = tt.hall, now.Add(tt.at) })
+			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Execution{ran}, nil, evacuated)
 			is := is.New(t)
 			is.Equal(len(broken), tt.want)
 			is.True(len(broken) == 0 || broken[0].Guarantee == checker.Evacuated)
--- a/soak/checker/limits.go
+++ b/soak/checker/limits.go
@@ -38,12 +38,12 @@
 // Limited returns the needs in which a worker got more than it took, from boxes that it
 // had told; struck is when each box was ended, stopped or held, which excuses it until
 // it has had time to hear. It returns how many requests were counted too.
-func (v *Checker) Limited(attempts []Attempt, ran []Ran, needs []Need, struck map[string][]Span) (broken []Violation, counted int) {
+func (v *Checker) Limited(attempts []Attempt, ran []Execution, needs []Need, struck map[string][]Span) (broken []Violation, counted int) {
 	boxes := make(map[string]string, len(attempts))
 	for _, a := range attempts {
 		boxes[a.ID] = a.Box
 	}
-	runs := map[string][]Ran{}
+	runs := map[string][]Execution{}
 	for _, r := range ran {
 		runs[r.Worker] = append(runs[r.Worker], r)
 	}
@@ -77,13 +77,13 @@
 }
 
 // count returns when the runs began that count.
-func (n Need) count(runs []Ran, boxes map[string]string, struck map[string][]Span) (at []time.Time) {
+func (n Need) count(runs []Execution, boxes map[string]string, struck map[string][]Span) (at []time.Time) {
 	told := map[string]time.Time{}
-	slices.SortFunc(runs, func(a, b Ran) int { return a.At.Compare(b.At) })
+	slices.SortFunc(runs, func(a, b Execution) int { return a.At.Compare(b.At) })
 	for _, r := range runs {
 		box := boxes[r.ID]
 		since := r.At.Sub(n.Named[0].At)
-		if r.Life != n.Born || since < 0 || r.At.After(n.Until) {
+		if r.Incarnation != n.Born || since < 0 || r.At.After(n.Until) {
 			continue
 		}
 		if excused(r.At, struck[box]) {
--- a/soak/checker/limits_test.go
+++ b/soak/checker/limits_test.go
@@ -38,11 +38,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			attempts := []checker.Attempt{{ID: "first", Box: "b"}}
-			ran := []checker.Ran{{Worker: "w", Life: 7, Run: worker.Run{ID: "first", At: at(0.1)}}}
+			ran := []checker.Execution{{Worker: "w", Incarnation: 7, Run: worker.Run{ID: "first", At: at(0.1)}}}
 			for i := range tt.runs {
 				id := fmt.Sprint(i)
 				attempts = append(attempts, checker.Attempt{ID: id, Box: "b"})
-				ran = append(ran, checker.Ran{Worker: "w", Life: tt.life, Run: worker.Run{ID: id, At: at(tt.from + float64(i)/10)}})
+				ran = append(ran, checker.Execution{Worker: "w", Incarnation: tt.life, Run: worker.Run{ID: id, At: at(tt.from + float64(i)/10)}})
 			}
 			need := checker.Need{Worker: "w", Born: 7, Span: span(0, 30), Named: tt.named}
 			broken, _ := checker.New(0, 0, 0).Limited(attempts, ran, []checker.Need{need}, map[string][]checker.Span{"b": tt.struck})
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -440,13 +440,13 @@
 }
 
 // Ran returns all that workers ran.
-func (s *Site) Ran() []checker.Ran {
+func (s *Site) Ran() []checker.Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ran []checker.Ran
+	var ran []checker.Execution
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, r := range w.Runs() {
-			ran = append(ran, checker.Ran{Worker: w.ID, Life: w.Born(), Hall: w.Hall, Run: r})
+			ran = append(ran, checker.Execution{Worker: w.ID, Incarnation: w.Born(), Hall: w.Hall, Run: r})
 		}
 	}
 	return ran
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -183,7 +183,7 @@
 	return false
 }
 
-func (s *Soak) check(attempts []checker.Attempt, ran []checker.Ran, strikes *faults.Injector) Tally {
+func (s *Soak) check(attempts []checker.Attempt, ran []checker.Execution, strikes *faults.Injector) Tally {
 	stops, evacuations := strikes.Stops(), strikes.Evacuations()
 	t := Tally{Requests: len(attempts), Runs: len(ran), Stops: len(stops), Evacuations: len(evacuations)}
 	for _, a := range attempts {
