--- a/soak/checker/words.go
+++ b/soak/checker/words.go
@@ -23,17 +23,17 @@
 	lostWithin = time.Second
 )
 
-// Arrived is one request at a worker.
-type Arrived struct {
-	Worker string
-	Life   int64 // of the worker
+// Arrival is one request at a worker.
+type Arrival struct {
+	Worker      string
+	Incarnation int64 // of the worker
 	worker.Arrival
 }
 
 // heard is what words are held against.
 type heard struct {
 	attempts map[string]Attempt
-	arrived  []Arrived
+	arrived  []Arrival
 	struck   map[string][]Span // by box
 	broken   map[string][]Span // links, by worker
 }
@@ -41,7 +41,7 @@
 // Heard returns the requests that reached workers against what those had said to the
 // boxes that sent them. A box that was struck meanwhile is excused. It returns how many
 // words were held against them too.
-func (v *Checker) Heard(attempts []Attempt, arrived []Arrived, struck, broken map[string][]Span) (breaks []Violation, counted int) {
+func (v *Checker) Heard(attempts []Attempt, arrived []Arrival, struck, broken map[string][]Span) (breaks []Violation, counted int) {
 	h := heard{attempts: map[string]Attempt{}, arrived: arrived, struck: struck, broken: broken}
 	for _, a := range attempts {
 		h.attempts[a.ID] = a
@@ -64,14 +64,14 @@
 		if !ok || !r.Leaves || a.Status != http.StatusOK || !a.Complete || !strings.HasSuffix(a.Answer, " by "+r.Worker) {
 			continue
 		}
-		k := key{a.Box, r.Worker, r.Life}
+		k := key{a.Box, r.Worker, r.Incarnation}
 		if at, ok := told[k]; !ok || a.Ended.Before(at) {
 			told[k] = a.Ended
 		}
 	}
 	for _, r := range h.arrived {
 		a := h.attempts[r.ID]
-		at, ok := told[key{a.Box, r.Worker, r.Life}]
+		at, ok := told[key{a.Box, r.Worker, r.Incarnation}]
 		if late := a.Sent.Sub(at); ok && late > leftMost && !overlaps(h.struck[a.Box], at, r.At) {
 			breaks = append(breaks, Violation{Drain, r.ID, fmt.Sprintf("reached %s from %s %v after its word", r.Worker, a.Box, late)})
 		}
@@ -91,7 +91,7 @@
 		counted++
 		n := 0
 		for _, o := range h.arrived {
-			if o.Worker == r.Worker && o.Life == r.Life && h.attempts[o.ID].Box == a.Box && o.At.After(r.At.Add(restFrom)) && o.At.Before(until) {
+			if o.Worker == r.Worker && o.Incarnation == r.Incarnation && h.attempts[o.ID].Box == a.Box && o.At.After(r.At.Add(restFrom)) && o.At.Before(until) {
 				n++
 			}
 		}
--- a/soak/checker/words_test.go
+++ b/soak/checker/words_test.go
@@ -49,7 +49,7 @@
 				status = 503
 			}
 			attempts := []checker.Attempt{{ID: "first", Box: "b", Sent: began, Ended: began, Status: status, Complete: true, Answer: tt.answer}}
-			arrived := []checker.Arrived{{Worker: "w", Life: 7, Arrival: worker.Arrival{ID: "first", At: began, Leaves: tt.leaves, Rest: tt.rest}}}
+			arrived := []checker.Arrival{{Worker: "w", Incarnation: 7, Arrival: worker.Arrival{ID: "first", At: began, Leaves: tt.leaves, Rest: tt.rest}}}
 			box, life := "b", int64(7)
 			if tt.box != "" {
 				box = tt.box
@@ -60,7 +60,7 @@
 			for i, s := range tt.after {
 				id := fmt.Sprint(i)
 				attempts = append(attempts, checker.Attempt{ID: id, Box: box, Sent: at(s), Ended: at(s)})
-				arrived = append(arrived, checker.Arrived{Worker: "w", Life: life, Arrival: worker.Arrival{ID: id, At: at(s)}})
+				arrived = append(arrived, checker.Arrival{Worker: "w", Incarnation: life, Arrival: worker.Arrival{ID: id, At: at(s)}})
 			}
 			breaks, _ := checker.New(0, 0, 0).Heard(attempts, arrived, map[string][]checker.Span{"b": tt.struck}, map[string][]checker.Span{"w": tt.broken})
 			is.New(t).Equal(len(breaks), tt.breaks)
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -454,13 +454,13 @@
 
 // Arrived returns all requests that reached workers, and when the workers' links were
 // broken.
-func (s *Site) Arrived() (arrived []checker.Arrived, broken map[string][]checker.Span) {
+func (s *Site) Arrived() (arrived []checker.Arrival, broken map[string][]checker.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	broken = map[string][]checker.Span{}
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, a := range w.Arrivals() {
-			arrived = append(arrived, checker.Arrived{Worker: w.ID, Life: w.Born(), Arrival: a})
+			arrived = append(arrived, checker.Arrival{Worker: w.ID, Incarnation: w.Born(), Arrival: a})
 		}
 		w.mu.Lock()
 		broken[w.ID] = append(broken[w.ID], w.broken...)
