--- a/soak/checker/limits.go
+++ b/soak/checker/limits.go
@@ -27,18 +27,18 @@
 	PerSecond float64
 }
 
-// Need is a time in which a worker named limits.
-type Need struct {
-	Worker string
-	Born   int64 // the worker's life
+// LimitPeriod is a time in which a worker named limits.
+type LimitPeriod struct {
+	Worker      string
+	Incarnation int64 // the worker's life
 	Span
-	Named []Limit
+	Limits []Limit
 }
 
 // Limited returns the needs in which a worker got more than it took, from boxes that it
 // had told; struck is when each box was ended, stopped or held, which excuses it until
 // it has had time to hear. It returns how many requests were counted too.
-func (v *Checker) Limited(attempts []Attempt, ran []Execution, needs []Need, struck map[string][]Span) (broken []Violation, counted int) {
+func (v *Checker) Limited(attempts []Attempt, ran []Execution, needs []LimitPeriod, struck map[string][]Span) (broken []Violation, counted int) {
 	boxes := make(map[string]string, len(attempts))
 	for _, a := range attempts {
 		boxes[a.ID] = a.Box
@@ -48,7 +48,7 @@
 		runs[r.Worker] = append(runs[r.Worker], r)
 	}
 	for _, n := range needs {
-		if len(n.Named) == 0 {
+		if len(n.Limits) == 0 {
 			continue
 		}
 		at := n.count(runs[n.Worker], boxes, struck)
@@ -65,10 +65,10 @@
 
 // allowed is the bound for a window: that of the highest limit that was named in it, or
 // so shortly before that boxes may not have heard of the next.
-func (n Need) allowed(from time.Time) float64 {
+func (n LimitPeriod) allowed(from time.Time) float64 {
 	highest := 0.0
-	for i, l := range n.Named {
-		over := i+1 < len(n.Named) && n.Named[i+1].At.Before(from.Add(-needHeard))
+	for i, l := range n.Limits {
+		over := i+1 < len(n.Limits) && n.Limits[i+1].At.Before(from.Add(-needHeard))
 		if !over && l.At.Before(from.Add(needWindow)) {
 			highest = max(highest, l.PerSecond)
 		}
@@ -77,13 +77,13 @@
 }
 
 // count returns when the runs began that count.
-func (n Need) count(runs []Execution, boxes map[string]string, struck map[string][]Span) (at []time.Time) {
+func (n LimitPeriod) count(runs []Execution, boxes map[string]string, struck map[string][]Span) (at []time.Time) {
 	told := map[string]time.Time{}
 	slices.SortFunc(runs, func(a, b Execution) int { return a.At.Compare(b.At) })
 	for _, r := range runs {
 		box := boxes[r.ID]
-		since := r.At.Sub(n.Named[0].At)
-		if r.Incarnation != n.Born || since < 0 || r.At.After(n.Until) {
+		since := r.At.Sub(n.Limits[0].At)
+		if r.Incarnation != n.Incarnation || since < 0 || r.At.After(n.Until) {
 			continue
 		}
 		if excused(r.At, struck[box]) {
--- a/soak/faults/need.go
+++ b/soak/faults/need.go
@@ -23,8 +23,8 @@
 
 // Needs lets workers name limits, change them and take them back, one worker after the other,
 // until ctx ends. What is random about it is drawn apart from all strikes.
-func (s *Injector) Needs(ctx context.Context) []checker.Need {
-	var needs []checker.Need
+func (s *Injector) Needs(ctx context.Context) []checker.LimitPeriod {
+	var needs []checker.LimitPeriod
 	for ctx.Err() == nil {
 		pass(ctx, time.Duration(s.need.Int64N(int64(needPause))))
 		service, n, first, then := []string{"llm", "plain", "plain"}[s.need.IntN(3)], s.need.IntN(1000), s.draws(), s.draws()
@@ -41,12 +41,12 @@
 func (s *Injector) draws() string { return limits[s.need.IntN(len(limits))] }
 
 // need lets a worker name two limits, one after the other.
-func need(ctx context.Context, w *site.Worker, limits ...string) checker.Need {
-	n := checker.Need{Worker: w.ID, Born: w.Born(), Span: checker.Span{From: time.Now()}}
+func need(ctx context.Context, w *site.Worker, limits ...string) checker.LimitPeriod {
+	n := checker.LimitPeriod{Worker: w.ID, Incarnation: w.Born(), Span: checker.Span{From: time.Now()}}
 	for _, limit := range limits {
 		w.Names(limit)
 		if perSecond, err := strconv.ParseFloat(limit, 64); err == nil {
-			n.Named = append(n.Named, checker.Limit{At: time.Now(), PerSecond: perSecond})
+			n.Limits = append(n.Limits, checker.Limit{At: time.Now(), PerSecond: perSecond})
 		}
 		pass(ctx, needFor/time.Duration(len(limits)))
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -103,7 +103,7 @@
 	}()
 	striking, cancel := context.WithTimeout(ctx, s.Last)
 	defer cancel()
-	needs := make(chan []checker.Need, 1)
+	needs := make(chan []checker.LimitPeriod, 1)
 	go func() { needs <- s.needs(striking, strikes) }()
 	words := make(chan error, 1)
 	go func() { words <- s.words(striking, strikes) }()
@@ -136,7 +136,7 @@
 }
 
 // needs lets workers name limits, if they are to.
-func (s *Soak) needs(ctx context.Context, strikes *faults.Injector) []checker.Need {
+func (s *Soak) needs(ctx context.Context, strikes *faults.Injector) []checker.LimitPeriod {
 	if !s.Needs {
 		return nil
 	}
