--- a/soak/checker/limits.go
+++ b/soak/checker/limits.go
@@ -35,10 +35,10 @@
 	Limits []Limit
 }
 
-// Limited returns the needs in which a worker got more than it took, from boxes that it
+// CheckLimits returns the needs in which a worker got more than it took, from boxes that it
 // had told; struck is when each box was ended, stopped or held, which excuses it until
 // it has had time to hear. It returns how many requests were counted too.
-func (v *Checker) Limited(attempts []Attempt, ran []Execution, needs []LimitPeriod, struck map[string][]Span) (broken []Violation, counted int) {
+func (v *Checker) CheckLimits(attempts []Attempt, ran []Execution, needs []LimitPeriod, struck map[string][]Span) (broken []Violation, counted int) {
 	boxes := make(map[string]string, len(attempts))
 	for _, a := range attempts {
 		boxes[a.ID] = a.Box
--- a/soak/checker/limits_test.go
+++ b/soak/checker/limits_test.go
@@ -45,7 +45,7 @@
 				ran = append(ran, checker.Execution{Worker: "w", Incarnation: tt.life, Run: worker.Run{ID: id, At: at(tt.from + float64(i)/10)}})
 			}
 			need := checker.LimitPeriod{Worker: "w", Incarnation: 7, Span: span(0, 30), Limits: tt.named}
-			broken, _ := checker.New(0, 0, 0).Limited(attempts, ran, []checker.LimitPeriod{need}, map[string][]checker.Span{"b": tt.struck})
+			broken, _ := checker.New(0, 0, 0).CheckLimits(attempts, ran, []checker.LimitPeriod{need}, map[string][]checker.Span{"b": tt.struck})
 			is.New(t).Equal(len(broken), tt.broken)
 		})
 	}
--- a/soak/checker/words.go
+++ b/soak/checker/words.go
@@ -38,10 +38,10 @@
 	broken   map[string][]Span // links, by worker
 }
 
-// Heard returns the requests that reached workers against what those had said to the
+// CheckAnnouncements returns the requests that reached workers against what those had said to the
 // boxes that sent them. A box that was struck meanwhile is excused. It returns how many
 // words were held against them too.
-func (v *Checker) Heard(attempts []Attempt, arrived []Arrival, struck, broken map[string][]Span) (breaks []Violation, counted int) {
+func (v *Checker) CheckAnnouncements(attempts []Attempt, arrived []Arrival, struck, broken map[string][]Span) (breaks []Violation, counted int) {
 	h := heard{attempts: map[string]Attempt{}, arrived: arrived, struck: struck, broken: broken}
 	for _, a := range attempts {
 		h.attempts[a.ID] = a
--- a/soak/checker/words_test.go
+++ b/soak/checker/words_test.go
@@ -62,7 +62,7 @@
 				attempts = append(attempts, checker.Attempt{ID: id, Box: box, Sent: at(s), Ended: at(s)})
 				arrived = append(arrived, checker.Arrival{Worker: "w", Incarnation: life, Arrival: worker.Arrival{ID: id, At: at(s)}})
 			}
-			breaks, _ := checker.New(0, 0, 0).Heard(attempts, arrived, map[string][]checker.Span{"b": tt.struck}, map[string][]checker.Span{"w": tt.broken})
+			breaks, _ := checker.New(0, 0, 0).CheckAnnouncements(attempts, arrived, map[string][]checker.Span{"b": tt.struck}, map[string][]checker.Span{"w": tt.broken})
 			is.New(t).Equal(len(breaks), tt.breaks)
 		})
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -119,10 +119,10 @@
 	<-done
 	attempts, ran := callers.Attempts(), at.Ran()
 	t := s.check(attempts, ran, strikes)
-	broken, counted := checker.New(site.Events, 0, 0).Limited(attempts, ran, named, at.Struck())
+	broken, counted := checker.New(site.Events, 0, 0).CheckLimits(attempts, ran, named, at.Struck())
 	t.Limited, t.Breaks = counted, append(t.Breaks, broken...)
 	arrived, links := at.Arrived()
-	broken, t.Heard = checker.New(site.Events, 0, 0).Heard(attempts, arrived, at.Struck(), links)
+	broken, t.Heard = checker.New(site.Events, 0, 0).CheckAnnouncements(attempts, arrived, at.Struck(), links)
 	t.Breaks = append(t.Breaks, broken...)
 	return t, err
 }
