--- a/soak/faults/faults.go
+++ b/soak/faults/faults.go
@@ -264,15 +264,15 @@
 		leaves, leaves, spoils, spoils, spoils,
 		{"a worker leaves without a word: " + d.service, site.Notice, s.at(d, func(w *site.Worker) error { return s.site.Leave(w, false) })},
 		{"a worker crashes: " + d.service, site.Notice, s.at(d, s.site.Crash)},
-		{"a worker's row lapses: " + d.service, d.short, s.at(d, func(w *site.Worker) error { s.site.Lapse(w, d.short); return nil })},
+		{"a worker's row lapses: " + d.service, d.short, s.at(d, func(w *site.Worker) error { s.site.DropRow(w, d.short); return nil })},
 		{fmt.Sprint("silence a worker of ", d.service, " way ", d.way), d.short, s.at(d, func(w *site.Worker) error {
-			w.Break(func() {
+			w.WhileBroken(func() {
 				w.Link.Silence(d.way, d.short)
 				time.Sleep(d.short)
 			})
 			return nil
 		})},
-		{"reset a worker's connections: " + d.service, 0, s.at(d, func(w *site.Worker) error { w.Break(func() { w.Link.Cut(0) }); return nil })},
+		{"reset a worker's connections: " + d.service, 0, s.at(d, func(w *site.Worker) error { w.WhileBroken(func() { w.Link.Cut(0) }); return nil })},
 	}
 }
 
@@ -282,7 +282,7 @@
 	silent := s.entry.IntN(2) == 0
 	if s.entry.IntN(2) == 0 {
 		return plan{"foreign entries, one over a worker's of " + d.service, d.short, s.at(d, func(w *site.Worker) error {
-			s.site.Spoil(w, d.short)
+			s.site.CorruptRows(w, d.short)
 			return nil
 		})}
 	}
@@ -325,7 +325,7 @@
 func (s *Injector) kill(b *site.Box, last time.Duration) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
-	defer b.Struck(time.Now())
+	defer b.RecordDisruption(time.Now())
 	b.Signal(syscall.SIGKILL)
 	<-b.Ended()
 	time.Sleep(last)
@@ -335,7 +335,7 @@
 func (s *Injector) pause(b *site.Box, last time.Duration) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
-	defer b.Struck(time.Now())
+	defer b.RecordDisruption(time.Now())
 	b.Signal(syscall.SIGSTOP)
 	time.Sleep(last)
 	b.Signal(syscall.SIGCONT)
@@ -348,7 +348,7 @@
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
 	signal := time.Now()
-	defer b.Struck(signal)
+	defer b.RecordDisruption(signal)
 	quiet := s.quietSince(signal.Add(-calm))
 	b.Signal(syscall.SIGTERM)
 	select {
@@ -371,5 +371,5 @@
 func (s *Injector) quietSince(at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.active <= 1 && s.ended.Before(at) && s.site.EndedUnder().Before(at)
+	return s.active <= 1 && s.ended.Before(at) && s.site.LastPoisonCrash().Before(at)
 }
--- a/soak/loadgen/loadgen.go
+++ b/soak/loadgen/loadgen.go
@@ -97,7 +97,7 @@
 		id := fmt.Sprint("ends-", n)
 		box := l.site.Boxes[random.IntN(len(l.site.Boxes))]
 		asking, cancel := context.WithTimeout(context.Background(), patience)
-		l.send(asking, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.Ends}, l.site.Key("council"), 0)
+		l.send(asking, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.PoisonBody}, l.site.Key("council"), 0)
 		cancel()
 		time.Sleep(endsEvery)
 	}
--- a/soak/site/box.go
+++ b/soak/site/box.go
@@ -128,15 +128,15 @@
 	_ = b.command.Process.Signal(s) // one that has ended needs none
 }
 
-// Struck notes that the process was ended, stopped or held from a time until now.
-func (b *Box) Struck(from time.Time) {
+// RecordDisruption notes that the process was ended, stopped or held from a time until now.
+func (b *Box) RecordDisruption(from time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.struck = append(b.struck, checker.Span{From: from, Until: time.Now()})
 }
 
-// Strikes returns when the process was ended, stopped or held.
-func (b *Box) Strikes() []checker.Span {
+// Disruptions returns when the process was ended, stopped or held.
+func (b *Box) Disruptions() []checker.Span {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.struck
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -30,8 +30,8 @@
 	// KeyAge bounds how long a key is served after it was taken away.
 	KeyAge = 5 * time.Second
 	host   = "site.example"
-	// Ends is the body of the request under which each worker ends that runs it.
-	Ends = "each worker ends that runs this"
+	// PoisonBody is the body of the request under which each worker ends that runs it.
+	PoisonBody = "each worker ends that runs this"
 )
 
 var halls = []string{"leith", "gorgie", "sighthill", "musselburgh"}
@@ -59,8 +59,8 @@
 	broken []checker.Span // when its link was
 }
 
-// Break breaks the worker's link, and notes that for as long as it takes.
-func (w *Worker) Break(do func()) {
+// WhileBroken breaks the worker's link, and notes that for as long as it takes.
+func (w *Worker) WhileBroken(do func()) {
 	from := time.Now()
 	do()
 	w.mu.Lock()
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// EndedUnder returns when a worker last ended under a request.
-func (s *Site) EndedUnder() time.Time {
+// LastPoisonCrash returns when a worker last ended under a request.
+func (s *Site) LastPoisonCrash() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endedUnder
@@ -257,7 +257,7 @@
 
 // endsOn lets a worker crash that runs the request for which it does.
 func (s *Site) endsOn(w *Worker) {
-	w.EndsOn(Ends, func() {
+	w.EndsOn(PoisonBody, func() {
 		s.mu.Lock()
 		s.endedUnder = time.Now()
 		s.mu.Unlock()
@@ -318,9 +318,9 @@
 	return nil
 }
 
-// Spoil lets another writer put entries among those of workers for a while, one of
+// CorruptRows lets another writer put entries among those of workers for a while, one of
 // them over a live worker's own.
-func (s *Site) Spoil(w *Worker, last time.Duration) {
+func (s *Site) CorruptRows(w *Worker, last time.Duration) {
 	rows := map[string]string{
 		"foreign-1": "\xff\x00", "foreign-2": `{"service":7}`, "foreign-3": `{"service":"llm","address":"nowhere","zone":"leith","slots":-1,"state":"ready"}`,
 		"foreign-4": `{"service":"llm","address":"127.0.0.1:9","zone":"leith","slots":4,"state":"resting"}`, w.ID: "{",
@@ -346,9 +346,9 @@
 	return s.workers[w.ID] == w
 }
 
-// Lapse lets a live worker's row go for a while, as one that is cut off from the
+// DropRow lets a live worker's row go for a while, as one that is cut off from the
 // store loses it.
-func (s *Site) Lapse(w *Worker, last time.Duration) {
+func (s *Site) DropRow(w *Worker, last time.Duration) {
 	s.Platform.Withdraw(w.ID)
 	time.Sleep(last)
 	if s.lives(w) {
@@ -439,8 +439,8 @@
 	})
 }
 
-// Ran returns all that workers ran.
-func (s *Site) Ran() []checker.Execution {
+// Executions returns all that workers ran.
+func (s *Site) Executions() []checker.Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ran []checker.Execution
@@ -452,9 +452,9 @@
 	return ran
 }
 
-// Arrived returns all requests that reached workers, and when the workers' links were
+// Arrivals returns all requests that reached workers, and when the workers' links were
 // broken.
-func (s *Site) Arrived() (arrived []checker.Arrival, broken map[string][]checker.Span) {
+func (s *Site) Arrivals() (arrived []checker.Arrival, broken map[string][]checker.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	broken = map[string][]checker.Span{}
@@ -469,11 +469,11 @@
 	return arrived, broken
 }
 
-// Struck returns when each box's process was ended, stopped or held.
-func (s *Site) Struck() map[string][]checker.Span {
+// Disruptions returns when each box's process was ended, stopped or held.
+func (s *Site) Disruptions() map[string][]checker.Span {
 	struck := map[string][]checker.Span{}
 	for _, b := range s.Boxes {
-		struck[b.Name] = b.Strikes()
+		struck[b.Name] = b.Disruptions()
 	}
 	return struck
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -117,12 +117,12 @@
 	}
 	stop()
 	<-done
-	attempts, ran := callers.Attempts(), at.Ran()
+	attempts, ran := callers.Attempts(), at.Executions()
 	t := s.check(attempts, ran, strikes)
-	broken, counted := checker.New(site.Events, 0, 0).CheckLimits(attempts, ran, named, at.Struck())
+	broken, counted := checker.New(site.Events, 0, 0).CheckLimits(attempts, ran, named, at.Disruptions())
 	t.Limited, t.Breaks = counted, append(t.Breaks, broken...)
-	arrived, links := at.Arrived()
-	broken, t.Heard = checker.New(site.Events, 0, 0).CheckAnnouncements(attempts, arrived, at.Struck(), links)
+	arrived, links := at.Arrivals()
+	broken, t.Heard = checker.New(site.Events, 0, 0).CheckAnnouncements(attempts, arrived, at.Disruptions(), links)
 	t.Breaks = append(t.Breaks, broken...)
 	return t, err
 }
@@ -200,7 +200,7 @@
 		if r.From != "" {
 			t.Moved++
 		}
-		if r.Body == site.Ends {
+		if r.Body == site.PoisonBody {
 			t.Ends++
 		}
 	}
