--- a/soak/faults/need.go
+++ b/soak/faults/need.go
@@ -21,9 +21,9 @@
 // limits are what workers in need name, in requests a second; the last is no limit.
 var limits = []string{"0", "0.5", "1", "2", "4.5", "plenty"}
 
-// Needs lets workers name limits, change them and take them back, one worker after the other,
+// RunLimits lets workers name limits, change them and take them back, one worker after the other,
 // until ctx ends. What is random about it is drawn apart from all strikes.
-func (s *Injector) Needs(ctx context.Context) []checker.LimitPeriod {
+func (s *Injector) RunLimits(ctx context.Context) []checker.LimitPeriod {
 	var needs []checker.LimitPeriod
 	for ctx.Err() == nil {
 		pass(ctx, time.Duration(s.need.Int64N(int64(needPause))))
--- a/soak/faults/word.go
+++ b/soak/faults/word.go
@@ -16,9 +16,9 @@
 	restMost = 5 * time.Second
 )
 
-// Words lets workers leave by their answers alone, and ask for rest, one worker after the
+// RunAnnouncements lets workers leave by their answers alone, and ask for rest, one worker after the
 // other, until ctx ends. What is random about it is drawn apart from all strikes.
-func (s *Injector) Words(ctx context.Context) error {
+func (s *Injector) RunAnnouncements(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pass(ctx, time.Duration(s.word.Int64N(int64(wordPause))))
 		service, n, leaves := []string{"llm", "plain", "plain"}[s.word.IntN(3)], s.word.IntN(1000), s.word.IntN(2) == 0
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -132,7 +132,7 @@
 	if !s.Words {
 		return nil
 	}
-	return strikes.Words(ctx)
+	return strikes.RunAnnouncements(ctx)
 }
 
 // needs lets workers name limits, if they are to.
@@ -140,7 +140,7 @@
 	if !s.Needs {
 		return nil
 	}
-	return strikes.Needs(ctx)
+	return strikes.RunLimits(ctx)
 }
 
 func ready(at *site.Site) error {
