--- a/cmd/petrelstep-soak-own/main.go
+++ b/cmd/petrelstep-soak-own/main.go
@@ -23,7 +23,7 @@
 	flag.Parse()
 	s := own.New(own.Options{
 		Callers: urls(*callers), Admins: urls(*admins), History: "http://127.0.0.1:9301/history",
-		Key: "lothian-example-key", Admin: "operator-example-key", Last: *last, Seed: *seed, Workers: *workers,
+		Key: "lothian-example-key", Admin: "operator-example-key", Duration: *last, Seed: *seed, Workers: *workers,
 	})
 	tally, notes := s.Run(context.Background())
 	for _, n := range notes {
@@ -31,7 +31,7 @@
 	}
 	fmt.Printf("behind_3s=%d\n", tally.Behind)
 	fmt.Println(tally)
-	if tally.Broken() {
+	if tally.Violated() {
 		os.Exit(1)
 	}
 }
--- a/soak/own/own.go
+++ b/soak/own/own.go
@@ -22,37 +22,37 @@
 
 // Options say whom to work on.
 type Options struct {
-	Callers []string // base URLs
-	Admins  []string
-	History string // URL of the plain service's history
-	Key     string // of a caller
-	Admin   string // key of an operator
-	Last    time.Duration
-	Seed    uint64
-	Workers int
+	Callers  []string // base URLs
+	Admins   []string
+	History  string // URL of the plain service's history
+	Key      string // of a caller
+	Admin    string // key of an operator
+	Duration time.Duration
+	Seed     uint64
+	Workers  int
 }
 
-// Tally is what came of it. Lost, Twice, Wrong, Reverted and Cut must be zero.
-type Tally struct {
+// Result is what came of it. Lost, Twice, Wrong, Reverted and Cut must be zero.
+type Result struct {
 	Requests, Done, NotRun, Failed, Unknown   int
 	Lost, Twice, Wrong, Reverted, Cut, Behind int
 }
 
 // String returns the closing line.
-func (t Tally) String() string {
+func (t Result) String() string {
 	return fmt.Sprintf("SOAK requests=%d done=%d not_run=%d failed=%d unknown=%d lost=%d twice=%d wrong=%d reverted=%d cut=%d",
 		t.Requests, t.Done, t.NotRun, t.Failed, t.Unknown, t.Lost, t.Twice, t.Wrong, t.Reverted, t.Cut)
 }
 
-// Broken tells whether a promise was broken.
-func (t Tally) Broken() bool { return t.Lost+t.Twice+t.Wrong+t.Reverted+t.Cut > 0 }
+// Violated tells whether a promise was broken.
+func (t Result) Violated() bool { return t.Lost+t.Twice+t.Wrong+t.Reverted+t.Cut > 0 }
 
 // Own is one run.
 type Own struct {
 	Options
 	callers *client.Client
 	mu      sync.Mutex
-	tally   Tally
+	tally   Result
 	told    map[string]string // endings told, in order, by key of a call
 	notes   []string
 }
@@ -63,8 +63,8 @@
 }
 
 // Run works until its time is over, waits for all answers, and checks them.
-func (s *Own) Run(ctx context.Context) (Tally, []string) {
-	work, cancel := context.WithTimeout(ctx, s.Last)
+func (s *Own) Run(ctx context.Context) (Result, []string) {
+	work, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
 	var all sync.WaitGroup
 	for w := range s.Workers {
