--- a/cmd/petrelstep-soak/main.go
+++ b/cmd/petrelstep-soak/main.go
@@ -23,11 +23,11 @@
 	flag.IntVar(&o.Site.Plain, "plain", 3, "workers of the plain service")
 	flag.IntVar(&o.Callers, "callers", 24, "callers")
 	flag.Uint64Var(&o.Seed, "seed", uint64(time.Now().UnixNano()%1_000_000), "seed of strikes and requests")
-	flag.BoolVar(&o.Crowds, "crowds", false, "callers press the plain service at times")
-	flag.BoolVar(&o.Ends, "ends", false, "one caller comes with a request under which workers end")
-	flag.BoolVar(&o.Needs, "needs", false, "workers name limits")
-	flag.BoolVar(&o.Words, "words", false, "workers leave by their answers, and ask for rest")
-	flag.DurationVar(&o.Last, "for", 20*time.Second, "how long to strike")
+	flag.BoolVar(&o.Bursts, "crowds", false, "callers press the plain service at times")
+	flag.BoolVar(&o.Poison, "ends", false, "one caller comes with a request under which workers end")
+	flag.BoolVar(&o.RateLimits, "needs", false, "workers name limits")
+	flag.BoolVar(&o.Announcements, "words", false, "workers leave by their answers, and ask for rest")
+	flag.DurationVar(&o.Duration, "for", 20*time.Second, "how long to strike")
 	flag.Parse()
 	os.Exit(run(o))
 }
@@ -46,14 +46,14 @@
 	defer stop()
 	fmt.Printf("seed %d, logs in %s\n", o.Seed, o.Site.Dir)
 	tally, err := soak.New(o).Run(ctx)
-	for _, b := range tally.Breaks {
+	for _, b := range tally.Violations {
 		fmt.Println("BROKEN", b)
 	}
 	fmt.Println(tally)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
-	if err != nil || len(tally.Breaks) > 0 {
+	if err != nil || len(tally.Violations) > 0 {
 		return 1
 	}
 	return 0
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -32,15 +32,15 @@
 
 // Options of a run.
 type Options struct {
-	Site    site.Options
-	Seed    uint64
-	Callers int
-	Crowds  bool          // callers press plain services at times
-	Ends    bool          // one comes with a request under which workers end
-	Needs   bool          // workers name limits
-	Words   bool          // workers leave by their answers, and ask for rest
-	Last    time.Duration // of the strikes
-	Out     io.Writer     // is told of each strike
+	Site          site.Options
+	Seed          uint64
+	Callers       int
+	Bursts        bool          // callers press plain services at times
+	Poison        bool          // one comes with a request under which workers end
+	RateLimits    bool          // workers name limits
+	Announcements bool          // workers leave by their answers, and ask for rest
+	Duration      time.Duration // of the strikes
+	Out           io.Writer     // is told of each strike
 }
 
 // NotReadyError says that a box did not become ready.
@@ -57,22 +57,22 @@
 	return "no " + string(e.Kind) + " is served after the trouble"
 }
 
-// Tally is what came of a run.
-type Tally struct {
-	Requests, Served, Refused, Broken int
-	Runs, Moved                       int
-	Stops                             int // planned, with nothing else wrong
-	Evacuations                       int // likewise
-	Ends                              int // of workers, under the request that ends them
-	Limited                           int // requests at workers that named limits
-	Heard                             int // words of workers that leave or ask for rest
-	Breaks                            []checker.Violation
+// Result is what came of a run.
+type Result struct {
+	Requests, Served, Refused, Interrupted int
+	Runs, Moved                            int
+	Stops                                  int // planned, with nothing else wrong
+	Evacuations                            int // likewise
+	PoisonCrashes                          int // of workers, under the request that ends them
+	Limited                                int // requests at workers that named limits
+	Announced                              int // words of workers that leave or ask for rest
+	Violations                             []checker.Violation
 }
 
 // String returns the closing line.
-func (t Tally) String() string {
+func (t Result) String() string {
 	return fmt.Sprintf("SOAK requests=%d served=%d refused=%d broken_off=%d runs=%d moved=%d calm_stops=%d calm_evacuations=%d ends=%d limited=%d heard=%d promises_broken=%d",
-		t.Requests, t.Served, t.Refused, t.Broken, t.Runs, t.Moved, t.Stops, t.Evacuations, t.Ends, t.Limited, t.Heard, len(t.Breaks))
+		t.Requests, t.Served, t.Refused, t.Interrupted, t.Runs, t.Moved, t.Stops, t.Evacuations, t.PoisonCrashes, t.Limited, t.Announced, len(t.Violations))
 }
 
 // Soak is one run.
@@ -83,25 +83,25 @@
 
 // Run starts a site, strikes it under load, lets it come to rest, and checks.
 // An error says that the run itself failed.
-func (s *Soak) Run(ctx context.Context) (Tally, error) {
+func (s *Soak) Run(ctx context.Context) (Result, error) {
 	at, err := site.New(s.Site)
 	if at != nil {
 		defer at.Close()
 	}
 	if err != nil {
-		return Tally{}, err
+		return Result{}, err
 	}
 	if err := ready(at); err != nil {
-		return Tally{}, err
+		return Result{}, err
 	}
-	callers, strikes := loadgen.New(at, s.Seed, s.Crowds, s.Ends), faults.New(at, s.Seed, s.Out)
+	callers, strikes := loadgen.New(at, s.Seed, s.Bursts, s.Poison), faults.New(at, s.Seed, s.Out)
 	working, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		callers.Run(working, s.Callers)
 	}()
-	striking, cancel := context.WithTimeout(ctx, s.Last)
+	striking, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
 	needs := make(chan []checker.LimitPeriod, 1)
 	go func() { needs <- s.needs(striking, strikes) }()
@@ -120,16 +120,16 @@
 	attempts, ran := callers.Attempts(), at.Executions()
 	t := s.check(attempts, ran, strikes)
 	broken, counted := checker.New(site.Events, 0, 0).CheckLimits(attempts, ran, named, at.Disruptions())
-	t.Limited, t.Breaks = counted, append(t.Breaks, broken...)
+	t.Limited, t.Violations = counted, append(t.Violations, broken...)
 	arrived, links := at.Arrivals()
-	broken, t.Heard = checker.New(site.Events, 0, 0).CheckAnnouncements(attempts, arrived, at.Disruptions(), links)
-	t.Breaks = append(t.Breaks, broken...)
+	broken, t.Announced = checker.New(site.Events, 0, 0).CheckAnnouncements(attempts, arrived, at.Disruptions(), links)
+	t.Violations = append(t.Violations, broken...)
 	return t, err
 }
 
 // words lets workers leave by their answers and ask for rest, if they are to.
 func (s *Soak) words(ctx context.Context, strikes *faults.Injector) error {
-	if !s.Words {
+	if !s.Announcements {
 		return nil
 	}
 	return strikes.RunAnnouncements(ctx)
@@ -137,7 +137,7 @@
 
 // needs lets workers name limits, if they are to.
 func (s *Soak) needs(ctx context.Context, strikes *faults.Injector) []checker.LimitPeriod {
-	if !s.Needs {
+	if !s.RateLimits {
 		return nil
 	}
 	return strikes.RunLimits(ctx)
@@ -183,9 +183,9 @@
 	return false
 }
 
-func (s *Soak) check(attempts []checker.Attempt, ran []checker.Execution, strikes *faults.Injector) Tally {
+func (s *Soak) check(attempts []checker.Attempt, ran []checker.Execution, strikes *faults.Injector) Result {
 	stops, evacuations := strikes.Stops(), strikes.Evacuations()
-	t := Tally{Requests: len(attempts), Runs: len(ran), Stops: len(stops), Evacuations: len(evacuations)}
+	t := Result{Requests: len(attempts), Runs: len(ran), Stops: len(stops), Evacuations: len(evacuations)}
 	for _, a := range attempts {
 		switch {
 		case a.Status == http.StatusOK && a.Complete:
@@ -193,7 +193,7 @@
 		case a.Status >= http.StatusBadRequest:
 			t.Refused++
 		default:
-			t.Broken++
+			t.Interrupted++
 		}
 	}
 	for _, r := range ran {
@@ -201,12 +201,12 @@
 			t.Moved++
 		}
 		if r.Body == site.PoisonBody {
-			t.Ends++
+			t.PoisonCrashes++
 		}
 	}
-	t.Breaks = checker.New(site.Events, site.KeyAge+keySlack, hallTime).Check(attempts, ran, stops, evacuations)
-	if t.Ends > endsMost {
-		t.Breaks = append(t.Breaks, checker.Violation{Guarantee: checker.Poison, Detail: fmt.Sprint(t.Ends, " workers ended under it")})
+	t.Violations = checker.New(site.Events, site.KeyAge+keySlack, hallTime).Check(attempts, ran, stops, evacuations)
+	if t.PoisonCrashes > endsMost {
+		t.Violations = append(t.Violations, checker.Violation{Guarantee: checker.Poison, Detail: fmt.Sprint(t.PoisonCrashes, " workers ended under it")})
 	}
 	return t
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -41,17 +41,17 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			tally, err := soak.New(soak.Options{
-				Site:    site.Options{Daemon: daemon, Dir: t.TempDir(), Boxes: 3, Engines: 4, Plain: 2},
-				Seed:    tt.seed,
-				Ends:    tt.ends,
-				Needs:   tt.need,
-				Words:   tt.word,
-				Callers: 12,
-				Last:    tt.last,
-				Out:     t.Output(),
+				Site:          site.Options{Daemon: daemon, Dir: t.TempDir(), Boxes: 3, Engines: 4, Plain: 2},
+				Seed:          tt.seed,
+				Poison:        tt.ends,
+				RateLimits:    tt.need,
+				Announcements: tt.word,
+				Callers:       12,
+				Duration:      tt.last,
+				Out:           t.Output(),
 			}).Run(context.Background())
 			is.NoErr(err)
-			for _, b := range tally.Breaks {
+			for _, b := range tally.Violations {
 				t.Error(b)
 			}
 			is.True(tally.Served > 0)
