--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -502,12 +502,12 @@
 		status, _ := s.boxes[0].send(t, "GET", "/look/a", "warm", "key")
 		return status == 200
 	})
-	plain.Names("2.5")
+	plain.SetLimit("2.5")
 	waitFor(t, "all boxes know the limit", func() bool {
 		asks()
 		return s.boxes[0].limit(t) == 2.5 && s.boxes[1].limit(t) == 2.5
 	})
-	plain.Names("")
+	plain.SetLimit("")
 	waitFor(t, "all boxes know that the limit is lifted", func() bool {
 		asks()
 		return s.boxes[0].limit(t) == 0 && s.boxes[1].limit(t) == 0
--- a/soak/faults/need.go
+++ b/soak/faults/need.go
@@ -42,16 +42,16 @@
 
 // need lets a worker name two limits, one after the other.
 func need(ctx context.Context, w *site.Worker, limits ...string) checker.LimitPeriod {
-	n := checker.LimitPeriod{Worker: w.ID, Incarnation: w.Born(), Span: checker.Span{From: time.Now()}}
+	n := checker.LimitPeriod{Worker: w.ID, Incarnation: w.StartedAt(), Span: checker.Span{From: time.Now()}}
 	for _, limit := range limits {
-		w.Names(limit)
+		w.SetLimit(limit)
 		if perSecond, err := strconv.ParseFloat(limit, 64); err == nil {
 			n.Limits = append(n.Limits, checker.Limit{At: time.Now(), PerSecond: perSecond})
 		}
 		pass(ctx, needFor/time.Duration(len(limits)))
 	}
 	n.Until = time.Now()
-	w.Names("")
+	w.SetLimit("")
 	return n
 }
 
--- a/soak/faults/word.go
+++ b/soak/faults/word.go
@@ -33,7 +33,7 @@
 			}
 		default:
 			fmt.Fprintf(s.out, "       %s asks for %v of rest\n", w.ID, rest.Round(time.Millisecond))
-			w.Rest(rest)
+			w.Backoff(rest)
 			pass(ctx, rest)
 		}
 	}
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -257,7 +257,7 @@
 
 // endsOn lets a worker crash that runs the request for which it does.
 func (s *Site) endsOn(w *Worker) {
-	w.EndsOn(PoisonBody, func() {
+	w.CrashOn(PoisonBody, func() {
 		s.mu.Lock()
 		s.endedUnder = time.Now()
 		s.mu.Unlock()
@@ -282,7 +282,7 @@
 
 func (s *Site) say(w *Worker, leaving bool) {
 	s.Platform.Announce(platform.Worker{
-		ID: w.ID, Service: w.Service, Address: w.Link.Address(), Hall: w.Hall, Leaving: leaving, Born: w.Born(),
+		ID: w.ID, Service: w.Service, Address: w.Link.Address(), Hall: w.Hall, Leaving: leaving, Born: w.StartedAt(),
 	})
 }
 
@@ -411,7 +411,7 @@
 	s.mu.Lock()
 	delete(s.workers, w.ID)
 	s.mu.Unlock()
-	w.SayLeaving()
+	w.AnnounceLeaving()
 	time.Sleep(notice)
 	s.Platform.Withdraw(w.ID)
 	w.end()
@@ -446,7 +446,7 @@
 	var ran []checker.Execution
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, r := range w.Runs() {
-			ran = append(ran, checker.Execution{Worker: w.ID, Incarnation: w.Born(), Hall: w.Hall, Run: r})
+			ran = append(ran, checker.Execution{Worker: w.ID, Incarnation: w.StartedAt(), Hall: w.Hall, Run: r})
 		}
 	}
 	return ran
@@ -460,7 +460,7 @@
 	broken = map[string][]checker.Span{}
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, a := range w.Arrivals() {
-			arrived = append(arrived, checker.Arrival{Worker: w.ID, Incarnation: w.Born(), Arrival: a})
+			arrived = append(arrived, checker.Arrival{Worker: w.ID, Incarnation: w.StartedAt(), Arrival: a})
 		}
 		w.mu.Lock()
 		broken[w.ID] = append(broken[w.ID], w.broken...)
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -93,8 +93,8 @@
 	return &Worker{id: id, events: events, pace: pace, born: time.Now(), streams: map[string]*state{}, copies: map[string]int{}}
 }
 
-// Born returns when it started, in Unix milliseconds.
-func (w *Worker) Born() int64 { return w.born.UnixMilli() }
+// StartedAt returns when it started, in Unix milliseconds.
+func (w *Worker) StartedAt() int64 { return w.born.UnixMilli() }
 
 // Next puts faults into the answers that come next.
 func (w *Worker) Next(faults ...Fault) {
@@ -110,15 +110,15 @@
 	w.leaving, w.says = true, true
 }
 
-// SayLeaving makes its answers say that it leaves, and nothing else.
-func (w *Worker) SayLeaving() {
+// AnnounceLeaving makes its answers say that it leaves, and nothing else.
+func (w *Worker) AnnounceLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.says = true
 }
 
-// Rest lets it turn all away for a time, and ask for as much rest as is left of it.
-func (w *Worker) Rest(d time.Duration) {
+// Backoff lets it turn all away for a time, and ask for as much rest as is left of it.
+func (w *Worker) Backoff(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rests = time.Now().Add(d)
@@ -141,15 +141,15 @@
 	return rest
 }
 
-// NoRoom makes it refuse copies.
-func (w *Worker) NoRoom() {
+// RefuseCopies makes it refuse copies.
+func (w *Worker) RefuseCopies() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.noRoom = true
 }
 
-// Names lets its answers name a limit, as it stands; empty for none.
-func (w *Worker) Names(limit string) {
+// SetLimit lets its answers name a limit, as it stands; empty for none.
+func (w *Worker) SetLimit(limit string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limit = limit
@@ -167,9 +167,9 @@
 	}
 }
 
-// EndsOn lets the worker call end, which is to end it without a word, once it has begun
+// CrashOn lets the worker call end, which is to end it without a word, once it has begun
 // to run a request with a body.
-func (w *Worker) EndsOn(body string, end func()) {
+func (w *Worker) CrashOn(body string, end func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.endsOn, w.end = body, end
@@ -204,7 +204,7 @@
 	if w.leaving {
 		state, left = "draining", 1700
 	}
-	writeJSON(out, map[string]any{"state": state, "leaves_ms": left, "queued": 1, "running": len(w.streams), "kv_used": 4100, "kv_total": 9000, "born": w.Born()})
+	writeJSON(out, map[string]any{"state": state, "leaves_ms": left, "queued": 1, "running": len(w.streams), "kv_used": 4100, "kv_total": 9000, "born": w.StartedAt()})
 }
 
 func writeJSON(out http.ResponseWriter, v any) {
