--- a/soak/checker/words.go
+++ b/soak/checker/words.go
@@ -61,7 +61,7 @@
 	told := map[key]time.Time{}
 	for _, r := range h.arrived {
 		a, ok := h.attempts[r.ID]
-		if !ok || !r.Leaves || a.Status != http.StatusOK || !a.Complete || !strings.HasSuffix(a.Answer, " by "+r.Worker) {
+		if !ok || !r.Leaving || a.Status != http.StatusOK || !a.Complete || !strings.HasSuffix(a.Answer, " by "+r.Worker) {
 			continue
 		}
 		k := key{a.Box, r.Worker, r.Incarnation}
@@ -83,9 +83,9 @@
 func (h heard) rested() (breaks []Violation, counted int) {
 	for _, r := range h.arrived {
 		a, ok := h.attempts[r.ID]
-		until := r.At.Add(r.Rest)
+		until := r.At.Add(r.Backoff)
 		lost := overlaps(h.broken[r.Worker], r.At.Add(-lostWithin), r.At.Add(lostWithin))
-		if !ok || r.Rest == 0 || a.GaveUp || lost || overlaps(h.struck[a.Box], r.At, until) {
+		if !ok || r.Backoff == 0 || a.GaveUp || lost || overlaps(h.struck[a.Box], r.At, until) {
 			continue
 		}
 		counted++
@@ -96,7 +96,7 @@
 			}
 		}
 		if n > restAllowed {
-			breaks = append(breaks, Violation{Rest, r.ID, fmt.Sprintf("%s asked %s for %v of rest and got %d requests", r.Worker, a.Box, r.Rest, n)})
+			breaks = append(breaks, Violation{Rest, r.ID, fmt.Sprintf("%s asked %s for %v of rest and got %d requests", r.Worker, a.Box, r.Backoff, n)})
 		}
 	}
 	return breaks, counted
--- a/soak/checker/words_test.go
+++ b/soak/checker/words_test.go
@@ -49,7 +49,7 @@
 				status = 503
 			}
 			attempts := []checker.Attempt{{ID: "first", Box: "b", Sent: began, Ended: began, Status: status, Complete: true, Answer: tt.answer}}
-			arrived := []checker.Arrival{{Worker: "w", Incarnation: 7, Arrival: worker.Arrival{ID: "first", At: began, Leaves: tt.leaves, Rest: tt.rest}}}
+			arrived := []checker.Arrival{{Worker: "w", Incarnation: 7, Arrival: worker.Arrival{ID: "first", At: began, Leaving: tt.leaves, Backoff: tt.rest}}}
 			box, life := "b", int64(7)
 			if tt.box != "" {
 				box = tt.box
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -44,7 +44,7 @@
 	Target       string
 	Body         string
 	Organisation string
-	Left         int // ms that it was given
+	DeadlineMs   int // ms that it was given
 	From         string
 	After        string
 	Header       http.Header
@@ -53,10 +53,10 @@
 
 // Arrival is one request that has reached the worker, and what the answer said.
 type Arrival struct {
-	ID     string
-	At     time.Time
-	Leaves bool
-	Rest   time.Duration // that was asked for as the request was turned away
+	ID      string
+	At      time.Time
+	Leaving bool
+	Backoff time.Duration // that was asked for as the request was turned away
 }
 
 type state struct {
@@ -137,7 +137,7 @@
 	defer w.mu.Unlock()
 	now := time.Now()
 	rest = max(w.rests.Sub(now), 0)
-	w.came = append(w.came, Arrival{ID: id, At: now, Leaves: w.says, Rest: rest})
+	w.came = append(w.came, Arrival{ID: id, At: now, Leaving: w.says, Backoff: rest})
 	return rest
 }
 
@@ -279,7 +279,7 @@
 	left, _ := strconv.Atoi(r.Header.Get("Deadline-Ms")) // 0 shows that there was none
 	w.mu.Lock()
 	w.runs = append(w.runs, Run{
-		ID: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Organisation: r.Header.Get("Tenant"), Left: left,
+		ID: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Organisation: r.Header.Get("Tenant"), DeadlineMs: left,
 		From: r.Header.Get("Kv-From"), After: r.Header.Get("Last-Event-Id"), Header: r.Header.Clone(),
 		At: time.Now(),
 	})
