--- a/edge/incarnations_test.go
+++ b/edge/incarnations_test.go
@@ -110,7 +110,7 @@
 
 // announceStart stores a worker's row with its start time.
 func (s *site) announceStart(id, service string, born int64) {
-	s.platform.Announce(platform.Worker{ID: id, Service: service, Address: strings.TrimPrefix(s.servers[id].URL, "http://"), Hall: "leith", Born: born})
+	s.platform.Announce(platform.Worker{ID: id, Service: service, Address: strings.TrimPrefix(s.servers[id].URL, "http://"), Hall: "leith", StartedAt: born})
 }
 
 // startTimeOf returns the start time that a box reports for an upstream.
--- a/soak/faults/faults.go
+++ b/soak/faults/faults.go
@@ -154,7 +154,7 @@
 		s.evacuations = append(s.evacuations, checker.Evacuation{Hall: hall, From: from, Until: time.Now()})
 		s.mu.Unlock()
 	}
-	s.site.Platform.TakeBack(hall)
+	s.site.Platform.CancelEvacuation(hall)
 	return nil
 }
 
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -282,7 +282,7 @@
 
 func (s *Site) say(w *Worker, leaving bool) {
 	s.Platform.Announce(platform.Worker{
-		ID: w.ID, Service: w.Service, Address: w.Link.Address(), Hall: w.Hall, Leaving: leaving, Born: w.StartedAt(),
+		ID: w.ID, Service: w.Service, Address: w.Link.Address(), Hall: w.Hall, Leaving: leaving, StartedAt: w.StartedAt(),
 	})
 }
 
@@ -326,7 +326,7 @@
 		"foreign-4": `{"service":"llm","address":"127.0.0.1:9","zone":"leith","slots":4,"state":"resting"}`, w.ID: "{",
 	}
 	for id, value := range rows {
-		s.Platform.Spoil(id, []byte(value))
+		s.Platform.PutRow(id, []byte(value))
 	}
 	time.Sleep(last)
 	for id := range rows {
--- a/standin/platform/operator.go
+++ b/standin/platform/operator.go
@@ -58,12 +58,12 @@
 
 // Worker is a worker's own row.
 type Worker struct {
-	ID      string
-	Service string
-	Address string
-	Hall    string
-	Leaving bool
-	Born    int64 // Unix milliseconds of its start; 0 for a worker that says nothing of it
+	ID        string
+	Service   string
+	Address   string
+	Hall      string
+	Leaving   bool
+	StartedAt int64 // Unix milliseconds of its start; 0 for a worker that says nothing of it
 }
 
 // Announce writes a worker's row as the worker does.
@@ -75,8 +75,8 @@
 	row := map[string]any{
 		"service": w.Service, "address": w.Address, "zone": w.Hall, "version": "v1", "slots": 24, "state": state, "cold_left_ms": 0, "sequence": 1,
 	}
-	if w.Born > 0 {
-		row["born"] = w.Born
+	if w.StartedAt > 0 {
+		row["born"] = w.StartedAt
 	}
 	p.put("servers", w.ID, row)
 }
@@ -84,16 +84,16 @@
 // Withdraw removes a worker's row.
 func (p *Platform) Withdraw(id string) { p.Remove(store.Row{Table: "servers", Key: id}) }
 
-// Spoil writes a row among those of workers as another writer does.
-func (p *Platform) Spoil(id string, value []byte) {
+// PutRow writes a row among those of workers as another writer does.
+func (p *Platform) PutRow(id string, value []byte) {
 	p.Put(store.Row{Table: "servers", Key: id, Value: value})
 }
 
 // Evacuate says that a hall's workers are to get nothing new, as the operator does.
 func (p *Platform) Evacuate(hall string) { p.put("op", "evacuate/"+hall, map[string]any{}) }
 
-// TakeBack takes an evacuation back.
-func (p *Platform) TakeBack(hall string) {
+// CancelEvacuation takes an evacuation back.
+func (p *Platform) CancelEvacuation(hall string) {
 	p.Remove(store.Row{Table: "op", Key: "evacuate/" + hall})
 }
 
