--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -524,7 +524,7 @@
 // queue: the draft is sent on to the next home box, and is answered.
 func TestQueueSentOn(t *testing.T) {
 	is := is.New(t)
-	small := batch.Usual()
+	small := batch.DefaultParams()
 	small.Capacity = 900
 	s := newSet(t, 2, []engine.Options{{Name: "e0", Model: "m", Speed: 2, Length: 200, Seed: 3, Params: small}})
 	long := draft("stream")
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -76,7 +76,7 @@
 	w := &world{policy: p, scenario: s, rng: rand.New(rand.NewPCG(seed, 7)), rec: newRecorder(p.name)}
 	w.now = time.Unix(1_700_000_000, 0)
 	for i := range engineCount {
-		e := &engine{w: w, name: fmt.Sprintf("e%d", i), core: batch.New(batch.Usual()), incarnation: 1}
+		e := &engine{w: w, name: fmt.Sprintf("e%d", i), core: batch.New(batch.DefaultParams()), incarnation: 1}
 		w.engines = append(w.engines, e)
 	}
 	for i := range boxCount {
@@ -237,7 +237,7 @@
 func (e *engine) load() wire.EngineLoad {
 	return wire.EngineLoad{
 		Engine: e.name, Incarnation: e.incarnation, AtMs: int(e.w.now.UnixMilli()), Model: modelName,
-		Role: "any", Capacity: batch.Usual().Capacity, Used: e.core.Used(), Running: e.core.Running(),
+		Role: "any", Capacity: batch.DefaultParams().Capacity, Used: e.core.Used(), Running: e.core.Running(),
 		Waiting: e.core.Waiting(), Preemptions: e.core.Preemptions(), StepUs: int(e.core.StepTime().Microseconds()),
 		Leaving: e.leaving, Ready: true,
 	}
--- a/standin/batch/batch.go
+++ b/standin/batch/batch.go
@@ -23,8 +23,8 @@
 	PrefillPerTok  time.Duration // for each prompt token worked on
 }
 
-// Usual returns the engine of the starting design's trial: 60,000 tokens.
-func Usual() Params {
+// DefaultParams returns the engine of the starting design's trial: 60,000 tokens.
+func DefaultParams() Params {
 	return Params{
 		Capacity:       60_000,
 		PrefixCapacity: 20_000,
--- a/standin/batch/batch_test.go
+++ b/standin/batch/batch_test.go
@@ -25,7 +25,7 @@
 }
 
 func small(capacity int) batch.Params {
-	p := batch.Usual()
+	p := batch.DefaultParams()
 	p.Capacity = capacity
 	return p
 }
@@ -76,7 +76,7 @@
 
 func TestPrefixSavesWork(t *testing.T) {
 	is := is.New(t)
-	c := batch.New(batch.Usual())
+	c := batch.New(batch.DefaultParams())
 	blocks := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	first := c.Submit(start, batch.Job{Attempt: "a", Prompt: 600, Blocks: blocks, Length: 1})
 	run(c)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -82,7 +82,7 @@
 		options.DraftWords = 400
 	}
 	if options.Params.Capacity == 0 {
-		options.Params = batch.Usual()
+		options.Params = batch.DefaultParams()
 	}
 	e := &Engine{
 		options:     options,
