--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -574,10 +574,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // each has a set of its own
 			is := is.New(t)
-			s, err := cluster.New(cluster.Options{Boxes: 1, Engines: engines(1, 2), Relays: true})
+			s, err := cluster.New(cluster.Options{Boxes: 1, Engines: engines(1, 2), Proxies: true})
 			is.NoErr(err)
 			defer s.Close()
-			r := generate(s, 0, draft("stream"), 10, func() { s.Relays[0].Cut(tt.last) })
+			r := generate(s, 0, draft("stream"), 10, func() { s.Proxies[0].Cut(tt.last) })
 			is.Equal(r.out.Ending, tt.ending)
 			is.Equal(r.out.Wrong, "")
 			is.Equal(r.out.TakenUp, 0) // the box goes on by itself
--- a/standin/cluster/cluster.go
+++ b/standin/cluster/cluster.go
@@ -41,7 +41,7 @@
 	Boxes   int
 	Engines []engine.Options // the hall of engine i is that of box i
 	Change  func(*wire.Settings)
-	Relays  bool      // engines are reached through relays that can be cut
+	Proxies bool      // engines are reached through relays that can be cut
 	Log     io.Writer // of the boxes; nil for none
 }
 
@@ -60,7 +60,7 @@
 	Platform *platform.Platform
 	Engines  []*engine.Engine
 	Service  *service.Service
-	Relays   []*faultproxy.Proxy // of engines
+	Proxies  []*faultproxy.Proxy // of engines
 	Boxes    []*Box
 	options  Options
 	servers  []*httptest.Server
@@ -115,14 +115,14 @@
 
 // reach returns the address by which boxes reach an engine.
 func (s *Cluster) reach(address string) (string, error) {
-	if !s.options.Relays {
+	if !s.options.Proxies {
 		return address, nil
 	}
 	r, err := faultproxy.New(address)
 	if err != nil {
 		return "", err
 	}
-	s.Relays = append(s.Relays, r)
+	s.Proxies = append(s.Proxies, r)
 	return r.Address(), nil
 }
 
@@ -368,7 +368,7 @@
 		}
 	}
 	s.stop()
-	for _, r := range s.Relays {
+	for _, r := range s.Proxies {
 		r.Close()
 	}
 	for _, server := range s.servers {
