--- a/soak/loadgen/loadgen.go
+++ b/soak/loadgen/loadgen.go
@@ -163,7 +163,7 @@
 // send sends an attempt and keeps what came of it; it returns when to come back.
 func (l *Generator) send(ctx context.Context, client *caller.Caller, box *site.Box, a checker.Attempt, key string, pause time.Duration) (ended checker.Attempt, back time.Duration) {
 	a.Box, a.Sent = box.Name, time.Now()
-	answer := client.Ask(ctx, box.Link.Address(), caller.Request{
+	answer := client.Send(ctx, box.Link.Address(), caller.Request{
 		ID: a.ID, Host: site.Host(), Target: a.Target, Body: a.Body, Key: key, Wait: patience, Tokens: "900,240", Pause: pause,
 	})
 	a.Status, a.Sealed, a.Answer, a.Complete = answer.Status, answer.Sealed, answer.Body, answer.Complete
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -41,8 +41,8 @@
 // Close drops idle connections.
 func (c *Caller) Close() { c.transport.CloseIdleConnections() }
 
-// Ask sends a request to an address, once, and reads its answer to the end.
-func (c *Caller) Ask(ctx context.Context, address string, r Request) Answer {
+// Send sends a request to an address, once, and reads its answer to the end.
+func (c *Caller) Send(ctx context.Context, address string, r Request) Answer {
 	method := http.MethodGet
 	if r.Body != "" {
 		method = http.MethodPost
