--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -522,7 +522,7 @@
 // the draft must move to the next home box and be answered.
 func TestQueueSentOn(t *testing.T) {
 	is := is.New(t)
-	small := batch.Usual()
+	small := batch.DefaultParams()
 	small.Capacity = 900
 	s := newCluster(t, 2, []engine.Options{{Name: "e0", Model: "m", Speed: 2, Length: 200, Seed: 3, Params: small}})
 	long := draft("stream")
@@ -571,10 +571,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // each has its own cluster
 			is := is.New(t)
-			s, err := cluster.New(cluster.Options{Boxes: 1, Engines: engines(1, 2), Relays: true})
+			s, err := cluster.New(cluster.Options{Boxes: 1, Engines: engines(1, 2), Proxies: true})
 			is.NoErr(err)
 			defer s.Close()
-			r := generate(s, 0, draft("stream"), 10, func() { s.Relays[0].Cut(tt.duration) })
+			r := generate(s, 0, draft("stream"), 10, func() { s.Proxies[0].Cut(tt.duration) })
 			is.Equal(r.out.Ending, tt.ending)
 			is.Equal(r.out.Wrong, "")
 			is.Equal(r.out.Resumed, 0) // the box itself resumes at the engine
--- a/soak/checker/checker.go
+++ b/soak/checker/checker.go
@@ -16,17 +16,17 @@
 
 // The kinds of requests, named like their routes.
 const (
-	Draft Kind = "draft" // a stream that may run once
-	Check Kind = "check" // a stream that may be resumed
-	Once  Kind = "once"  // a whole answer, may run once
-	Look  Kind = "look"  // a whole answer, may be repeated
+	Draft  Kind = "draft" // a stream that may run once
+	Check  Kind = "check" // a stream that may be resumed
+	Once   Kind = "once"  // a whole answer, may run once
+	Lookup Kind = "look"  // a whole answer, may be repeated
 )
 
 // Streams tells whether answers are streams.
 func (k Kind) Streams() bool { return k == Draft || k == Check }
 
 // Repeatable tells whether a request may run more than once.
-func (k Kind) Repeatable() bool { return k == Check || k == Look }
+func (k Kind) Repeatable() bool { return k == Check || k == Lookup }
 
 // Attempt is one request as its caller saw it.
 type Attempt struct {
@@ -46,11 +46,11 @@
 	GaveUp       bool   // the caller left
 }
 
-// Ran is one run at a worker.
-type Ran struct {
-	Worker string
-	Life   int64 // of the worker
-	Hall   string
+// Execution is one run at a worker.
+type Execution struct {
+	Worker      string
+	Incarnation int64 // of the worker
+	Hall        string
 	worker.Run
 }
 
@@ -71,29 +71,29 @@
 
 // Promises are those that are checked.
 const (
-	Mixed   = "MIXED"   // an answer that is not the worker's, or of another request
-	Order   = "ORDER"   // a stream with a gap, a repeat, or cut but complete to see
-	Unasked = "UNASKED" // a run of what no caller asked
-	Twice   = "TWICE"   // a second run of what may run once
-	Refused = "REFUSED" // told that it was not run, and it ran
-	Revoked = "REVOKED" // served by a key that was taken away
-	Cut     = "CUT"     // a planned stop broke it off
-	Closed  = "CLOSED"  // a run begun in an evacuated hall
-	Limits  = "LIMIT"   // a worker got more than it named
-	Ends    = "ENDS"    // a request under which workers end reached too many
-	Drain   = "DRAIN"   // a worker got requests long after it had told the box that it leaves
-	Rest    = "REST"    // a worker got requests in a rest that it had asked the box for
+	Mixed       = "MIXED"   // an answer that is not the worker's, or of another request
+	Order       = "ORDER"   // a stream with a gap, a repeat, or cut but complete to see
+	Unrequested = "UNASKED" // a run of what no caller asked
+	Duplicate   = "TWICE"   // a second run of what may run once
+	Refused     = "REFUSED" // told that it was not run, and it ran
+	Revoked     = "REVOKED" // served by a key that was taken away
+	CutOff      = "CUT"     // a planned stop broke it off
+	Evacuated   = "CLOSED"  // a run begun in an evacuated hall
+	Limits      = "LIMIT"   // a worker got more than it named
+	Poison      = "ENDS"    // a request under which workers end reached too many
+	Drain       = "DRAIN"   // a worker got requests long after it had told the box that it leaves
+	Rest        = "REST"    // a worker got requests in a rest that it had asked the box for
 )
 
-// Break is one broken promise.
-type Break struct {
-	Promise string
-	Request string
-	Detail  string
+// Violation is one broken promise.
+type Violation struct {
+	Guarantee string
+	Request   string
+	Detail    string
 }
 
 // String returns a line.
-func (b Break) String() string { return b.Promise + " " + b.Request + ": " + b.Detail }
+func (b Violation) String() string { return b.Guarantee + " " + b.Request + ": " + b.Detail }
 
 // Checker checks histories of one site.
 type Checker struct {
@@ -108,12 +108,12 @@
 }
 
 // closed returns the runs that began in a hall while it was evacuated.
-func (v *Checker) closed(ran []Ran, evacuations []Evacuation) []Break {
-	var broken []Break
+func (v *Checker) closed(ran []Execution, evacuations []Evacuation) []Violation {
+	var broken []Violation
 	for _, r := range ran {
 		for _, e := range evacuations {
 			if late := r.At.Sub(e.From); r.Hall == e.Hall && late > v.hall && r.At.Before(e.Until) {
-				broken = append(broken, Break{Closed, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, late)})
+				broken = append(broken, Violation{Evacuated, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, late)})
 			}
 		}
 	}
@@ -121,8 +121,8 @@
 }
 
 // Check returns what is broken.
-func (v *Checker) Check(attempts []Attempt, ran []Ran, stops []Stop, evacuations []Evacuation) []Break {
-	runs := map[string][]Ran{}
+func (v *Checker) Check(attempts []Attempt, ran []Execution, stops []Stop, evacuations []Evacuation) []Violation {
+	runs := map[string][]Execution{}
 	for _, r := range ran {
 		runs[r.ID] = append(runs[r.ID], r)
 	}
@@ -130,27 +130,27 @@
 	asked := map[string]bool{}
 	for _, a := range attempts {
 		asked[a.ID] = true
-		for _, check := range []func(Attempt, []Ran) (string, string){v.answer, runOnce, refused, asAsked, v.revoked} {
+		for _, check := range []func(Attempt, []Execution) (string, string){v.answer, runOnce, refused, asAsked, v.revoked} {
 			if promise, detail := check(a, runs[a.ID]); promise != "" {
-				broken = append(broken, Break{promise, a.ID, detail})
+				broken = append(broken, Violation{promise, a.ID, detail})
 			}
 		}
 		for _, s := range stops {
 			if detail := cut(a, s); detail != "" {
-				broken = append(broken, Break{Cut, a.ID, detail})
+				broken = append(broken, Violation{CutOff, a.ID, detail})
 			}
 		}
 	}
 	for id := range runs {
 		if !asked[id] {
-			broken = append(broken, Break{Unasked, id, "no caller sent it"})
+			broken = append(broken, Violation{Unrequested, id, "no caller sent it"})
 		}
 	}
 	return broken
 }
 
 // answer holds a success against the worker's own text.
-func (v *Checker) answer(a Attempt, runs []Ran) (promise, detail string) {
+func (v *Checker) answer(a Attempt, runs []Execution) (promise, detail string) {
 	if a.Status != http.StatusOK {
 		return "", ""
 	}
@@ -185,7 +185,7 @@
 	return "", ""
 }
 
-func runOnce(a Attempt, runs []Ran) (promise, detail string) {
+func runOnce(a Attempt, runs []Execution) (promise, detail string) {
 	begun := 0
 	for _, r := range runs {
 		if r.From == "" {
@@ -193,12 +193,12 @@
 		}
 	}
 	if begun > 1 && !a.Kind.Repeatable() {
-		return Twice, fmt.Sprintf("%d runs", begun)
+		return Duplicate, fmt.Sprintf("%d runs", begun)
 	}
 	return "", ""
 }
 
-func refused(a Attempt, runs []Ran) (promise, detail string) {
+func refused(a Attempt, runs []Execution) (promise, detail string) {
 	switch a.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
 	default:
@@ -210,16 +210,16 @@
 	return Refused, fmt.Sprintf("told %d, and ran at %s", a.Status, runs[0].Worker)
 }
 
-func asAsked(a Attempt, runs []Ran) (promise, detail string) {
+func asAsked(a Attempt, runs []Execution) (promise, detail string) {
 	for _, r := range runs {
 		if r.Organisation != a.Organisation || r.Target != a.Target || r.Body != a.Body {
-			return Unasked, fmt.Sprintf("ran as %s %s %q", r.Organisation, r.Target, r.Body)
+			return Unrequested, fmt.Sprintf("ran as %s %s %q", r.Organisation, r.Target, r.Body)
 		}
 	}
 	return "", ""
 }
 
-func (v *Checker) revoked(a Attempt, runs []Ran) (promise, detail string) {
+func (v *Checker) revoked(a Attempt, runs []Execution) (promise, detail string) {
 	if len(runs) == 0 || a.Revoked.IsZero() || a.Sent.Sub(a.Revoked) <= v.key {
 		return "", ""
 	}
--- a/soak/checker/checker_test.go
+++ b/soak/checker/checker_test.go
@@ -34,8 +34,8 @@
 }
 
 // run is its run, changed by change.
-func run(change func(*checker.Ran)) checker.Ran {
-	r := checker.Ran{Worker: "w", Run: worker.Run{ID: "r", Organisation: "council", Target: "/x", At: now}}
+func run(change func(*checker.Execution)) checker.Execution {
+	r := checker.Execution{Worker: "w", Run: worker.Run{ID: "r", Organisation: "council", Target: "/x", At: now}}
 	if change != nil {
 		change(&r)
 	}
@@ -44,20 +44,20 @@
 
 // TestCheck shows that each broken promise is seen, and nothing else is.
 func TestCheck(t *testing.T) {
-	once := []checker.Ran{run(nil)}
-	again := []checker.Ran{run(nil), run(func(r *checker.Ran) { r.Worker = "v" })}
-	moved := []checker.Ran{run(nil), run(func(r *checker.Ran) { r.From = "10.0.0.1:1/copy" })}
+	once := []checker.Execution{run(nil)}
+	again := []checker.Execution{run(nil), run(func(r *checker.Execution) { r.Worker = "v" })}
+	moved := []checker.Execution{run(nil), run(func(r *checker.Execution) { r.From = "10.0.0.1:1/copy" })}
 	stop := []checker.Stop{{Box: "b", From: now.Add(-time.Second), Signal: now.Add(500 * time.Millisecond), Until: now.Add(2 * time.Second)}}
 	tests := map[string]struct {
 		attempt checker.Attempt
-		runs    []checker.Ran
+		runs    []checker.Execution
 		stops   []checker.Stop
 		want    string
 	}{
 		"a whole answer":                   {attempt(checker.Once, nil), once, nil, ""},
 		"a stream":                         {attempt(checker.Draft, nil), once, nil, ""},
 		"a moved stream":                   {attempt(checker.Draft, nil), moved, nil, ""},
-		"a repeated look":                  {attempt(checker.Look, nil), again, nil, ""},
+		"a repeated look":                  {attempt(checker.Lookup, nil), again, nil, ""},
 		"a refusal":                        {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), nil, nil, ""},
 		"a broken stream":                  {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = a.Answer[:20], false }), once, nil, ""},
 		"without a seal":                   {attempt(checker.Once, func(a *checker.Attempt) { a.Sealed = false }), once, nil, checker.Mixed},
@@ -65,14 +65,14 @@
 		"an answer of no run":              {attempt(checker.Once, nil), nil, nil, checker.Mixed},
 		"a gap":                            {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[len(a.Answer)/2:] }), once, nil, checker.Order},
 		"cut, and complete to see":         {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[:len(a.Answer)/2] }), once, nil, checker.Order},
-		"nobody asked":                     {attempt(checker.Once, func(a *checker.Attempt) { a.ID, a.Status = "q", 502 }), once, nil, checker.Unasked},
-		"another organisation's":           {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Organisation = "firm" })}, nil, checker.Unasked},
-		"another body":                     {attempt(checker.Draft, nil), []checker.Ran{run(func(r *checker.Ran) { r.Body = "x" })}, nil, checker.Unasked},
-		"two runs":                         {attempt(checker.Draft, nil), again, nil, checker.Twice},
+		"nobody asked":                     {attempt(checker.Once, func(a *checker.Attempt) { a.ID, a.Status = "q", 502 }), once, nil, checker.Unrequested},
+		"another organisation's":           {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Organisation = "firm" })}, nil, checker.Unrequested},
+		"another body":                     {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Body = "x" })}, nil, checker.Unrequested},
+		"two runs":                         {attempt(checker.Draft, nil), again, nil, checker.Duplicate},
 		"refused, and ran":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), once, nil, checker.Refused},
 		"a key taken away just now":        {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-4 * time.Second) }), once, nil, ""},
 		"a key taken away":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-6 * time.Second) }), once, nil, checker.Revoked},
-		"broken off by a planned stop":     {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = "", false }), once, stop, checker.Cut},
+		"broken off by a planned stop":     {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = "", false }), once, stop, checker.CutOff},
 		"its caller left before that stop": {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete, a.GaveUp = "", false, true }), once, stop, ""},
 	}
 	for name, tt := range tests {
@@ -84,7 +84,7 @@
 				return
 			}
 			is.Equal(len(broken), 1)
-			is.Equal(broken[0].Promise, tt.want)
+			is.Equal(broken[0].Guarantee, tt.want)
 		})
 	}
 }
@@ -105,11 +105,11 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			ran := run(func(r *checker.Ran) { r.Hall, r.At = tt.hall, now.Add(tt.at) })
-			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Ran{ran}, nil, evacuated)
+			ran := run(func(r *checker.Execution) { r.Hall, r.At = tt.hall, now.Add(tt.at) })
+			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Execution{ran}, nil, evacuated)
 			is := is.New(t)
 			is.Equal(len(broken), tt.want)
-			is.True(len(broken) == 0 || broken[0].Promise == checker.Closed)
+			is.True(len(broken) == 0 || broken[0].Guarantee == checker.Evacuated)
 		})
 	}
 }
--- a/soak/loadgen/loadgen.go
+++ b/soak/loadgen/loadgen.go
@@ -46,9 +46,9 @@
 	endsEvery = 400 * time.Millisecond
 )
 
-var plain = []checker.Kind{checker.Once, checker.Look}
+var plain = []checker.Kind{checker.Once, checker.Lookup}
 
-var kinds = []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Once, checker.Look, checker.Look}
+var kinds = []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Once, checker.Lookup, checker.Lookup}
 
 // Generator is safe for use by several goroutines.
 type Generator struct {
@@ -97,7 +97,7 @@
 		id := fmt.Sprint("ends-", n)
 		box := l.site.Boxes[random.IntN(len(l.site.Boxes))]
 		asking, cancel := context.WithTimeout(context.Background(), patience)
-		l.send(asking, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.Ends}, l.site.Key("council"), 0)
+		l.send(asking, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.PoisonBody}, l.site.Key("council"), 0)
 		cancel()
 		time.Sleep(endsEvery)
 	}
@@ -163,7 +163,7 @@
 // send sends an attempt and keeps what came of it; it returns when to come back.
 func (l *Generator) send(ctx context.Context, client *caller.Caller, box *site.Box, a checker.Attempt, key string, pause time.Duration) (ended checker.Attempt, back time.Duration) {
 	a.Box, a.Sent = box.Name, time.Now()
-	answer := client.Ask(ctx, box.Link.Address(), caller.Request{
+	answer := client.Send(ctx, box.Link.Address(), caller.Request{
 		ID: a.ID, Host: site.Host(), Target: a.Target, Body: a.Body, Key: key, Wait: patience, Tokens: "900,240", Pause: pause,
 	})
 	a.Status, a.Sealed, a.Answer, a.Complete = answer.Status, answer.Sealed, answer.Body, answer.Complete
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -30,8 +30,8 @@
 	// KeyAge bounds how long a key is served after it was taken away.
 	KeyAge = 5 * time.Second
 	host   = "site.example"
-	// Ends is the body of the request under which each worker ends that runs it.
-	Ends = "each worker ends that runs this"
+	// PoisonBody is the body of the request under which each worker ends that runs it.
+	PoisonBody = "each worker ends that runs this"
 )
 
 var halls = []string{"leith", "gorgie", "sighthill", "musselburgh"}
@@ -59,8 +59,8 @@
 	broken []checker.Span // when its link was
 }
 
-// Break breaks the worker's link, and notes that for as long as it takes.
-func (w *Worker) Break(do func()) {
+// WhileBroken breaks the worker's link, and notes that for as long as it takes.
+func (w *Worker) WhileBroken(do func()) {
 	from := time.Now()
 	do()
 	w.mu.Lock()
@@ -178,7 +178,7 @@
 	s.Platform.Declare(platform.Manifest{
 		Version: s.version, Keys: keys,
 		Routes: []platform.Route{
-			route(checker.Draft, "llm", 1), route(checker.Check, "llm", 2), route(checker.Once, "plain", 2), route(checker.Look, "plain", 2),
+			route(checker.Draft, "llm", 1), route(checker.Check, "llm", 2), route(checker.Once, "plain", 2), route(checker.Lookup, "plain", 2),
 		},
 	})
 }
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// EndedUnder returns when a worker last ended under a request.
-func (s *Site) EndedUnder() time.Time {
+// LastPoisonCrash returns when a worker last ended under a request.
+func (s *Site) LastPoisonCrash() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endedUnder
@@ -257,7 +257,7 @@
 
 // endsOn lets a worker crash that runs the request for which it does.
 func (s *Site) endsOn(w *Worker) {
-	w.EndsOn(Ends, func() {
+	w.CrashOn(PoisonBody, func() {
 		s.mu.Lock()
 		s.endedUnder = time.Now()
 		s.mu.Unlock()
@@ -282,7 +282,7 @@
 
 func (s *Site) say(w *Worker, leaving bool) {
 	s.Platform.Announce(platform.Worker{
-		ID: w.ID, Service: w.Service, Address: w.Link.Address(), Hall: w.Hall, Leaving: leaving, Born: w.Born(),
+		ID: w.ID, Service: w.Service, Address: w.Link.Address(), Hall: w.Hall, Leaving: leaving, StartedAt: w.StartedAt(),
 	})
 }
 
@@ -318,15 +318,15 @@
 	return nil
 }
 
-// Spoil lets another writer put entries among those of workers for a while, one of
+// CorruptRows lets another writer put entries among those of workers for a while, one of
 // them over a live worker's own.
-func (s *Site) Spoil(w *Worker, last time.Duration) {
+func (s *Site) CorruptRows(w *Worker, last time.Duration) {
 	rows := map[string]string{
 		"foreign-1": "\xff\x00", "foreign-2": `{"service":7}`, "foreign-3": `{"service":"llm","address":"nowhere","zone":"leith","slots":-1,"state":"ready"}`,
 		"foreign-4": `{"service":"llm","address":"127.0.0.1:9","zone":"leith","slots":4,"state":"resting"}`, w.ID: "{",
 	}
 	for id, value := range rows {
-		s.Platform.Spoil(id, []byte(value))
+		s.Platform.PutRow(id, []byte(value))
 	}
 	time.Sleep(last)
 	for id := range rows {
@@ -346,9 +346,9 @@
 	return s.workers[w.ID] == w
 }
 
-// Lapse lets a live worker's row go for a while, as one that is cut off from the
+// DropRow lets a live worker's row go for a while, as one that is cut off from the
 // store loses it.
-func (s *Site) Lapse(w *Worker, last time.Duration) {
+func (s *Site) DropRow(w *Worker, last time.Duration) {
 	s.Platform.Withdraw(w.ID)
 	time.Sleep(last)
 	if s.lives(w) {
@@ -411,7 +411,7 @@
 	s.mu.Lock()
 	delete(s.workers, w.ID)
 	s.mu.Unlock()
-	w.SayLeaving()
+	w.AnnounceLeaving()
 	time.Sleep(notice)
 	s.Platform.Withdraw(w.ID)
 	w.end()
@@ -439,28 +439,28 @@
 	})
 }
 
-// Ran returns all that workers ran.
-func (s *Site) Ran() []checker.Ran {
+// Executions returns all that workers ran.
+func (s *Site) Executions() []checker.Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ran []checker.Ran
+	var ran []checker.Execution
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, r := range w.Runs() {
-			ran = append(ran, checker.Ran{Worker: w.ID, Life: w.Born(), Hall: w.Hall, Run: r})
+			ran = append(ran, checker.Execution{Worker: w.ID, Incarnation: w.StartedAt(), Hall: w.Hall, Run: r})
 		}
 	}
 	return ran
 }
 
-// Arrived returns all requests that reached workers, and when the workers' links were
+// Arrivals returns all requests that reached workers, and when the workers' links were
 // broken.
-func (s *Site) Arrived() (arrived []checker.Arrived, broken map[string][]checker.Span) {
+func (s *Site) Arrivals() (arrived []checker.Arrival, broken map[string][]checker.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	broken = map[string][]checker.Span{}
 	for _, w := range slices.Concat(s.past, s.all) {
 		for _, a := range w.Arrivals() {
-			arrived = append(arrived, checker.Arrived{Worker: w.ID, Life: w.Born(), Arrival: a})
+			arrived = append(arrived, checker.Arrival{Worker: w.ID, Incarnation: w.StartedAt(), Arrival: a})
 		}
 		w.mu.Lock()
 		broken[w.ID] = append(broken[w.ID], w.broken...)
@@ -469,11 +469,11 @@
 	return arrived, broken
 }
 
-// Struck returns when each box's process was ended, stopped or held.
-func (s *Site) Struck() map[string][]checker.Span {
+// Disruptions returns when each box's process was ended, stopped or held.
+func (s *Site) Disruptions() map[string][]checker.Span {
 	struck := map[string][]checker.Span{}
 	for _, b := range s.Boxes {
-		struck[b.Name] = b.Strikes()
+		struck[b.Name] = b.Disruptions()
 	}
 	return struck
 }
