--- a/edge/admit.go
+++ b/edge/admit.go
@@ -122,7 +122,7 @@
 	defer cancel()
 	avoiding, _ := e.avoidBackedOff(ask)
 	var answer wire.AdmitAnswer
-	err = e.peers.Repeat(call, owner.Address, peer.Admit, wire.AdmitAsk{
+	err = e.peers.CallIdempotent(call, owner.Address, peer.Admit, wire.AdmitAsk{
 		Request: ask.ID, Box: ask.Box, Hall: ask.Hall, Service: ask.Service.Name, Urgency: ask.Urgency,
 		Prompt: ask.Prompt, Answer: ask.Answer, AimMs: int(ask.Aim.Milliseconds()), GapMs: int(ask.Gap.Milliseconds()), WaitedMs: int(time.Since(ask.Arrived).Milliseconds()),
 		DeadlineMs: int(ask.Deadline.Milliseconds()), PatienceMs: int(ask.Patience.Milliseconds()), Mark: strconv.FormatUint(ask.Key, 36), Organisation: ask.Organisation, Avoid: avoiding.Avoid, Regions: ask.Regions, WaitMs: int(admitWait.Milliseconds()),
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -30,9 +30,9 @@
 	fleetCallBytes = 1000
 )
 
-// Heard implements edgerpc.Box. It answers as a hub, since the caller takes this box
+// HandleGossip implements edgerpc.Box. It answers as a hub, since the caller takes this box
 // for one.
-func (e *Edge) Heard(from wire.Gossip) wire.GossipAnswer {
+func (e *Edge) HandleGossip(from wire.Gossip) wire.GossipAnswer {
 	e.timer.Check()
 	now := time.Now()
 	e.recordBox(now, from.Sender, from.Leaving)
--- a/edge/cluster_test.go
+++ b/edge/cluster_test.go
@@ -267,8 +267,8 @@
 	box string
 }
 
-// Repeat implements gossip.Peers.
-func (w clusterClient) Repeat(ctx context.Context, address, method string, args, reply any) error {
+// CallIdempotent implements gossip.Peers.
+func (w clusterClient) CallIdempotent(ctx context.Context, address, method string, args, reply any) error {
 	w.mu.Lock()
 	e, up := w.byAddress[address]
 	own := w.cpu[w.box]
@@ -279,7 +279,7 @@
 		return &peer.Error{Address: address, Method: method, Err: ctx.Err()}
 	}
 	if !up {
-		return &peer.Error{Address: address, Method: method, Refused: true, Err: io.EOF}
+		return &peer.Error{Address: address, Method: method, Unreachable: true, Err: io.EOF}
 	}
 	if err := cmp.Or(sleep(ctx, w.latency(w.box+" "+address)), w.cpuOf(e).work(ctx, callCost)); err != nil {
 		return &peer.Error{Address: address, Method: method, Err: err}
@@ -287,7 +287,7 @@
 	rows := 0
 	switch method {
 	case peer.Gossip:
-		answer := e.Heard(args.(wire.Gossip))
+		answer := e.HandleGossip(args.(wire.Gossip))
 		*reply.(*wire.GossipAnswer) = answer
 		rows = len(answer.Tallies) + len(answer.Upstreams)
 		if err := own.work(ctx, time.Duration(len(answer.Fleet)/packedRowBytes)*rowCost); err != nil {
@@ -339,7 +339,7 @@
 
 // Call implements calls.
 func (w clusterClient) Call(ctx context.Context, address, method string, args, reply any) error {
-	return w.Repeat(ctx, address, method, args, reply)
+	return w.CallIdempotent(ctx, address, method, args, reply)
 }
 
 // Forget implements calls.
@@ -628,7 +628,7 @@
 		is.NoErr(err)
 		hub.routes.Confirm(time.Now())
 		time.Sleep(900 * time.Millisecond)
-		e.HandleAnswer(hub.Heard(e.ReportFor(hub.members.Self())), time.Now())
+		e.HandleAnswer(hub.HandleGossip(e.ReportFor(hub.members.Self())), time.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(e.View().Version, 3)
 		is.True(e.View().ConfigurationAgeMs >= 1000 && e.View().ConfigurationAgeMs < 1010)
@@ -754,7 +754,7 @@
 		request := e.ReportFor(hub.members.Self())
 		size := encodedSize(b, request)
 		requested := time.Now()
-		answer := hub.Heard(request)
+		answer := hub.HandleGossip(request)
 		size += encodedSize(b, answer)
 		answered := time.Now()
 		e.HandleAnswer(answer, began)
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -101,7 +101,7 @@
 // calls is the RPC client for the other boxes.
 type calls interface {
 	Call(ctx context.Context, address, method string, args, reply any) error
-	Repeat(ctx context.Context, address, method string, args, reply any) error
+	CallIdempotent(ctx context.Context, address, method string, args, reply any) error
 	Forget(address string)
 	Close()
 }
--- a/edge/fleet_test.go
+++ b/edge/fleet_test.go
@@ -44,14 +44,14 @@
 					e.HandleAnswer(wire.GossipAnswer{Sender: boxRecord("far", "gorgie", true), FleetAt: 1, Upstreams: upstreamRecords("open", 1)}, time.Now())
 				}
 				for range tt.before {
-					e.Heard(wire.Gossip{Sender: boxRecord("other", "leith", false), WholeFleet: true})
+					e.HandleGossip(wire.Gossip{Sender: boxRecord("other", "leith", false), WholeFleet: true})
 				}
 				time.Sleep(tt.pause)
 				tt.from.Sender = boxRecord("b1", "leith", false)
 				if tt.from.FleetOf == 1 {
-					tt.from.FleetOf = e.Heard(wire.Gossip{}).Sender.Incarnation
+					tt.from.FleetOf = e.HandleGossip(wire.Gossip{}).Sender.Incarnation
 				}
-				a := e.Heard(tt.from)
+				a := e.HandleGossip(tt.from)
 				is.Equal(answer{len(a.Upstreams), a.FleetLater, a.FleetFromNow}, tt.want)
 			})
 		})
@@ -68,8 +68,8 @@
 	wants := func(hub wire.BoxRecord) bool {
 		return e.ReportFor(members.Box{Name: hub.Box, Hall: hub.Hall}).WholeFleet
 	}
-	e.Heard(wire.Gossip{Sender: near})
-	e.Heard(wire.Gossip{Sender: far})
+	e.HandleGossip(wire.Gossip{Sender: near})
+	e.HandleGossip(wire.Gossip{Sender: far})
 	is.True(wants(near))
 	is.True(!wants(far)) // the primary hub may still answer
 	e.HandleAnswer(wire.GossipAnswer{Sender: far, FleetAt: 5, FleetFromNow: true}, time.Now())
--- a/edge/gossip_test.go
+++ b/edge/gossip_test.go
@@ -70,16 +70,16 @@
 				is := is.New(t)
 				e := newBox(t, "hub", "leith", !tt.weak)
 				if tt.weak {
-					e.Heard(wire.Gossip{Sender: boxRecord("strong", "leith", true)})
-					e.Heard(wire.Gossip{Sender: boxRecord("strong too", "leith", true)})
+					e.HandleGossip(wire.Gossip{Sender: boxRecord("strong", "leith", true)})
+					e.HandleGossip(wire.Gossip{Sender: boxRecord("strong too", "leith", true)})
 				}
 				for i := range tt.silent {
 					e.HandleAnswer(wire.GossipAnswer{Sender: boxRecord(fmt.Sprint("s", i), "leith", false)}, time.Now())
 				}
-				e.Heard(wire.Gossip{Sender: boxRecord("b1", "leith", false), Tallies: []wire.UpstreamTally{{Upstream: "u1", Requests: 2, Tokens: 500}}})
+				e.HandleGossip(wire.Gossip{Sender: boxRecord("b1", "leith", false), Tallies: []wire.UpstreamTally{{Upstream: "u1", Requests: 2, Tokens: 500}}})
 				e.IsHub() // a running box checks this continually
 				time.Sleep(tt.after)
-				a := e.Heard(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: tt.wants, Tallies: []wire.UpstreamTally{{Upstream: "u1", Requests: 9}}})
+				a := e.HandleGossip(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: tt.wants, Tallies: []wire.UpstreamTally{{Upstream: "u1", Requests: 9}}})
 				is.Equal(a.Tells, tt.want)
 				wantTallies := map[wire.GossipScope][]wire.UpstreamTally{own: {}, all: {{Upstream: "u1", Requests: 2, Tokens: 500}}}
 				is.Equal(a.Tallies, wantTallies[tt.want])
@@ -112,7 +112,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				e := newBox(t, "b1", tt.hall, tt.strong)
 				for _, b := range tt.hubs {
-					e.Heard(wire.Gossip{Sender: b})
+					e.HandleGossip(wire.Gossip{Sender: b})
 				}
 				e.HandleAnswer(wire.GossipAnswer{Sender: tt.hubs[0], Tells: wire.GossipScopeAll}, time.Now())
 				time.Sleep(tt.sumsAge)
@@ -164,14 +164,14 @@
 func TestStoreSilence(t *testing.T) {
 	is := is.New(t)
 	e := newBox(t, "b1", "leith", false)
-	is.Equal(e.Heard(wire.Gossip{}).StoreSilentMs, int(time.Hour.Milliseconds())) // no answer known
+	is.Equal(e.HandleGossip(wire.Gossip{}).StoreSilentMs, int(time.Hour.Milliseconds())) // no answer known
 	report := func(hub string, ms int, ago time.Duration) {
 		e.HandleAnswer(wire.GossipAnswer{Sender: boxRecord(hub, "leith", true), StoreSilentMs: ms}, time.Now().Add(-ago))
 	}
 	report("lost", 900000, 0)
 	report("near", 100000, 0)
 	report("far", 60000, time.Minute)
-	silent := e.Heard(wire.Gossip{}).StoreSilentMs
+	silent := e.HandleGossip(wire.Gossip{}).StoreSilentMs
 	is.True(silent > 99000 && silent < 119000) // the near hub's report, not the far hub's of 120 s
 }
 
@@ -187,12 +187,12 @@
 					say[i] = wire.Gossip{Sender: boxRecord(fmt.Sprint("b", i), fmt.Sprint("hall", i%6), false), Wants: wants, Tallies: []wire.UpstreamTally{
 						{Upstream: fmt.Sprint("u", i%65), Requests: 1, Tokens: 3000}, {Upstream: fmt.Sprint("u", i*7%65), Requests: 1, Tokens: 3000},
 					}}
-					e.Heard(say[i])
+					e.HandleGossip(say[i])
 				}
 				i := 0
 				b.ReportAllocs()
 				for b.Loop() {
-					e.Heard(say[i%boxes])
+					e.HandleGossip(say[i%boxes])
 					i++
 				}
 			})
@@ -218,8 +218,8 @@
 				is := is.New(t)
 				e := newBox(t, "b1", "leith", false)
 				near, far := boxRecord("near", "leith", true), boxRecord("far", "gorgie", true)
-				e.Heard(wire.Gossip{Sender: near})
-				e.Heard(wire.Gossip{Sender: far})
+				e.HandleGossip(wire.Gossip{Sender: near})
+				e.HandleGossip(wire.Gossip{Sender: far})
 				answers := func(a wire.GossipAnswer) { e.HandleAnswer(a, time.Now()) }
 				answers(wire.GossipAnswer{Sender: near, FleetAt: 1, FleetAgeMs: 800, Upstreams: upstreamRecords("open", 1)[:1]})
 				answers(wire.GossipAnswer{Sender: far, FleetAt: 9, FleetFromNow: true})
@@ -265,8 +265,8 @@
 				e := newBox(t, "hub", "leith", true, features...)
 				e.IsHub() // a running box checks this continually
 				time.Sleep(1300 * time.Millisecond)
-				e.Heard(wire.Gossip{Sender: boxRecord("b1", "leith", false), Uses: []wire.OrganisationUse{use}})
-				is.Equal(e.Heard(wire.Gossip{Sender: boxRecord(tt.caller, "leith", false), Wants: tt.wants}).Uses, tt.want)
+				e.HandleGossip(wire.Gossip{Sender: boxRecord("b1", "leith", false), Uses: []wire.OrganisationUse{use}})
+				is.Equal(e.HandleGossip(wire.Gossip{Sender: boxRecord(tt.caller, "leith", false), Wants: tt.wants}).Uses, tt.want)
 			})
 		})
 	}
@@ -290,7 +290,7 @@
 				is.True(e.IsHub())
 				time.Sleep(1250 * time.Millisecond) // its sums count as complete from then on
 				e.HandleAnswer(wire.GossipAnswer{Sender: boxRecord("hub", "leith", true), Crowd: []wire.HallBoxes{{Hall: "leith", Boxes: 250}}}, time.Now())
-				a := e.Heard(wire.Gossip{Sender: boxRecord("hub", "leith", true), Wants: tt.wants})
+				a := e.HandleGossip(wire.Gossip{Sender: boxRecord("hub", "leith", true), Wants: tt.wants})
 				is.Equal(a.Crowd, []wire.HallBoxes{{Hall: "leith", Boxes: tt.boxes}})
 			})
 		})
--- a/edge/incarnations_test.go
+++ b/edge/incarnations_test.go
@@ -37,12 +37,12 @@
 				e.HandleAnswer(wire.GossipAnswer{Sender: boxRecord("far", "gorgie", true), FleetAt: 1, Upstreams: list}, time.Now())
 				e.IsHub() // a running box checks this continually
 				time.Sleep(2 * time.Second)
-				e.Heard(wire.Gossip{
+				e.HandleGossip(wire.Gossip{
 					Sender:   boxRecord("b1", "leith", false),
 					Tallies:  []wire.UpstreamTally{{Upstream: "u1", Requests: 2, Born: tt.born}},
 					Failures: []wire.UpstreamFailures{{Upstream: "u1", Failed: 300, All: 300, Born: tt.born}},
 				})
-				a := e.Heard(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: wire.GossipScopeAll, WholeFleet: true})
+				a := e.HandleGossip(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: wire.GossipScopeAll, WholeFleet: true})
 				var got counts
 				for _, l := range a.Tallies {
 					got.requests += l.Requests
@@ -70,14 +70,14 @@
 		e.HandleAnswer(wire.GossipAnswer{Sender: far, FleetAt: 1, Upstreams: list}, time.Now())
 		e.IsHub() // a running box checks this continually
 		time.Sleep(2 * time.Second)
-		e.Heard(wire.Gossip{
+		e.HandleGossip(wire.Gossip{
 			Sender:   boxRecord("b1", "leith", false),
 			Tallies:  []wire.UpstreamTally{{Upstream: "u1", Requests: 2, Born: 100}, {Upstream: "u2", Requests: 1}},
 			Failures: []wire.UpstreamFailures{{Upstream: "u1", Failed: 300, All: 300, Born: 100}},
 		})
 		list[0].Born, list[0].State = 200, "open"
 		e.HandleAnswer(wire.GossipAnswer{Sender: far, FleetAt: 2, Upstreams: list}, time.Now())
-		a := e.Heard(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: wire.GossipScopeAll})
+		a := e.HandleGossip(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: wire.GossipScopeAll})
 		is.Equal(a.Tallies, []wire.UpstreamTally{{Upstream: "u2", Requests: 1}})
 		is.Equal(len(a.Failures), 0)
 	})
@@ -115,7 +115,7 @@
 
 // startTimeOf returns the start time that a box reports for an upstream.
 func (b *box) startTimeOf(id string) int {
-	for _, u := range b.Heard(wire.Gossip{Sender: boxRecord("asker", "leith", false), WholeFleet: true}).Upstreams {
+	for _, u := range b.HandleGossip(wire.Gossip{Sender: boxRecord("asker", "leith", false), WholeFleet: true}).Upstreams {
 		if u.ID == id {
 			return u.Born
 		}
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -230,7 +230,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, allowTimeout)
 	defer cancel()
-	err := l.peers.Repeat(call, owner.Address, peer.Allow, ask, &answer)
+	err := l.peers.CallIdempotent(call, owner.Address, peer.Allow, ask, &answer)
 	switch {
 	case err == nil && answer.Elsewhere:
 		l.log.WithFields(logrus.Fields{"keeper": owner.Name, "upstream": ask.Limit.Upstream}).Info("limit_kept_elsewhere")
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -299,10 +299,10 @@
 				for _, e := range boxes {
 					g := e.ReportFor(hub.members.Self())
 					g.Counts = true
-					hub.Heard(g)
+					hub.HandleGossip(g)
 				}
 				time.Sleep(tt.silent)
-				owner.Heard(hub.ReportFor(owner.members.Self()))
+				owner.HandleGossip(hub.ReportFor(owner.members.Self()))
 				time.Sleep(tt.partitioned)
 				now := time.Now()
 				is.New(t).Equal(owner.loads.RecentBoxes(now, reachMaxAge)+owner.loads.RecentIndirect(now, reachHopMaxAge), tt.reachable)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -321,7 +321,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), configurationTimeout)
 		defer cancel()
 		var answer wire.Configuration
-		err := e.peers.Repeat(ctx, hub.Address, peer.Configuration, wire.Nothing{}, &answer)
+		err := e.peers.CallIdempotent(ctx, hub.Address, peer.Configuration, wire.Nothing{}, &answer)
 		if err == nil && answer.Version > 0 {
 			err = e.configuration.ApplyEncoded([]byte(answer.Encoded), hub.Box)
 		}
--- a/edge/places_test.go
+++ b/edge/places_test.go
@@ -38,8 +38,8 @@
 					Box: "hub", Hall: "leith", Listen: wire.Listen{Peers: "hub:1"},
 					Edge: &wire.Edge{KeyAgeMs: 5000, LeaveMs: 2000, RetryRatio: 0.2, RetrySlack: 50, MemoryMb: 512, Descriptors: 8192, Processors: 1, LinkMbit: 1000, Balance: tt.balance},
 				}}, logs.New(io.Discard, "info", "hub"), counts)
-				hub.Heard(wire.Gossip{Sender: boxRecord("b1", "leith", false), Places: demand})
-				a := hub.Heard(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: tt.wants})
+				hub.HandleGossip(wire.Gossip{Sender: boxRecord("b1", "leith", false), Places: demand})
+				a := hub.HandleGossip(wire.Gossip{Sender: boxRecord("b2", "leith", false), Wants: tt.wants})
 				is.Equal(a.Places, tt.want)
 			})
 		})
--- a/edge/speeds_test.go
+++ b/edge/speeds_test.go
@@ -56,10 +56,10 @@
 				is.Equal(box.ReportFor(to).WantsSpeeds, false) // sent just now
 				time.Sleep(speedsInterval)
 				is.Equal(box.ReportFor(to).WantsSpeeds, tt.box)
-				hub.Heard(report)
+				hub.HandleGossip(report)
 				request := caller.ReportFor(to)
 				request.Wants = wire.GossipScopeAll
-				caller.HandleAnswer(hub.Heard(request), time.Now())
+				caller.HandleAnswer(hub.HandleGossip(request), time.Now())
 				known := caller.speeds.Of(time.Now(), engine).Alone() > 0
 				is.Equal(known, tt.hub && tt.box && tt.caller)
 			})
--- a/edge/turns.go
+++ b/edge/turns.go
@@ -71,7 +71,7 @@
 func (e *Edge) callTurn(ctx context.Context, owner members.Box, call wire.TurnAsk) (answer wire.TurnAnswer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, turnWait+turnRoundTrip)
 	defer cancel()
-	err = e.peers.Repeat(ctx, owner.Address, peer.Turn, call, &answer)
+	err = e.peers.CallIdempotent(ctx, owner.Address, peer.Turn, call, &answer)
 	return answer, err
 }
 
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), turnBackTimeout)
 	defer cancel()
 	var answer wire.Nothing
-	if err := e.peers.Repeat(ctx, owner.Address, peer.TurnBack, ask, &answer); err != nil {
+	if err := e.peers.CallIdempotent(ctx, owner.Address, peer.TurnBack, ask, &answer); err != nil {
 		e.log.WithError(err).WithField("keeper", owner.Name).Warn("turn_not_given_back")
 	}
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -55,8 +55,8 @@
 
 // Peers calls other boxes.
 type Peers interface {
-	// Repeat calls a method, and may call it a second time.
-	Repeat(ctx context.Context, address, method string, args, reply any) error
+	// CallIdempotent calls a method, and may call it a second time.
+	CallIdempotent(ctx context.Context, address, method string, args, reply any) error
 	Forget(address string)
 }
 
@@ -105,7 +105,7 @@
 		defer cancel()
 		var answer wire.GossipAnswer
 		sent := time.Now()
-		err := g.peers.Repeat(call, b.Address, peer.Gossip, g.handler.ReportFor(b), &answer)
+		err := g.peers.CallIdempotent(call, b.Address, peer.Gossip, g.handler.ReportFor(b), &answer)
 		if err == nil && answer.Sender.Box != b.Name {
 			err = &WrongBoxError{Address: b.Address, Expected: b.Name, Actual: answer.Sender.Box}
 		}
@@ -122,7 +122,7 @@
 		}
 		unanswered++
 		var wrongBox *WrongBoxError
-		if peer.Refused(err) || errors.As(err, &wrongBox) || unanswered >= maxUnanswered {
+		if peer.Unreachable(err) || errors.As(err, &wrongBox) || unanswered >= maxUnanswered {
 			g.peers.Forget(b.Address)
 			g.members.MarkFailed(time.Now(), b.Name)
 			g.markLost(b, err)
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -29,7 +29,7 @@
 	random *rand.Rand // selects the lost calls of lossy boxes
 }
 
-func (n *network) Repeat(ctx context.Context, address, method string, _, reply any) error {
+func (n *network) CallIdempotent(ctx context.Context, address, method string, _, reply any) error {
 	n.mu.Lock()
 	n.calls[address] = append(n.calls[address], time.Now())
 	fault := n.faults[address]
@@ -39,7 +39,7 @@
 	n.mu.Unlock()
 	switch fault {
 	case "refused":
-		return &peer.Error{Address: address, Method: method, Refused: true, Err: io.EOF}
+		return &peer.Error{Address: address, Method: method, Unreachable: true, Err: io.EOF}
 	case "silent":
 		<-ctx.Done()
 		return &peer.Error{Address: address, Method: method, Err: ctx.Err()}
--- a/grantclient/grantclient.go
+++ b/grantclient/grantclient.go
@@ -165,7 +165,7 @@
 	defer cancel()
 	var done wire.Nothing
 	err := c.peers.Call(ctx, home.Address, peer.Settle, s, &done)
-	if peer.Refused(err) {
+	if peer.Unreachable(err) {
 		c.members.MarkFailed(time.Now(), home.Name)
 	}
 	return err == nil
--- a/heartbeat/heartbeat.go
+++ b/heartbeat/heartbeat.go
@@ -99,7 +99,7 @@
 				h.log.WithError(err).WithField("peer", b.Name).Warn("peer_silent")
 			}
 			lost = true
-			if peer.Refused(err) {
+			if peer.Unreachable(err) {
 				h.members.MarkFailed(time.Now(), b.Name)
 			}
 			return
--- a/peer/edgerpc/edgerpc.go
+++ b/peer/edgerpc/edgerpc.go
@@ -14,8 +14,8 @@
 
 // Box is the rest of a box, as its peers may call on it.
 type Box interface {
-	// Heard takes a peer's gossip and answers with what the box knows.
-	Heard(from wire.Gossip) wire.GossipAnswer
+	// HandleGossip takes a peer's gossip and answers with what the box knows.
+	HandleGossip(from wire.Gossip) wire.GossipAnswer
 	// Configuration returns the configuration in force.
 	Configuration() wire.Configuration
 	// AdmitFor waits until ctx ends for room for a peer's request.
@@ -38,7 +38,7 @@
 
 // Gossip takes a peer's word and answers with what the box knows.
 func (e *Endpoint) Gossip(from wire.Gossip, answer *wire.GossipAnswer) error {
-	*answer = e.box.Heard(from)
+	*answer = e.box.HandleGossip(from)
 	return nil
 }
 
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -32,11 +32,11 @@
 
 // Error says that a peer gave no answer.
 type Error struct {
-	Address string
-	Method  string
-	Refused bool // the connection could not be made, or broke
-	Broke   bool // it was open, and broke
-	Err     error
+	Address        string
+	Method         string
+	Unreachable    bool // the connection could not be made, or broke
+	ConnectionLost bool // it was open, and broke
+	Err            error
 }
 
 // Error implements error.
@@ -45,10 +45,10 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Refused tells whether an error means that the peer cannot be reached now.
-func Refused(err error) bool {
+// Unreachable tells whether an error means that the peer cannot be reached now.
+func Unreachable(err error) bool {
 	var e *Error
-	return errors.As(err, &e) && e.Refused
+	return errors.As(err, &e) && e.Unreachable
 }
 
 // Peers is safe for use by several goroutines.
@@ -69,7 +69,7 @@
 func (p *Peers) Call(ctx context.Context, address, method string, args, reply any) error {
 	client, err := p.client(ctx, address)
 	if err != nil {
-		return &Error{Address: address, Method: method, Refused: true, Err: err}
+		return &Error{Address: address, Method: method, Unreachable: true, Err: err}
 	}
 	call := client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
@@ -85,15 +85,15 @@
 		return &Error{Address: address, Method: method, Err: call.Error}
 	}
 	p.drop(address, client)
-	return &Error{Address: address, Method: method, Refused: true, Broke: true, Err: call.Error}
+	return &Error{Address: address, Method: method, Unreachable: true, ConnectionLost: true, Err: call.Error}
 }
 
-// Repeat is Call for a method that may run twice: where an open connection broke,
+// CallIdempotent is Call for a method that may run twice: where an open connection broke,
 // it calls once more by a new one. A reset says nothing of the box behind it.
-func (p *Peers) Repeat(ctx context.Context, address, method string, args, reply any) error {
+func (p *Peers) CallIdempotent(ctx context.Context, address, method string, args, reply any) error {
 	err := p.Call(ctx, address, method, args, reply)
 	var e *Error
-	if errors.As(err, &e) && e.Broke && ctx.Err() == nil {
+	if errors.As(err, &e) && e.ConnectionLost && ctx.Err() == nil {
 		return p.Call(ctx, address, method, args, reply)
 	}
 	return err
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -74,13 +74,13 @@
 	p := peer.New(nil)
 	defer p.Close()
 	err := p.Call(context.Background(), "127.0.0.1:1", peer.Tell, wire.ChangeSet{}, &wire.Nothing{})
-	is.True(peer.Refused(err))
+	is.True(peer.Unreachable(err))
 	_, address := serve(t)
 	short, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
 	err = p.Call(short, address, peer.Ask, wire.Ask{Attempt: "a", WaitMs: 2000}, &wire.Grant{})
 	is.True(err != nil)
-	is.True(!peer.Refused(err)) // late, but the connection stands
+	is.True(!peer.Unreachable(err)) // late, but the connection stands
 }
 
 // count counts bytes.
@@ -229,7 +229,7 @@
 		call     func(p *peer.Peers) func(ctx context.Context, address, method string, args, reply any) error
 		answered bool
 	}{
-		"may run twice": {func(p *peer.Peers) func(context.Context, string, string, any, any) error { return p.Repeat }, true},
+		"may run twice": {func(p *peer.Peers) func(context.Context, string, string, any, any) error { return p.CallIdempotent }, true},
 		"may not":       {func(p *peer.Peers) func(context.Context, string, string, any, any) error { return p.Call }, false},
 	}
 	for name, tt := range tests {
@@ -249,7 +249,7 @@
 			err = call(t.Context(), link.Address(), peer.Heartbeat, wire.Heartbeat{Revision: 4}, &answer)
 			is.Equal(err == nil, tt.answered)
 			is.Equal(answer.Revision == 4, tt.answered)
-			is.Equal(peer.Refused(err), !tt.answered)
+			is.Equal(peer.Unreachable(err), !tt.answered)
 		})
 	}
 }
