--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -1,6 +1,5 @@
-// Package forecast tells how much of an engine's memory its generations will
-// need over the next tokens, with the deviation that comes of not knowing
-// how long they get.
+// Package forecast predicts the memory that an engine's generations need over the
+// next tokens, with the variance due to their unknown lengths.
 package forecast
 
 import (
@@ -9,22 +8,22 @@
 	"petrelstep/outputlen/survival"
 )
 
-// Points is how many points ahead the forecast looks at.
+// Points is the number of points of a forecast.
 const Points = 8
 
-// ahead are the points, in tokens from now. All generations of an engine grow
-// by one token a step, so that tokens are its clock.
+// ahead are the points of a forecast, in tokens from now. All generations of an
+// engine grow by one token per step, so tokens measure time.
 var ahead = [Points]int{0, 64, 192, 448, 1024, 2048, 4096, 8192}
 
 // Need is one generation's demand for memory.
 type Need struct {
 	Prompt    int // tokens
 	Tokens    int // generated so far
-	MaxTokens int // limit on its tokens
+	MaxTokens int // maximum to generate
 	Curve     *survival.Curve
 }
 
-// At returns mean and variance of the memory held so many tokens from now.
+// at returns mean and variance of the memory in use t tokens from now.
 func (n Need) at(t int) (mean, variance float64) {
 	if n.Tokens+t > n.MaxTokens {
 		return 0, 0
@@ -34,7 +33,7 @@
 	return held * p, held * held * p * (1 - p)
 }
 
-// Demand works out mean and variance at every point.
+// Demand returns mean and variance at every point.
 func (n Need) Demand() Demand {
 	var d Demand
 	for i, t := range ahead {
@@ -56,9 +55,9 @@
 	return d
 }
 
-// Peak returns the highest demand at any point, in tokens, with so many
-// standard deviations on top of the mean. extra is the variance of what else
-// takes memory, which does not depend on the generations.
+// Peak returns the highest demand at any point, in tokens: the mean plus the
+// given number of standard deviations. extra is the variance of memory use that
+// does not depend on the generations.
 func (d Demand) Peak(deviations, extra float64) float64 {
 	peak := 0.0
 	for i := range d.mean {
@@ -67,7 +66,7 @@
 	return peak
 }
 
-// Mean returns the demand expected now, in tokens.
+// Mean returns the mean demand now, in tokens.
 func (d Demand) Mean() float64 { return d.mean[0] }
 
 // New returns the demand of many generations together.
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -14,24 +14,24 @@
 	return forecast.Need{Prompt: prompt, Tokens: tokens, MaxTokens: 32768, Curve: survival.Known(length)}
 }
 
-// TestPeak holds forecasts of known lengths against sums by hand.
+// TestPeak checks forecasts of known lengths.
 func TestPeak(t *testing.T) {
 	tests := map[string]struct {
 		needs []forecast.Need
 		peak  float64
 	}{
-		"nothing":            {nil, 0},
-		"one, ends soon":     {[]forecast.Need{need(100, 0, 10)}, 100},
-		"one, grows":         {[]forecast.Need{need(100, 0, 200)}, 100 + 192},
-		"two, one after":     {[]forecast.Need{need(100, 0, 100), need(100, 0, 2000)}, 100 + 1024},
-		"two grow together":  {[]forecast.Need{need(100, 0, 500), need(100, 0, 500)}, 2 * (100 + 448)},
-		"bounded by its own": {[]forecast.Need{{Prompt: 100, MaxTokens: 60, Curve: survival.Known(5000)}}, 100},
+		"nothing":               {nil, 0},
+		"one, ends soon":        {[]forecast.Need{need(100, 0, 10)}, 100},
+		"one, grows":            {[]forecast.Need{need(100, 0, 200)}, 100 + 192},
+		"two, one ends":         {[]forecast.Need{need(100, 0, 100), need(100, 0, 2000)}, 100 + 1024},
+		"two grow together":     {[]forecast.Need{need(100, 0, 500), need(100, 0, 500)}, 2 * (100 + 448)},
+		"bounded by max tokens": {[]forecast.Need{{Prompt: 100, MaxTokens: 60, Curve: survival.Known(5000)}}, 100},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			is.Equal(forecast.New(tt.needs).Peak(2, 0), tt.peak)
-			is.True(forecast.New(tt.needs).Peak(2, 100) >= tt.peak) // with what others take
+			is.True(forecast.New(tt.needs).Peak(2, 100) >= tt.peak) // with extra variance
 		})
 	}
 }
--- a/peer/edgerpc/edgerpc.go
+++ b/peer/edgerpc/edgerpc.go
@@ -1,5 +1,5 @@
-// Package edgerpc is what a box before the users' platform answers to its
-// peers, by net/rpc.
+// Package edgerpc serves the calls between the boxes in front of the users'
+// platform, by net/rpc.
 package edgerpc
 
 import (
@@ -12,19 +12,19 @@
 	"petrelstep/wire"
 )
 
-// Box is the rest of a box, as its peers may call on it.
+// Box handles the calls of a box's peers.
 type Box interface {
-	// HandleGossip takes a peer's gossip and answers with what the box knows.
+	// HandleGossip applies a peer's gossip and answers with this box's.
 	HandleGossip(from wire.Gossip) wire.GossipAnswer
 	// Configuration returns the configuration in force.
 	Configuration() wire.Configuration
-	// AdmitFor waits until ctx ends for room for a peer's request.
+	// AdmitFor waits until ctx ends for capacity for a peer's request.
 	AdmitFor(ctx context.Context, ask wire.AdmitAsk) wire.AdmitAnswer
-	// AllowFor gives a peer's request its time at a limited upstream.
+	// AllowFor assigns a peer's request its slot at a rate-limited upstream.
 	AllowFor(ask wire.AllowAsk) wire.AllowAnswer
 }
 
-// Endpoint holds the methods; its name on the wire is Peer.
+// Endpoint holds the RPC methods; its name on the wire is Peer.
 type Endpoint struct {
 	ctx   context.Context
 	box   Box
@@ -36,19 +36,19 @@
 	return &Endpoint{ctx: ctx, box: box, turns: t}
 }
 
-// Gossip takes a peer's word and answers with what the box knows.
+// Gossip applies a peer's gossip and answers with this box's.
 func (e *Endpoint) Gossip(from wire.Gossip, answer *wire.GossipAnswer) error {
 	*answer = e.box.HandleGossip(from)
 	return nil
 }
 
-// Configuration answers with the configuration in force.
+// Configuration returns the configuration in force.
 func (e *Endpoint) Configuration(_ wire.Nothing, answer *wire.Configuration) error {
 	*answer = e.box.Configuration()
 	return nil
 }
 
-// Admit waits for an engine with room for a request.
+// Admit waits for an upstream with capacity for a request.
 func (e *Endpoint) Admit(ask wire.AdmitAsk, answer *wire.AdmitAnswer) error {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Duration(ask.WaitMs)*time.Millisecond)
 	defer cancel()
@@ -56,13 +56,13 @@
 	return nil
 }
 
-// Allow gives a request its time at a limited upstream.
+// Allow assigns a request its slot at a rate-limited upstream.
 func (e *Endpoint) Allow(ask wire.AllowAsk, answer *wire.AllowAnswer) error {
 	*answer = e.box.AllowFor(ask)
 	return nil
 }
 
-// Turn waits for the turn to move a run off an upstream.
+// Turn waits for a turn, the permission to move a run off an upstream.
 func (e *Endpoint) Turn(ask wire.TurnAsk, answer *wire.TurnAnswer) error {
 	ctx, cancel := context.WithTimeout(e.ctx, time.Duration(ask.WaitMs)*time.Millisecond)
 	defer cancel()
@@ -70,12 +70,12 @@
 	return nil
 }
 
-// TurnBack takes a turn back.
+// TurnBack releases a turn.
 func (e *Endpoint) TurnBack(ask wire.TurnAsk, answer *wire.Nothing) error {
 	e.turns.Release(ask.Upstream, ask.Box)
 	answer.Ok = true
 	return nil
 }
 
-// Serve answers peers until the endpoint's context ends.
+// Serve serves peers until the endpoint's context ends.
 func (e *Endpoint) Serve(listener net.Listener) error { return serve.Serve(e.ctx, e, listener) }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Methods of the endpoint of each box.
+// RPC methods of a box.
 const (
 	Heartbeat     = "Peer.Heartbeat"
 	Changes       = "Peer.Changes"
@@ -28,14 +28,14 @@
 	Allow         = "Peer.Allow"
 )
 
-const dialTime = 500 * time.Millisecond
+const dialTimeout = 500 * time.Millisecond
 
-// Error says that a peer gave no answer.
+// Error reports that a call to a peer failed.
 type Error struct {
 	Address        string
 	Method         string
-	Unreachable    bool // the connection could not be made, or broke
-	ConnectionLost bool // it was open, and broke
+	Unreachable    bool // the connection could not be opened, or was lost
+	ConnectionLost bool // an open connection was lost
 	Err            error
 }
 
@@ -45,13 +45,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Unreachable tells whether an error means that the peer cannot be reached now.
+// Unreachable reports whether an error means that the peer could not be reached.
 func Unreachable(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Unreachable
 }
 
-// Peers is safe for use by several goroutines.
+// Peers holds the connections to other boxes. It is safe for concurrent use.
 type Peers struct {
 	mu      sync.Mutex
 	tls     *tls.Config
@@ -88,8 +88,8 @@
 	return &Error{Address: address, Method: method, Unreachable: true, ConnectionLost: true, Err: call.Error}
 }
 
-// CallIdempotent is Call for a method that may run twice: where an open connection broke,
-// it calls once more by a new one. A reset says nothing of the box behind it.
+// CallIdempotent is Call for a method that may run twice: if an open connection is
+// lost, it calls again on a new one. A reset does not mean that the box is down.
 func (p *Peers) CallIdempotent(ctx context.Context, address, method string, args, reply any) error {
 	err := p.Call(ctx, address, method, args, reply)
 	var e *Error
@@ -99,8 +99,8 @@
 	return err
 }
 
-// Forget drops the connection to an address: one that a partition holds up
-// would stay silent for long after it.
+// Forget closes the connection to an address: after a network partition an old
+// connection may stay stalled for long.
 func (p *Peers) Forget(address string) {
 	p.mu.Lock()
 	client, ok := p.clients[address]
@@ -110,7 +110,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections; later calls fail.
 func (p *Peers) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,12 +134,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if first, ok := p.clients[address]; ok || p.closed {
+	if existing, ok := p.clients[address]; ok || p.closed {
 		_ = conn.Close()
 		if p.closed {
 			return nil, net.ErrClosed
 		}
-		return first, nil
+		return existing, nil
 	}
 	client = rpc.NewClient(conn)
 	p.clients[address] = client
@@ -147,7 +147,7 @@
 }
 
 func (p *Peers) dial(ctx context.Context, address string) (net.Conn, error) {
-	dialer := &net.Dialer{Timeout: dialTime}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	if p.tls == nil {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -23,14 +23,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// box answers what peers call.
-type box struct{ told []int }
+// box records the revisions that it receives.
+type box struct{ received []int }
 
 func (b *box) Heartbeat(from wire.Heartbeat) wire.HeartbeatAnswer {
 	return wire.HeartbeatAnswer{Incarnation: 1, Revision: from.Revision}
 }
 func (b *box) Changes(since int) wire.ChangeSet { return wire.ChangeSet{Revision: since + 1} }
-func (b *box) Tell(set wire.ChangeSet)          { b.told = append(b.told, set.Revision) }
+func (b *box) Tell(set wire.ChangeSet)          { b.received = append(b.received, set.Revision) }
 func (b *box) TakenUp(string)                   {}
 
 // serve starts an endpoint and returns its address.
@@ -63,10 +63,10 @@
 	is.Equal(answer.Revision, 7)
 	var done wire.Nothing
 	is.NoErr(p.Call(ctx, address, peer.Tell, wire.ChangeSet{Revision: 3}, &done))
-	is.Equal(b.told, []int{3})
+	is.Equal(b.received, []int{3})
 	var grant wire.Grant
 	is.NoErr(p.Call(ctx, address, peer.Ask, wire.Ask{Attempt: "a", WaitMs: 20, Model: "m", MaxTokens: 1}, &grant))
-	is.Equal(grant.Reason, "deadline") // nothing fits, and the wait is over
+	is.Equal(grant.Reason, "deadline") // no engine until the deadline
 }
 
 func TestRefused(t *testing.T) {
@@ -80,15 +80,15 @@
 	defer cancel()
 	err = p.Call(short, address, peer.Ask, wire.Ask{Attempt: "a", WaitMs: 2000}, &wire.Grant{})
 	is.True(err != nil)
-	is.True(!peer.Unreachable(err)) // late, but the connection stands
+	is.True(!peer.Unreachable(err)) // timed out, but the connection is open
 }
 
-// count counts bytes.
+// count counts the bytes written to it.
 type count struct{ n int }
 
 func (c *count) Write(p []byte) (int, error) { c.n += len(p); return len(p), nil }
 
-// bytesOf returns what one more message of a kind adds to a connection.
+// bytesOf returns the gob-encoded size of a message after the first of its type.
 func bytesOf(v any) int {
 	c := &count{}
 	e := gob.NewEncoder(c)
@@ -98,8 +98,8 @@
 	return c.n - first
 }
 
-// header is what net/rpc puts before each message; both ways together.
-const header = 30
+// rpcHeader is the size of the net/rpc headers of request and response, in bytes.
+const rpcHeader = 30
 
 func ask() wire.Ask {
 	return wire.Ask{
@@ -126,7 +126,7 @@
 	return h
 }
 
-// BenchmarkMessages reports the bytes of each message between boxes.
+// BenchmarkMessages reports the size of each message between boxes.
 func BenchmarkMessages(b *testing.B) {
 	messages := map[string]any{
 		"ask":                  ask(),
@@ -167,12 +167,12 @@
 			for b.Loop() {
 				n = bytesOf(m)
 			}
-			b.ReportMetric(float64(n+header), "wire-bytes")
+			b.ReportMetric(float64(n+rpcHeader), "wire-bytes")
 		})
 	}
 }
 
-// gossip is a box's word of what it runs at some engines.
+// gossip returns a box's report of its requests at some engines.
 func gossip(engines int) wire.Gossip {
 	g := wire.Gossip{Sender: wire.BoxRecord{Box: "front-leith-1", Hall: "leith", Address: "10.1.0.19:7200", Incarnation: 1_790_000_000_000}, Version: 4321}
 	for i := range engines {
@@ -183,7 +183,7 @@
 	return g
 }
 
-// speeds is a box's word of how fast some engines are, once a second.
+// speeds returns a box's report of the speeds of some engines.
 func speeds(engines int) wire.Gossip {
 	g := gossip(0)
 	g.WantsSpeeds = true
@@ -203,7 +203,7 @@
 	return items
 }
 
-// BenchmarkCall is a call over loopback, processor time of both sides.
+// BenchmarkCall measures a call over loopback, including both sides.
 func BenchmarkCall(b *testing.B) {
 	for _, loads := range []int{0, 4, 16} {
 		b.Run(fmt.Sprint("heartbeat ", loads, " loads"), func(b *testing.B) {
@@ -222,15 +222,15 @@
 	}
 }
 
-// TestRepeat resets the open connection to a box: a call that may run twice is
-// answered all the same, and any other is not made again.
+// TestRepeat resets the open connection during a call: an idempotent call is
+// repeated and answered, and any other fails.
 func TestRepeat(t *testing.T) {
 	tests := map[string]struct {
 		call     func(p *peer.Peers) func(ctx context.Context, address, method string, args, reply any) error
 		answered bool
 	}{
-		"may run twice": {func(p *peer.Peers) func(context.Context, string, string, any, any) error { return p.CallIdempotent }, true},
-		"may not":       {func(p *peer.Peers) func(context.Context, string, string, any, any) error { return p.Call }, false},
+		"idempotent":     {func(p *peer.Peers) func(context.Context, string, string, any, any) error { return p.CallIdempotent }, true},
+		"not idempotent": {func(p *peer.Peers) func(context.Context, string, string, any, any) error { return p.Call }, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -244,7 +244,7 @@
 			call := tt.call(p)
 			var answer wire.HeartbeatAnswer
 			is.NoErr(call(t.Context(), link.Address(), peer.Heartbeat, wire.Heartbeat{Revision: 3}, &answer))
-			link.Mute() // so that the next call is under way when its connection is reset
+			link.Mute() // so that the next call is in progress when its connection is reset
 			time.AfterFunc(10*time.Millisecond, func() { link.Cut(0) })
 			err = call(t.Context(), link.Address(), peer.Heartbeat, wire.Heartbeat{Revision: 4}, &answer)
 			is.Equal(err == nil, tt.answered)
--- a/peer/serve/serve.go
+++ b/peer/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve answers other boxes by net/rpc.
+// Package serve serves calls of other boxes by net/rpc.
 package serve
 
 import (
@@ -11,7 +11,7 @@
 // Name is the endpoint's name on the wire.
 const Name = "Peer"
 
-// Serve answers connections on a listener with an endpoint's methods until ctx
+// Serve serves an endpoint's methods to the connections of a listener until ctx
 // ends.
 func Serve(ctx context.Context, endpoint any, listener net.Listener) error {
 	server := rpc.NewServer()
--- a/schemacheck/schemacheck.go
+++ b/schemacheck/schemacheck.go
@@ -1,5 +1,5 @@
-// Package schemacheck holds JSON against a schema and lists every mistake with its
-// place, unknown fields too.
+// Package schemacheck validates JSON against a schema and lists every mistake,
+// including unknown fields, with its JSON pointer.
 package schemacheck
 
 import (
@@ -18,12 +18,12 @@
 
 const base = "https://petrelstep.example/schema/"
 
-// Checker holds JSON against one definition of the schemas.
+// Checker validates JSON against one definition of the schemas.
 type Checker struct{ schema *jsonschema.Schema }
 
 // New returns a checker for a definition of messages.json by its name, or for
-// all of settings.json by "Settings". The schemas are part of the program, so
-// a name that is not there is a mistake of the program and panics.
+// settings.json by "Settings". The schemas are embedded, so New panics for an
+// unknown name.
 func New(name string) *Checker {
 	c := jsonschema.NewCompiler()
 	for _, file := range []string{"messages.json", "settings.json"} {
@@ -46,13 +46,13 @@
 	return &Checker{schema: c.MustCompile(ref)}
 }
 
-// Mistakes is the typed error of input that does not fit its schema.
+// Mistakes reports input that does not conform to its schema.
 type Mistakes struct{ Places []string }
 
 // Error implements error.
 func (m *Mistakes) Error() string { return strings.Join(m.Places, "; ") }
 
-// Decode checks raw and decodes it into v. The error is a *Mistakes.
+// Decode validates raw and decodes it into v. The error is a *Mistakes.
 func (c *Checker) Decode(raw []byte, v any) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
@@ -80,17 +80,17 @@
 		return []string{"/: " + err.Error()}
 	}
 	var places []string
-	collect(validation, message.NewPrinter(language.English), &places)
+	collectPlaces(validation, message.NewPrinter(language.English), &places)
 	sort.Strings(places)
 	return places
 }
 
-func collect(e *jsonschema.ValidationError, p *message.Printer, places *[]string) {
+func collectPlaces(e *jsonschema.ValidationError, p *message.Printer, places *[]string) {
 	if len(e.Causes) == 0 {
 		*places = append(*places, "/"+strings.Join(e.InstanceLocation, "/")+": "+e.ErrorKind.LocalizedString(p))
 		return
 	}
 	for _, cause := range e.Causes {
-		collect(cause, p, places)
+		collectPlaces(cause, p, places)
 	}
 }
--- a/schemacheck/schemacheck_test.go
+++ b/schemacheck/schemacheck_test.go
@@ -14,9 +14,9 @@
 func TestDecode(t *testing.T) {
 	tests := map[string]struct {
 		in     string
-		places []string // parts of the lines, in order
+		places []string // contained in the mistakes, in order
 	}{
-		"right":          {`{"model":"m","prompt":"p"}`, nil},
+		"valid":          {`{"model":"m","prompt":"p"}`, nil},
 		"unknown field":  {`{"model":"m","prompt":"p","x":1}`, []string{"x"}},
 		"three mistakes": {`{"model":"M!","prompt":"","max_tokens":"many"}`, []string{"/max_tokens", "/model", "/prompt"}},
 		"not an object":  {`[]`, []string{"/"}},
@@ -31,7 +31,7 @@
 			err := checker.Decode([]byte(tt.in), &body)
 			is.Equal(err != nil, tt.places != nil)
 			if err == nil {
-				is.Equal(body.MaxTokens, 32768) // the defaults are filled in
+				is.Equal(body.MaxTokens, 32768) // the default
 				return
 			}
 			var m *schemacheck.Mistakes
@@ -44,8 +44,8 @@
 	}
 }
 
-// FuzzDecode decodes anything as what callers, operators and files send: no
-// panic, and every mistake has a place.
+// FuzzDecode decodes arbitrary input of callers, operators and files: it never
+// panics, and every error lists a mistake.
 func FuzzDecode(f *testing.F) {
 	checkers := []*schemacheck.Checker{schemacheck.New("GenerationRequest"), schemacheck.New("Resource"), schemacheck.New("Settings"), schemacheck.New("Upstream")}
 	f.Add([]byte(`{"model":"m","prompt":"p"}`))
--- a/tasks/tasks.go
+++ b/tasks/tasks.go
@@ -1,5 +1,5 @@
-// Package tasks keeps one task for each peer that a box talks to, as boxes come
-// and go.
+// Package tasks runs one task for each peer of a box, as peers are added and
+// removed.
 package tasks
 
 import (
@@ -15,7 +15,7 @@
 	Every(ctx context.Context, name string, period time.Duration, f func(now time.Time))
 }
 
-// Tasks is one set of peers.
+// Tasks runs the tasks for one set of peers.
 type Tasks struct {
 	timer  Timer
 	period time.Duration
@@ -23,8 +23,8 @@
 	task   func(ctx context.Context, b members.Box)
 }
 
-// New returns tasks that Run keeps: each period choose names the peers, by
-// address; task is run for each until its peer is no longer named.
+// New returns tasks for Run. Each period choose returns the peers by address; task
+// runs for each peer until choose no longer returns it.
 func New(t Timer, period time.Duration, choose func(now time.Time) map[string]members.Box, task func(ctx context.Context, b members.Box)) *Tasks {
 	return &Tasks{timer: t, period: period, choose: choose, task: task}
 }
--- a/tasks/tasks_test.go
+++ b/tasks/tasks_test.go
@@ -14,13 +14,13 @@
 	"petrelstep/timer"
 )
 
-// TestRun shows that tasks follow the peers that are named, one each, and all
-// have ended when Run returns.
+// TestRun checks that one task runs for each chosen peer, and that all tasks have
+// ended when Run returns.
 func TestRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var mu sync.Mutex
-		named := map[string]members.Box{"a:1": {Name: "a"}, "b:1": {Name: "b"}}
+		chosen := map[string]members.Box{"a:1": {Name: "a"}, "b:1": {Name: "b"}}
 		running := map[string]int{}
 		count := func(name string, n int) {
 			mu.Lock()
@@ -34,27 +34,27 @@
 			tasks.New(timer.New(), time.Second, func(time.Time) map[string]members.Box {
 				mu.Lock()
 				defer mu.Unlock()
-				return named
+				return chosen
 			}, func(ctx context.Context, b members.Box) {
 				count(b.Name, 1)
 				<-ctx.Done()
 				count(b.Name, -1)
 			}).Run(ctx)
 		}()
-		look := func(a, b, c int) {
+		expectRunning := func(a, b, c int) {
 			t.Helper()
 			time.Sleep(3 * time.Second)
 			mu.Lock()
 			defer mu.Unlock()
 			is.Equal([]int{running["a"], running["b"], running["c"]}, []int{a, b, c})
 		}
-		look(1, 1, 0)
+		expectRunning(1, 1, 0)
 		mu.Lock()
-		named = map[string]members.Box{"b:1": {Name: "b"}, "c:1": {Name: "c"}}
+		chosen = map[string]members.Box{"b:1": {Name: "b"}, "c:1": {Name: "c"}}
 		mu.Unlock()
-		look(0, 1, 1)
+		expectRunning(0, 1, 1)
 		cancel()
 		<-ended
-		look(0, 0, 0)
+		expectRunning(0, 0, 0)
 	})
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,5 +1,5 @@
-// Package ticket signs request ids, so that any box can take a stream up
-// without state shared between boxes.
+// Package ticket signs request ids, so that any box can resume a stream without
+// state shared between boxes.
 package ticket
 
 import (
@@ -10,32 +10,32 @@
 	"strings"
 )
 
-// signatureBytes is how much of the HMAC-SHA256 an id carries.
+// signatureBytes is the length of the truncated HMAC-SHA256 in an id.
 const signatureBytes = 16
 
-// Claims is what a request id says.
+// Claims are the signed contents of a request id.
 type Claims struct {
 	Attempt      string `json:"a"`
 	Engine       string `json:"e"`
 	Address      string `json:"d"`
 	Organisation string `json:"o"`
 	Model        string `json:"m"`
-	Box          string `json:"b"` // that dispatched it
+	Box          string `json:"b"` // box that dispatched it
 }
 
-// Error says that an id is not one of ours.
+// Error reports that an id is malformed or was not signed with the shared key.
 type Error struct{ Detail string }
 
 // Error implements error.
 func (e *Error) Error() string { return "request id: " + e.Detail }
 
-// Ticket signs and reads ids with a key that all boxes share.
+// Ticket signs and verifies ids with a key that all boxes share.
 type Ticket struct{ key []byte }
 
 // New returns a signer.
 func New(key string) *Ticket { return &Ticket{key: []byte(key)} }
 
-// Seal returns the id for some claims.
+// Seal returns the signed id for claims.
 func (t *Ticket) Seal(c Claims) string {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return body + "." + base64.RawURLEncoding.EncodeToString(t.sign(body))
 }
 
-// Open checks an id and returns its claims.
+// Open verifies an id and returns its claims.
 func (t *Ticket) Open(id string) (Claims, error) {
 	body, signature, ok := strings.Cut(id, ".")
 	if !ok {
--- a/ticket/ticket_test.go
+++ b/ticket/ticket_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// FuzzOpen opens anything: only what was sealed opens.
+// FuzzOpen checks that only sealed ids can be opened.
 func FuzzOpen(f *testing.F) {
 	key := ticket.New("a key of thirty-two characters..")
 	id := key.Seal(claims)
--- a/uniqueid/uniqueid.go
+++ b/uniqueid/uniqueid.go
@@ -1,5 +1,4 @@
-// Package uniqueid makes ids that are never used again: of attempts, of
-// transactions, of rows.
+// Package uniqueid generates random ids of attempts, transactions and rows.
 package uniqueid
 
 import (
@@ -7,12 +6,12 @@
 	"encoding/base64"
 )
 
-// size is the randomness of an id, in bytes: at a million a second no two meet
-// in thousands of years.
+// size is the length of the random bytes of an id, enough to make collisions
+// negligible.
 const size = 12
 
-// New returns an id of 16 characters that may stand in a path. They are short
-// because home boxes are told of each attempt often.
+// New returns a URL-safe id of 16 characters. It is short as each report to a home
+// box contains the id of every attempt.
 func New() string {
 	var b [size]byte
 	_, _ = rand.Read(b[:]) // never fails
--- a/verify/verify.go
+++ b/verify/verify.go
@@ -1,6 +1,6 @@
-// Package verify checks a resource before it is accepted: its form by the
-// schema, its references by the configuration in force. All mistakes are
-// listed with their places.
+// Package verify validates a resource before it is accepted: its form by the
+// schema, its references by the configuration in force. It lists all mistakes
+// with their JSON pointers.
 package verify
 
 import (
@@ -27,7 +27,7 @@
 	return v
 }
 
-// Kinds lists the kinds of resources, in the order to apply them in.
+// Kinds returns the kinds of resources, in the order to apply them.
 func Kinds() []wire.ResourceKind {
 	return []wire.ResourceKind{
 		wire.ResourceKindHall, wire.ResourceKindModel, wire.ResourceKindAdapter, wire.ResourceKindOrganisation,
@@ -35,8 +35,8 @@
 	}
 }
 
-// Mistakes returns the place of each mistake in a resource that is to be
-// written into a configuration.
+// Mistakes validates a resource against the configuration in force. Each mistake
+// starts with its JSON pointer.
 func (v *Verifier) Mistakes(now *resource.View, r wire.Resource) []string {
 	if r.Removed {
 		return usersOf(now, r)
@@ -55,12 +55,12 @@
 		}
 		return places
 	}
-	after := with(now, r)
+	after := applied(now, r)
 	return references(after, r)
 }
 
-// with returns the configuration as it would be.
-func with(now *resource.View, r wire.Resource) *resource.View {
+// applied returns the configuration with the resource.
+func applied(now *resource.View, r wire.Resource) *resource.View {
 	all := map[string]wire.Resource{}
 	for k, v := range now.Resources {
 		all[k] = v
@@ -69,14 +69,15 @@
 	return resource.NewView(now.Revision, all)
 }
 
+// references lists the invalid references of a resource.
 func references(v *resource.View, r wire.Resource) []string {
-	var l list
+	var l mistakes
 	switch r.Kind {
 	case wire.ResourceKindAdapter:
-		need(&l, v.Models, "/spec/model", v.Adapters[r.Name].Model)
+		requireDeclared(&l, v.Models, "/spec/model", v.Adapters[r.Name].Model)
 	case wire.ResourceKindOrganisation:
 		for _, m := range v.Organisations[r.Name].Models {
-			need(&l, v.Models, "/spec/models", m)
+			requireDeclared(&l, v.Models, "/spec/models", m)
 		}
 		for _, hash := range v.Organisations[r.Name].KeyHashes {
 			if v.Keys[hash] != r.Name {
@@ -85,51 +86,51 @@
 		}
 	case wire.ResourceKindUpstream:
 		u := v.Upstreams[r.Name]
-		need(&l, v.Halls, "/spec/hall", u.Hall)
+		requireDeclared(&l, v.Halls, "/spec/hall", u.Hall)
 		if u.Role == wire.UpstreamRoleService && u.Service == "" {
-			l.add("/spec/service: a service needs its path name")
+			l.add("/spec/service: a service needs a path name")
 		}
 	case wire.ResourceKindPlacement:
 		p := v.Placements[r.Name]
-		need(&l, v.Halls, "/spec/hall", p.Hall)
-		need(&l, v.Models, "/spec/model", p.Model)
+		requireDeclared(&l, v.Halls, "/spec/hall", p.Hall)
+		requireDeclared(&l, v.Models, "/spec/model", p.Model)
 		for _, a := range p.Adapters {
 			if v.Adapters[a].Model != p.Model {
-				l.add("/spec/adapters: " + a + " is no adapter of " + p.Model)
+				l.add("/spec/adapters: " + a + " is not an adapter of " + p.Model)
 			}
 		}
 	}
 	return l.places
 }
 
-// usersOf lists what still refers to a resource that is to be removed.
+// usersOf lists the references to a resource that is to be removed.
 func usersOf(v *resource.View, r wire.Resource) []string {
-	var l list
+	var l mistakes
 	switch r.Kind {
 	case wire.ResourceKindHall:
-		used(&l, v.Upstreams, "Upstream", func(u wire.Upstream) bool { return u.Hall == r.Name })
-		used(&l, v.Placements, "Placement", func(p wire.Placement) bool { return p.Hall == r.Name })
+		addUsers(&l, v.Upstreams, "Upstream", func(u wire.Upstream) bool { return u.Hall == r.Name })
+		addUsers(&l, v.Placements, "Placement", func(p wire.Placement) bool { return p.Hall == r.Name })
 	case wire.ResourceKindModel:
-		used(&l, v.Adapters, "Adapter", func(a wire.Adapter) bool { return a.Model == r.Name })
-		used(&l, v.Placements, "Placement", func(p wire.Placement) bool { return p.Model == r.Name })
-		used(&l, v.Organisations, "Organisation", func(o wire.Organisation) bool { return slices.Contains(o.Models, r.Name) })
+		addUsers(&l, v.Adapters, "Adapter", func(a wire.Adapter) bool { return a.Model == r.Name })
+		addUsers(&l, v.Placements, "Placement", func(p wire.Placement) bool { return p.Model == r.Name })
+		addUsers(&l, v.Organisations, "Organisation", func(o wire.Organisation) bool { return slices.Contains(o.Models, r.Name) })
 	case wire.ResourceKindAdapter:
-		used(&l, v.Placements, "Placement", func(p wire.Placement) bool { return slices.Contains(p.Adapters, r.Name) })
+		addUsers(&l, v.Placements, "Placement", func(p wire.Placement) bool { return slices.Contains(p.Adapters, r.Name) })
 	}
 	return l.places
 }
 
-type list struct{ places []string }
+type mistakes struct{ places []string }
 
-func (l *list) add(place string) { l.places = append(l.places, place) }
+func (l *mistakes) add(place string) { l.places = append(l.places, place) }
 
-func need[T any](l *list, all map[string]T, place, name string) {
+func requireDeclared[T any](l *mistakes, all map[string]T, place, name string) {
 	if _, ok := all[name]; !ok {
 		l.add(place + ": " + name + " is not declared")
 	}
 }
 
-func used[T any](l *list, all map[string]T, kind string, uses func(T) bool) {
+func addUsers[T any](l *mistakes, all map[string]T, kind string, uses func(T) bool) {
 	var names []string
 	for name, t := range all {
 		if uses(t) {
--- a/verify/verify_test.go
+++ b/verify/verify_test.go
@@ -16,7 +16,7 @@
 	return wire.Resource{Kind: kind, Name: name, Spec: json.RawMessage(spec)}
 }
 
-// view has one of most kinds.
+// view returns a configuration with one resource of most kinds.
 func view() *resource.View {
 	all := map[string]wire.Resource{}
 	for _, r := range []wire.Resource{
@@ -39,20 +39,20 @@
 		in     wire.Resource
 		places []string
 	}{
-		"right":                     {res("Upstream", "u", `{"role":"engine","hall":"leith","address":"127.0.0.1:1"}`), nil},
-		"unknown kind":              {res("Colour", "u", `{}`), []string{"/kind"}},
-		"two mistakes":              {res("Upstream", "u", `{"role":"oven","hall":"leith","address":"x"}`), []string{"/spec/address", "/spec/role"}},
-		"hall not declared":         {res("Upstream", "u", `{"role":"engine","hall":"gorgie","address":"127.0.0.1:1"}`), []string{"/spec/hall"}},
-		"service without name":      {res("Upstream", "u", `{"role":"service","hall":"leith","address":"127.0.0.1:1"}`), []string{"/spec/service"}},
-		"model and hall missing":    {res("Placement", "q", `{"hall":"h","model":"n","replicas":1}`), []string{"/spec/hall", "/spec/model"}},
-		"adapter of another":        {res("Placement", "q", `{"hall":"leith","model":"m","adapters":["y"],"replicas":1}`), []string{"/spec/adapters"}},
-		"adapter without model":     {res("Adapter", "y", `{"model":"n"}`), []string{"/spec/model"}},
-		"organisation's model":      {res("Organisation", "q", `{"models":["n"]}`), []string{"/spec/models"}},
-		"key of another":            {res("Organisation", "a", `{"key_hashes":["k"]}`), []string{"/spec/key_hashes"}},
-		"remove what is used":       {removed("Model", "m"), []string{"Adapter x", "Placement p", "Organisation o"}},
-		"remove a hall that is":     {removed("Hall", "leith"), []string{"Placement p"}},
-		"remove what is not":        {removed("Placement", "p"), nil},
-		"remove an adapter that is": {removed("Adapter", "x"), []string{"Placement p"}},
+		"valid":                       {res("Upstream", "u", `{"role":"engine","hall":"leith","address":"127.0.0.1:1"}`), nil},
+		"unknown kind":                {res("Colour", "u", `{}`), []string{"/kind"}},
+		"two mistakes":                {res("Upstream", "u", `{"role":"oven","hall":"leith","address":"x"}`), []string{"/spec/address", "/spec/role"}},
+		"hall not declared":           {res("Upstream", "u", `{"role":"engine","hall":"gorgie","address":"127.0.0.1:1"}`), []string{"/spec/hall"}},
+		"service without name":        {res("Upstream", "u", `{"role":"service","hall":"leith","address":"127.0.0.1:1"}`), []string{"/spec/service"}},
+		"model and hall missing":      {res("Placement", "q", `{"hall":"h","model":"n","replicas":1}`), []string{"/spec/hall", "/spec/model"}},
+		"adapter of another model":    {res("Placement", "q", `{"hall":"leith","model":"m","adapters":["y"],"replicas":1}`), []string{"/spec/adapters"}},
+		"adapter without model":       {res("Adapter", "y", `{"model":"n"}`), []string{"/spec/model"}},
+		"organisation's model":        {res("Organisation", "q", `{"models":["n"]}`), []string{"/spec/models"}},
+		"key of another organisation": {res("Organisation", "a", `{"key_hashes":["k"]}`), []string{"/spec/key_hashes"}},
+		"remove a used model":         {removed("Model", "m"), []string{"Adapter x", "Placement p", "Organisation o"}},
+		"remove a used hall":          {removed("Hall", "leith"), []string{"Placement p"}},
+		"remove an unused placement":  {removed("Placement", "p"), nil},
+		"remove a used adapter":       {removed("Adapter", "x"), []string{"Placement p"}},
 	}
 	v := verify.New()
 	for name, tt := range tests {
