--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -195,8 +195,8 @@
 	return own
 }
 
-// Loaded takes a load report that was polled here.
-func (d *Daemon) Loaded(load wire.EngineLoad) { d.heardOf(load, polledSilence) }
+// HandleLoad takes a load report that was polled here.
+func (d *Daemon) HandleLoad(load wire.EngineLoad) { d.heardOf(load, polledSilence) }
 
 // heardOf takes a load report, polled or told.
 func (d *Daemon) heardOf(load wire.EngineLoad, silence time.Duration) {
@@ -214,8 +214,8 @@
 	d.grants.Report(now, d.cellsNow().Of(load.Engine), load)
 }
 
-// Cached takes a cache event.
-func (d *Daemon) Cached(engine string, seq int, stored bool, block uint64) {
+// HandleCacheEvent takes a cache event.
+func (d *Daemon) HandleCacheEvent(engine string, seq int, stored bool, block uint64) {
 	d.grants.RecordCacheEvent(d.cellsNow().Of(engine), engine, seq, stored, block)
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -67,9 +67,9 @@
 	return l.fence, left
 }
 
-// Tend renews a held lease, or acquires one that has lapsed. It has to be called
+// RenewOrAcquire renews a held lease, or acquires one that has lapsed. It has to be called
 // several times within a lease's duration. The error is the table's.
-func (l *Lease) Tend(ctx context.Context) error {
+func (l *Lease) RenewOrAcquire(ctx context.Context) error {
 	row, err := l.table.Get(ctx, l.key)
 	if err != nil {
 		return err
@@ -117,7 +117,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		// The outcome is unknown: the old end holds until the next Tend.
+		// The outcome is unknown: the old end holds until the next RenewOrAcquire.
 		return err
 	}
 	if !answer.Committed {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -55,7 +55,7 @@
 				p := platform.New(platform.Options{})
 				both := holders(p)
 				ctx := context.Background()
-				is.NoErr(both[0].Tend(ctx))
+				is.NoErr(both[0].RenewOrAcquire(ctx))
 				fence, left := both[0].Held(time.Now())
 				is.Equal(fence, 1)
 				is.Equal(left, duration)
@@ -72,16 +72,16 @@
 	}
 }
 
-// takenAfter calls Tend on the second holder, and on the first if tends is set.
+// takenAfter calls RenewOrAcquire on the second holder, and on the first if tends is set.
 // It returns after how long the second holds the lease, and its fence.
 func takenAfter(both [2]*lease.Lease, tends bool) (time.Duration, int) {
 	began := time.Now()
 	for time.Since(began) < 4*duration {
 		time.Sleep(tick)
 		if tends {
-			_ = both[0].Tend(context.Background())
+			_ = both[0].RenewOrAcquire(context.Background())
 		}
-		_ = both[1].Tend(context.Background())
+		_ = both[1].RenewOrAcquire(context.Background())
 		if fence, left := both[1].Held(time.Now()); left > 0 {
 			return time.Since(began), fence
 		}
@@ -110,7 +110,7 @@
 	for _, s := range steps {
 		switch {
 		case s < 8:
-			_ = both[s%2].Tend(context.Background())
+			_ = both[s%2].RenewOrAcquire(context.Background())
 		case s < 10:
 			p.Fault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeLoseReply, Count: s - 7})
 		case s == 10:
@@ -171,7 +171,7 @@
 				is := is.New(t)
 				slept := func(time.Time) time.Duration { return tt.slept }
 				l := lease.New(platform.New(platform.Options{}).Direct(), "leith", "a", duration, timeout).OnSlept(slept)
-				is.NoErr(l.Tend(context.Background()))
+				is.NoErr(l.RenewOrAcquire(context.Background()))
 				time.Sleep(time.Second)
 				_, left := l.Held(time.Now())
 				is.Equal(left, tt.left)
--- a/poll/poll.go
+++ b/poll/poll.go
@@ -32,8 +32,8 @@
 
 // Sink receives the load reports and cache events.
 type Sink interface {
-	Loaded(load wire.EngineLoad)
-	Cached(engine string, seq int, stored bool, block uint64)
+	HandleLoad(load wire.EngineLoad)
+	HandleCacheEvent(engine string, seq int, stored bool, block uint64)
 }
 
 // Timer calls a function each period.
@@ -92,7 +92,7 @@
 			return // health checks go by missing reports
 		}
 		load.Engine = e.Name // the declared name
-		p.sink.Loaded(load)
+		p.sink.HandleLoad(load)
 		n++
 		if n%cacheEvery == 0 {
 			seq = p.readCacheEvents(read, e, seq)
@@ -111,7 +111,7 @@
 			if err != nil {
 				continue // only degrades the estimate
 			}
-			p.sink.Cached(e.Name, c.Seq, c.Stored, block)
+			p.sink.HandleCacheEvent(e.Name, c.Seq, c.Stored, block)
 		}
 		seq = max(seq, c.Seq)
 	}
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -23,7 +23,7 @@
 
 // Lease is the hall's lease.
 type Lease interface {
-	Tend(ctx context.Context) error
+	RenewOrAcquire(ctx context.Context) error
 	Held(now time.Time) (fence int, left time.Duration)
 	Release(ctx context.Context) error
 }
@@ -76,7 +76,7 @@
 // Round renews or acquires the lease and, while it is held, sends the planned
 // orders.
 func (r *Reconciler) Round(ctx context.Context) {
-	if err := r.lease.Tend(ctx); err != nil {
+	if err := r.lease.RenewOrAcquire(ctx); err != nil {
 		r.log.WithError(err).Debug("lease_not_tended")
 	}
 	view := r.resources.View()
