--- a/configwriter/configwriter.go
+++ b/configwriter/configwriter.go
@@ -47,7 +47,7 @@
 	Mistakes(now *resource.View, r wire.Resource) []string
 }
 
-// Writer is safe for use by several goroutines.
+// Writer writes resources to the table. It is safe for concurrent use.
 type Writer struct {
 	table     Table
 	verifier  Verifier
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -74,7 +74,7 @@
 	Metrics   *metrics.Metrics
 }
 
-// Dispatcher is safe for use by several goroutines.
+// Dispatcher starts generations on engines. It is safe for concurrent use.
 type Dispatcher struct{ Components }
 
 // New returns a dispatcher.
--- a/grantclient/grantclient.go
+++ b/grantclient/grantclient.go
@@ -24,7 +24,7 @@
 	settleTimeout = 2 * time.Second
 )
 
-// Client is safe for use by several goroutines.
+// Client requests grants from home boxes. It is safe for concurrent use.
 type Client struct {
 	members *members.Members
 	peers   *peer.Peers
@@ -75,8 +75,8 @@
 		if grant.Engine != "" {
 			return grant, home.Name, nil
 		}
-		after := time.Duration(grant.RetryAfterMs) * time.Millisecond
-		return grant, "", refusal.New(refusal.Reason(grant.Reason), "no free memory for the model").WithRetryAfter(after)
+		retryAfter := time.Duration(grant.RetryAfterMs) * time.Millisecond
+		return grant, "", refusal.New(refusal.Reason(grant.Reason), "no free memory for the model").WithRetryAfter(retryAfter)
 	}
 }
 
@@ -114,6 +114,8 @@
 	}
 }
 
+// handleAnswer interprets the answer of a home box; the bool reports whether to
+// try the next box in the order.
 func (c *Client) handleAnswer(ctx context.Context, home members.Box, ask wire.Ask, g wire.Grant, err error) (wire.Grant, bool) {
 	switch {
 	case err == nil && g.Reason == string(refusal.Draining):
--- a/grantserver/grantserver.go
+++ b/grantserver/grantserver.go
@@ -18,7 +18,7 @@
 	waiters map[string]chan wire.Grant
 }
 
-// Server is safe for use by several goroutines.
+// Server holds the grants of all cells. It is safe for concurrent use.
 type Server struct {
 	mu      sync.Mutex
 	params  home.Params
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -41,8 +41,9 @@
 }
 
 // New returns the lease of a key, not held yet.
-func New(t Table, key, holder string, duration, extra time.Duration) *Lease {
-	return &Lease{table: t, key: "lease/" + key, holder: holder, duration: duration, grace: extra}
+// grace is how long after a lapse a successor waits for orders in progress.
+func New(t Table, key, holder string, duration, grace time.Duration) *Lease {
+	return &Lease{table: t, key: "lease/" + key, holder: holder, duration: duration, grace: grace}
 }
 
 // OnSlept sets the function that returns for how long the machine was suspended.
@@ -67,8 +68,8 @@
 	return l.fence, left
 }
 
-// RenewOrAcquire renews a held lease, or acquires one that has lapsed. It has to be called
-// several times within a lease's duration. The error is the table's.
+// RenewOrAcquire renews a held lease, or acquires one that has lapsed. It has to
+// be called several times within a lease's duration. The error is the table's.
 func (l *Lease) RenewOrAcquire(ctx context.Context) error {
 	row, err := l.table.Get(ctx, l.key)
 	if err != nil {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -33,18 +33,18 @@
 func TestLapse(t *testing.T) {
 	tests := map[string]struct {
 		during  func(p *platform.Platform, a *lease.Lease) // after a holds it
-		tends   bool                                       // a keeps renewing
+		renews  bool                                       // a keeps renewing
 		minWait time.Duration                              // until b may hold it
 		maxWait time.Duration                              // until b must hold it, 0 for never
 	}{
-		"no fault x held":     {tends: true},
+		"no fault x held":     {renews: true},
 		"kill x held":         {minWait: duration + timeout, maxWait: 2*duration + timeout},
 		"freeze x held":       {minWait: duration + timeout, maxWait: 2*duration + timeout},
 		"planned stop x held": {during: func(_ *platform.Platform, a *lease.Lease) { _ = a.Release(context.Background()) }, maxWait: time.Second},
-		"store down x renewal": {tends: true, during: func(p *platform.Platform, _ *lease.Lease) {
+		"store down x renewal": {renews: true, during: func(p *platform.Platform, _ *lease.Lease) {
 			p.Fault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeDown, Count: 10})
 		}},
-		"reply lost x renewal": {tends: true, during: func(p *platform.Platform, _ *lease.Lease) {
+		"reply lost x renewal": {renews: true, during: func(p *platform.Platform, _ *lease.Lease) {
 			p.Fault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeLoseReply, Count: 4})
 		}},
 	}
@@ -62,23 +62,24 @@
 				if tt.during != nil {
 					tt.during(p, both[0])
 				}
-				taken, fence := takenAfter(both, tt.tends)
-				is.True(taken == 0 || fence == 2)
-				is.True(taken >= tt.minWait)
-				is.Equal(taken > 0, tt.maxWait > 0)
-				is.True(taken <= tt.maxWait)
+				acquired, fence := acquiredAfter(both, tt.renews)
+				is.True(acquired == 0 || fence == 2)
+				is.True(acquired >= tt.minWait)
+				is.Equal(acquired > 0, tt.maxWait > 0)
+				is.True(acquired <= tt.maxWait)
 			})
 		})
 	}
 }
 
-// takenAfter calls RenewOrAcquire on the second holder, and on the first if tends is set.
-// It returns after how long the second holds the lease, and its fence.
-func takenAfter(both [2]*lease.Lease, tends bool) (time.Duration, int) {
+// acquiredAfter renews or acquires with the second holder, and with the first if
+// renews is set. It returns after how long the second holds the lease, and its
+// fence.
+func acquiredAfter(both [2]*lease.Lease, renews bool) (time.Duration, int) {
 	began := time.Now()
 	for time.Since(began) < 4*duration {
 		time.Sleep(tick)
-		if tends {
+		if renews {
 			_ = both[0].RenewOrAcquire(context.Background())
 		}
 		_ = both[1].RenewOrAcquire(context.Background())
@@ -142,8 +143,8 @@
 		if fence < w.top {
 			return "held with a fence that is not the highest"
 		}
-		justTaken := fence > w.top && left == duration-tick
-		if justTaken && now.Add(-tick).Before(w.until[1-i]) {
+		justAcquired := fence > w.top && left == duration-tick
+		if justAcquired && now.Add(-tick).Before(w.until[1-i]) {
 			return "acquired before the other holder's lease ended"
 		}
 		w.top, w.until[i] = fence, now.Add(left)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -52,7 +52,7 @@
 	record  wire.LedgerRecord
 }
 
-// Ledger is safe for use by several goroutines.
+// Ledger records the calls of one box. It is safe for concurrent use.
 type Ledger struct {
 	table       Table
 	owners      Owners
