--- a/heartbeat/heartbeat_test.go
+++ b/heartbeat/heartbeat_test.go
@@ -10,7 +10,7 @@
 	"petrelstep/members"
 )
 
-// TestChoose checks the bounds of the number of peers of each box.
+// TestChoose checks the minimum and maximum number of peers of each box.
 func TestChoose(t *testing.T) {
 	tests := map[string]struct{ halls, boxesPerHall, maxPeers int }{
 		"small fleet": {halls: 4, boxesPerHall: 2, maxPeers: 1 + 3*2},
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -12,8 +12,8 @@
 	"petrelstep/wire"
 )
 
-// driftDivisor is the divisor of the duration that is added to the wait for
-// another holder's lease to lapse: it tolerates a clock drift of a tenth.
+// driftDivisor sets the tolerated clock drift: a successor waits an additional
+// duration/driftDivisor before another holder's lease counts as lapsed.
 const driftDivisor = 10
 
 // Table is the platform's table.
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -16,8 +16,8 @@
 // roundsPerLease is the number of rounds, each with a renewal, per lease duration.
 const roundsPerLease = 4
 
-// maxReportAge is the maximum age of a load report to plan by. A box other than
-// the engine's home box receives reports every 4 s, or 8 s if a heartbeat is
+// maxReportAge is the maximum age of a load report to plan by. Boxes other than
+// the engine's home box get a report up to 4 s late, or 8 s if a heartbeat is
 // lost.
 const maxReportAge = 10 * time.Second
 
@@ -33,7 +33,7 @@
 	Fresh(now time.Time, engine string, within time.Duration) (wire.EngineLoad, bool)
 }
 
-// Engines sends orders.
+// Engines sends orders to engines.
 type Engines interface {
 	Order(ctx context.Context, address string, o wire.EngineOrder) (wire.OrderAnswer, error)
 }
--- a/reconcile/reconcile_test.go
+++ b/reconcile/reconcile_test.go
@@ -31,7 +31,7 @@
 	mu     sync.Mutex
 	fenced bool
 	load   wire.EngineLoad
-	orders []wire.EngineOrder // carried out, in order
+	orders []wire.EngineOrder // executed, in order
 	delay  time.Duration      // of the next order in the network
 	late   bool               // a delayed order arrives even after the sender's timeout
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,6 +1,6 @@
 // Package rollout plans the orders that bring a hall's engines to their declared
-// state: it keeps the declared number of replicas ready, and drains an engine
-// before it changes.
+// state: it keeps the declared number of replicas ready, and changes an engine
+// only when it is idle.
 package rollout
 
 import (
@@ -46,7 +46,7 @@
 		switch {
 		case !ok:
 		case v.Upstreams[name].Leaving:
-			p.drain(name, l)
+			p.orderLeave(name, l)
 		default:
 			p.free = append(p.free, name)
 			if l.Model != "" && !l.Ready {
@@ -79,8 +79,8 @@
 	return names
 }
 
-// drain orders an engine that is declared leaving to stop accepting work.
-func (p *planner) drain(name string, l wire.EngineLoad) {
+// orderLeave plans the order to leave for an engine that is declared leaving.
+func (p *planner) orderLeave(name string, l wire.EngineLoad) {
 	if !l.Leaving {
 		p.addStep(name, currentOrder(l, true), "declared leaving")
 	}
@@ -174,8 +174,8 @@
 	return false
 }
 
-// convert takes an engine one step towards a placement: it is drained, then it
-// loads the model.
+// convert takes an engine one step towards a placement: it leaves until it is
+// idle, then it loads the model.
 func (p *planner) convert(engine string, l wire.EngineLoad, pl wire.Placement) {
 	idle := l.Running+l.Waiting == 0
 	switch {
@@ -191,8 +191,8 @@
 	}
 }
 
-// unload drains and unloads the engines that serve an old version of a placed
-// model and are no longer needed.
+// unload plans the orders to leave, then to unload, for the engines that serve an
+// old version of a placed model and are no longer needed.
 func (p *planner) unload(placements []string) {
 	for _, name := range p.free {
 		l := p.loads[name]
