--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -195,8 +195,8 @@
 	return own
 }
 
-// Loaded applies a load report that this box polled.
-func (d *Daemon) Loaded(load wire.EngineLoad) { d.applyLoad(load, polledSilence) }
+// HandleLoad applies a load report that this box polled.
+func (d *Daemon) HandleLoad(load wire.EngineLoad) { d.applyLoad(load, polledSilence) }
 
 // applyLoad applies a load report. The engine is suspect after the given silence.
 func (d *Daemon) applyLoad(load wire.EngineLoad, silence time.Duration) {
@@ -214,8 +214,8 @@
 	d.grants.Report(now, d.cellsNow().Of(load.Engine), load)
 }
 
-// Cached records a cache event of an engine.
-func (d *Daemon) Cached(engine string, seq int, stored bool, block uint64) {
+// HandleCacheEvent records a cache event of an engine.
+func (d *Daemon) HandleCacheEvent(engine string, seq int, stored bool, block uint64) {
 	d.grants.RecordCacheEvent(d.cellsNow().Of(engine), engine, seq, stored, block)
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -12,8 +12,8 @@
 	"petrelstep/wire"
 )
 
-// driftDivisor is the divisor of the duration that is added to the wait for
-// another holder's lease to lapse: it tolerates a clock drift of a tenth.
+// driftDivisor sets the tolerated clock drift: a successor waits an additional
+// duration/driftDivisor before another holder's lease counts as lapsed.
 const driftDivisor = 10
 
 // Table is the platform's table.
@@ -41,8 +41,9 @@
 }
 
 // New returns the lease of a key, not held yet.
-func New(t Table, key, holder string, duration, extra time.Duration) *Lease {
-	return &Lease{table: t, key: "lease/" + key, holder: holder, duration: duration, grace: extra}
+// grace is how long after a lapse a successor waits for orders in progress.
+func New(t Table, key, holder string, duration, grace time.Duration) *Lease {
+	return &Lease{table: t, key: "lease/" + key, holder: holder, duration: duration, grace: grace}
 }
 
 // OnSlept sets the function that returns for how long the machine was suspended.
@@ -67,9 +68,9 @@
 	return l.fence, left
 }
 
-// Tend renews a held lease, or acquires one that has lapsed. It has to be called
-// several times within a lease's duration. The error is the table's.
-func (l *Lease) Tend(ctx context.Context) error {
+// RenewOrAcquire renews a held lease, or acquires one that has lapsed. It has to
+// be called several times within a lease's duration. The error is the table's.
+func (l *Lease) RenewOrAcquire(ctx context.Context) error {
 	row, err := l.table.Get(ctx, l.key)
 	if err != nil {
 		return err
@@ -117,7 +118,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil {
-		// The outcome is unknown: the old end holds until the next Tend.
+		// The outcome is unknown: the old end holds until the next RenewOrAcquire.
 		return err
 	}
 	if !answer.Committed {
--- a/reconcile/reconcile.go
+++ b/reconcile/reconcile.go
@@ -16,14 +16,14 @@
 // roundsPerLease is the number of rounds, each with a renewal, per lease duration.
 const roundsPerLease = 4
 
-// maxReportAge is the maximum age of a load report to plan by. A box other than
-// the engine's home box receives reports every 4 s, or 8 s if a heartbeat is
+// maxReportAge is the maximum age of a load report to plan by. Boxes other than
+// the engine's home box get a report up to 4 s late, or 8 s if a heartbeat is
 // lost.
 const maxReportAge = 10 * time.Second
 
 // Lease is the hall's lease.
 type Lease interface {
-	Tend(ctx context.Context) error
+	RenewOrAcquire(ctx context.Context) error
 	Held(now time.Time) (fence int, left time.Duration)
 	Release(ctx context.Context) error
 }
@@ -33,7 +33,7 @@
 	Fresh(now time.Time, engine string, within time.Duration) (wire.EngineLoad, bool)
 }
 
-// Engines sends orders.
+// Engines sends orders to engines.
 type Engines interface {
 	Order(ctx context.Context, address string, o wire.EngineOrder) (wire.OrderAnswer, error)
 }
@@ -76,7 +76,7 @@
 // Round renews or acquires the lease and, while it is held, sends the planned
 // orders.
 func (r *Reconciler) Round(ctx context.Context) {
-	if err := r.lease.Tend(ctx); err != nil {
+	if err := r.lease.RenewOrAcquire(ctx); err != nil {
 		r.log.WithError(err).Debug("lease_not_tended")
 	}
 	view := r.resources.View()
