--- a/commands/apply.go
+++ b/commands/apply.go
@@ -28,11 +28,11 @@
 }
 
 func (*apply) Name() string     { return "apply" }
-func (*apply) Synopsis() string { return "declare resources from a file of JSON" }
+func (*apply) Synopsis() string { return "declare resources from a JSON file" }
 func (*apply) Usage() string {
-	return `apply -f FILE: declare the resources of a JSON array, or of JSON objects one after
-another; - reads standard input. A resource without a version is written over
-the version now in force; one with a version only over that one.
+	return `apply -f FILE: declare the resources of a JSON array, or of consecutive JSON
+objects; - reads standard input. A resource without a version replaces the version
+in force; one with a version replaces only that version.
 
   petrelstep apply -f examples/declaration.json
   petrelstep get -o json Model | petrelstep apply -f -
@@ -40,7 +40,7 @@
 }
 
 func (c *apply) SetFlags(f *flag.FlagSet) {
-	c.operators(f)
+	c.setOperatorFlags(f)
 	f.StringVar(&c.file, "f", "", "file, or - for standard input")
 }
 
@@ -49,38 +49,39 @@
 	if !ok || c.file == "" {
 		return exitUsage
 	}
-	raw, err := read(c.file)
+	raw, err := readFile(c.file)
 	if err != nil {
 		return fail(err)
 	}
-	items, err := parse(raw)
+	items, err := parseResources(raw)
 	if err != nil {
 		return fail(err)
 	}
 	for _, item := range items {
-		done, changed, err := put(ctx, boxes, item)
+		done, changed, err := putResource(ctx, boxes, item)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s/%s: ", item.Kind, item.Name)
 			return fail(err)
 		}
-		word := "unchanged"
+		result := "unchanged"
 		if changed {
-			word = "accepted"
+			result = "accepted"
 		}
-		fmt.Printf("%s/%s %s version=%d revision=%d\n", done.Kind, done.Name, word, done.Version, done.Revision)
+		fmt.Printf("%s/%s %s version=%d revision=%d\n", done.Kind, done.Name, result, done.Version, done.Revision)
 	}
 	return exitDone
 }
 
-func read(file string) ([]byte, error) {
+func readFile(file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(os.Stdin)
 	}
 	return os.ReadFile(file)
 }
 
-// parse reads resources and puts those first that others refer to.
-func parse(raw []byte) ([]wire.Resource, error) {
+// parseResources decodes resources and sorts them so that references come after their
+// targets.
+func parseResources(raw []byte) ([]wire.Resource, error) {
 	var items []wire.Resource
 	d := json.NewDecoder(bytes.NewReader(raw))
 	for {
@@ -90,11 +91,11 @@
 		} else if err != nil {
 			return nil, err
 		}
-		some, err := one(next)
+		decoded, err := decodeItems(next)
 		if err != nil {
 			return nil, err
 		}
-		items = append(items, some...)
+		items = append(items, decoded...)
 	}
 	rank := map[wire.ResourceKind]int{}
 	for i, k := range verify.Kinds() {
@@ -104,8 +105,8 @@
 	return items, nil
 }
 
-// one reads a resource, an array of them, or the list that get prints.
-func one(raw json.RawMessage) ([]wire.Resource, error) {
+// decodeItems decodes a resource, an array of resources, or the list that get prints.
+func decodeItems(raw json.RawMessage) ([]wire.Resource, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(raw), []byte("[")) {
 		var items []wire.Resource
 		err := json.Unmarshal(raw, &items)
@@ -120,16 +121,16 @@
 	return []wire.Resource{item}, err
 }
 
-// put writes one resource. Without a version it takes the one in force, and
-// once more when another operator was faster.
-func put(ctx context.Context, boxes *client.Client, item wire.Resource) (done wire.Resource, changed bool, err error) {
+// putResource writes one resource. Without a version it replaces the one in force and
+// retries if another operator has written meanwhile.
+func putResource(ctx context.Context, boxes *client.Client, item wire.Resource) (done wire.Resource, changed bool, err error) {
 	given := item.Version != 0
 	path := fmt.Sprintf("/v1/resources/%s/%s", item.Kind, item.Name)
 	const tries = 3
 	for range tries {
 		var now wire.Resource
 		err = boxes.Call(ctx, http.MethodGet, path, nil, &now)
-		if err == nil && same(now.Spec, item.Spec) && (!given || now.Version == item.Version) {
+		if err == nil && sameJSON(now.Spec, item.Spec) && (!given || now.Version == item.Version) {
 			return now, false, nil
 		}
 		if !given {
@@ -140,7 +141,7 @@
 		if err == nil || given || !errors.As(err, &refused) || refused.Body.Reason != "conflict" {
 			return done, true, err
 		}
-		// A resource that was removed has a version too: the refusal names it.
+		// A removed resource has a version too, which the refusal names.
 		item.Version = refused.Body.Version
 		if err = boxes.Call(ctx, http.MethodPut, path, item, &done); err == nil {
 			return done, true, nil
@@ -149,8 +150,8 @@
 	return done, false, err
 }
 
-// same compares JSON by what it says.
-func same(a, b json.RawMessage) bool {
+// sameJSON reports whether two JSON texts have the same value.
+func sameJSON(a, b json.RawMessage) bool {
 	var x, y any
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
 		return false
--- a/commands/call.go
+++ b/commands/call.go
@@ -11,7 +11,7 @@
 
 func init() { subcommands.Register(&call{}, "callers") }
 
-// call carries out a call to a plain service.
+// call calls a plain service.
 type call struct {
 	target
 	method, idempotency, file string
@@ -21,7 +21,7 @@
 func (*call) Synopsis() string { return "call a plain service" }
 func (*call) Usage() string {
 	return `call [-method GET] [-idempotency-key KEY] [-f FILE] SERVICE/PATH: print the answer.
-With a key the call runs at most once, however often it is sent.
+With a key the call runs at most once, even if it is sent again.
 
   petrelstep call portal/roll/EH6-1234
   petrelstep call -method POST -idempotency-key notice-17 -f examples/notice.json portal/notices
@@ -29,10 +29,10 @@
 }
 
 func (c *call) SetFlags(f *flag.FlagSet) {
-	c.callers(f)
+	c.setCallerFlags(f)
 	f.StringVar(&c.method, "method", "GET", "HTTP method")
 	f.StringVar(&c.idempotency, "idempotency-key", "", "key of a call that must not be repeated")
-	f.StringVar(&c.file, "f", "", "file of the body, or - for standard input")
+	f.StringVar(&c.file, "f", "", "file with the body, or - for standard input")
 }
 
 func (c *call) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -43,7 +43,7 @@
 	var body []byte
 	if c.file != "" {
 		var err error
-		if body, err = read(c.file); err != nil {
+		if body, err = readFile(c.file); err != nil {
 			return fail(err)
 		}
 	}
@@ -52,8 +52,8 @@
 		return fail(err)
 	}
 	_, _ = os.Stdout.Write(raw)
-	const refusedFrom = 400
-	if status >= refusedFrom {
+	const errorStatus = 400
+	if status >= errorStatus {
 		fmt.Fprintln(os.Stderr, "status", status)
 		return exitFailed
 	}
--- a/commands/check.go
+++ b/commands/check.go
@@ -12,13 +12,13 @@
 
 func init() { subcommands.Register(&check{}, "operators") }
 
-// check checks settings of a daemon.
+// check validates the settings of a daemon.
 type check struct{}
 
 func (*check) Name() string     { return "check" }
-func (*check) Synopsis() string { return "check a daemon's settings" }
+func (*check) Synopsis() string { return "validate a daemon's settings" }
 func (*check) Usage() string {
-	return `check FILE...: list all mistakes of settings with their places; exits 2 if any.
+	return `check FILE...: list all errors in settings files with their places; exits 2 if any.
 
   petrelstep check examples/box1.json
 `
@@ -37,7 +37,7 @@
 			code = exitUsage
 			continue
 		}
-		fmt.Println(file + ": right")
+		fmt.Println(file + ": valid")
 	}
 	return code
 }
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -1,4 +1,4 @@
-// Package commands holds the verbs of the command line, one file each. Each
+// Package commands implements the verbs of the command line, one file each. Each verb
 // registers itself.
 package commands
 
@@ -26,7 +26,7 @@
 	exitUnknown = subcommands.ExitStatus(4)
 )
 
-// Run carries out the command line and returns the exit code.
+// Run executes the command line and returns the exit code.
 func Run() int {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
@@ -39,7 +39,7 @@
 	return int(code)
 }
 
-// target is the part of a command that says whom to call.
+// target holds the flags that select the boxes to call.
 type target struct {
 	boxes string
 	key   string
@@ -52,19 +52,19 @@
 	f.StringVar(&t.key, "key", os.Getenv("PETRELSTEP_KEY"), "API key (default $PETRELSTEP_KEY)")
 }
 
-func (t *target) operators(f *flag.FlagSet) {
-	t.setFlags(f, "PETRELSTEP_ADMIN", "operators' addresses of boxes, IP:port or URL")
+func (t *target) setOperatorFlags(f *flag.FlagSet) {
+	t.setFlags(f, "PETRELSTEP_ADMIN", "admin addresses of boxes, IP:port or URL")
 }
 
-func (t *target) callers(f *flag.FlagSet) {
-	t.setFlags(f, "PETRELSTEP_BOXES", "callers' addresses of boxes, IP:port or URL")
+func (t *target) setCallerFlags(f *flag.FlagSet) {
+	t.setFlags(f, "PETRELSTEP_BOXES", "caller addresses of boxes, IP:port or URL")
 }
 
-// client returns a client of the boxes named; false after it has said what
-// is missing.
+// client returns a client of the selected boxes. If a flag is missing, it prints which
+// and returns false.
 func (t *target) client() (*client.Client, bool) {
 	if t.boxes == "" || t.key == "" {
-		fmt.Fprintf(os.Stderr, "name the boxes by -boxes or $%s, and the key by -key or $PETRELSTEP_KEY\n", t.env)
+		fmt.Fprintf(os.Stderr, "set the boxes with -boxes or $%s, and the key with -key or $PETRELSTEP_KEY\n", t.env)
 		return nil, false
 	}
 	boxes := strings.Split(t.boxes, ",")
@@ -76,14 +76,16 @@
 	return client.New(boxes, t.key), true
 }
 
-// output is the part of a command that says in what form to answer.
-type output struct{ form string }
+// output holds the flag that selects the output format.
+type output struct{ format string }
 
-func (o *output) setFlags(f *flag.FlagSet) { f.StringVar(&o.form, "o", "table", "form: table or json") }
+func (o *output) setFlags(f *flag.FlagSet) {
+	f.StringVar(&o.format, "o", "table", "output format: table or json")
+}
 
-// print writes v as JSON, or calls table.
+// print writes v as JSON or as a table, by the selected format.
 func (o *output) print(v any, table func(w io.Writer)) subcommands.ExitStatus {
-	switch o.form {
+	switch o.format {
 	case "json":
 		e := json.NewEncoder(os.Stdout)
 		e.SetIndent("", "  ")
@@ -99,17 +101,18 @@
 	return exitDone
 }
 
-// fail says what went wrong and returns the exit code for it.
+// fail prints an error and returns the exit code for it.
 func fail(err error) subcommands.ExitStatus {
 	fmt.Fprintln(os.Stderr, err)
 	var refused *client.Error
 	if errors.As(err, &refused) {
-		return exitOf(string(refused.Body.Ending))
+		return exitStatusOf(string(refused.Body.Ending))
 	}
 	return exitFailed
 }
 
-func exitOf(ending string) subcommands.ExitStatus {
+// exitStatusOf returns the exit code for the outcome of a request.
+func exitStatusOf(ending string) subcommands.ExitStatus {
 	switch ending {
 	case "done":
 		return exitDone
--- a/commands/delete.go
+++ b/commands/delete.go
@@ -11,29 +11,29 @@
 	"petrelstep/wire"
 )
 
-func init() { subcommands.Register(&remove{}, "operators") }
+func init() { subcommands.Register(&deleteCommand{}, "operators") }
 
-// remove takes a resource out of the declaration.
-type remove struct {
+// deleteCommand deletes a declared resource.
+type deleteCommand struct {
 	target
 	version int
 }
 
-func (*remove) Name() string     { return "delete" }
-func (*remove) Synopsis() string { return "remove a declared resource" }
-func (*remove) Usage() string {
-	return `delete [-version N] KIND NAME: remove a resource that no other refers to.
+func (*deleteCommand) Name() string     { return "delete" }
+func (*deleteCommand) Synopsis() string { return "delete a declared resource" }
+func (*deleteCommand) Usage() string {
+	return `delete [-version N] KIND NAME: delete a resource that no other refers to.
 
   petrelstep delete Upstream leith-1
 `
 }
 
-func (c *remove) SetFlags(f *flag.FlagSet) {
-	c.operators(f)
-	f.IntVar(&c.version, "version", 0, "remove only this version")
+func (c *deleteCommand) SetFlags(f *flag.FlagSet) {
+	c.setOperatorFlags(f)
+	f.IntVar(&c.version, "version", 0, "delete only this version")
 }
 
-func (c *remove) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *deleteCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	boxes, ok := c.client()
 	if !ok || f.NArg() != 2 {
 		return exitUsage
--- a/commands/explain.go
+++ b/commands/explain.go
@@ -14,14 +14,14 @@
 
 func init() { subcommands.Register(&explain{}, "operators") }
 
-// explain tells one request's life from the boxes' logs.
+// explain prints the timeline of one request from the boxes' logs.
 type explain struct{ request string }
 
 func (*explain) Name() string     { return "explain" }
-func (*explain) Synopsis() string { return "tell a request's life from the logs of boxes" }
+func (*explain) Synopsis() string { return "print the timeline of a request from the logs of boxes" }
 func (*explain) Usage() string {
-	return `explain -request ID FILE...: print what the boxes' logs tell of a request, in order,
-with what each box that touched it learned or lost meanwhile. FILE - is standard input.
+	return `explain -request ID FILE...: print the log lines of a request, in order, with the
+state changes of each box that handled it. FILE - is standard input.
 
   petrelstep explain -request 9c41d07be2a35f68 box1.log box2.log
 `
@@ -33,19 +33,19 @@
 
 func (c *explain) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.request == "" || f.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "name the request by -request, and the logs")
+		fmt.Fprintln(os.Stderr, "set the request with -request, and name the logs")
 		return exitUsage
 	}
 	lines, err := readLogs(f.Args())
 	if err != nil {
 		return fail(err)
 	}
-	life := timeline.Of(lines, c.request)
-	if len(life) == 0 {
-		fmt.Fprintln(os.Stderr, "no line names request", c.request)
+	history := timeline.Of(lines, c.request)
+	if len(history) == 0 {
+		fmt.Fprintln(os.Stderr, "no log line names request", c.request)
 		return exitFailed
 	}
-	for _, l := range life {
+	for _, l := range history {
 		fmt.Println(l.Text)
 	}
 	return exitDone
--- a/commands/generate.go
+++ b/commands/generate.go
@@ -14,7 +14,7 @@
 
 func init() { subcommands.Register(&generate{}, "callers") }
 
-// generate asks for one generation.
+// generate requests one generation.
 type generate struct {
 	target
 	file    string
@@ -25,10 +25,10 @@
 }
 
 func (*generate) Name() string     { return "generate" }
-func (*generate) Synopsis() string { return "ask for one generation and print it" }
+func (*generate) Synopsis() string { return "request one generation and print it" }
 func (*generate) Usage() string {
-	return `generate -model MODEL [-f FILE] [TEXT]: print the answer as it comes, and a line
-on standard error that tells whether it was whole. Exits 0 done, 1 failed,
+	return `generate -model MODEL [-f FILE] [TEXT]: print the answer as it arrives, and its
+outcome on standard error, with whether the answer was complete. Exits 0 done, 1 failed,
 3 not run, 4 unknown.
 
   petrelstep generate -model assessor -f examples/survey-notes.txt
@@ -37,14 +37,14 @@
 }
 
 func (c *generate) SetFlags(f *flag.FlagSet) {
-	c.callers(f)
-	f.StringVar(&c.file, "f", "", "file of the prompt, or - for standard input")
+	c.setCallerFlags(f)
+	f.StringVar(&c.file, "f", "", "file with the prompt, or - for standard input")
 	f.StringVar(&c.request.Model, "model", "", "model")
 	f.StringVar(&c.request.Adapter, "adapter", "", "adapter")
 	f.StringVar(&c.class, "class", "draft", "draft, check or lookup")
-	f.IntVar(&c.request.MaxTokens, "max", 32768, "most tokens")
-	f.IntVar(&c.request.DeadlineMs, "deadline-ms", 600000, "longest wait for the first token")
-	f.BoolVar(&c.whole, "whole", false, "nothing until all is there")
+	f.IntVar(&c.request.MaxTokens, "max", 32768, "maximum number of tokens")
+	f.IntVar(&c.request.DeadlineMs, "deadline-ms", 600000, "maximum wait for the first token, in ms")
+	f.BoolVar(&c.whole, "whole", false, "deliver the answer only when it is complete")
 	f.BoolVar(&c.quiet, "q", false, "print only the line on standard error")
 }
 
@@ -55,7 +55,7 @@
 	}
 	c.request.Prompt = strings.Join(f.Args(), " ")
 	if c.file != "" {
-		raw, err := read(c.file)
+		raw, err := readFile(c.file)
 		if err != nil {
 			return fail(err)
 		}
@@ -77,8 +77,8 @@
 	fmt.Fprintf(os.Stderr, "ending=%s reason=%s tokens=%d whole=%v taken_up=%d first_ms=%d retry_after_ms=%d generation=%s\n",
 		out.Ending, out.Reason, out.Tokens, out.Whole, out.Resumed, out.First.Milliseconds(), out.RetryAfter.Milliseconds(), out.Generation)
 	if out.Ending == "done" && !out.Whole {
-		fmt.Fprintln(os.Stderr, "the answer was not whole:", out.Wrong)
+		fmt.Fprintln(os.Stderr, "the answer was not complete:", out.Wrong)
 		return exitFailed
 	}
-	return exitOf(out.Ending)
+	return exitStatusOf(out.Ending)
 }
--- a/commands/get.go
+++ b/commands/get.go
@@ -15,7 +15,7 @@
 
 func init() { subcommands.Register(&get{}, "operators") }
 
-// get prints resources.
+// get prints declared resources.
 type get struct {
 	target
 	output
@@ -24,7 +24,7 @@
 func (*get) Name() string     { return "get" }
 func (*get) Synopsis() string { return "print declared resources" }
 func (*get) Usage() string {
-	return `get [-o table|json] [KIND [NAME]]: print what is declared.
+	return `get [-o table|json] [KIND [NAME]]: print declared resources.
 
   petrelstep get
   petrelstep get -o json Placement leith-assessor
@@ -32,7 +32,7 @@
 }
 
 func (c *get) SetFlags(f *flag.FlagSet) {
-	c.operators(f)
+	c.setOperatorFlags(f)
 	c.output.setFlags(f)
 }
 
@@ -46,7 +46,7 @@
 		if err := boxes.Call(ctx, http.MethodGet, "/v1/resources/"+f.Arg(0)+"/"+f.Arg(1), nil, &item); err != nil {
 			return fail(err)
 		}
-		return c.print(item, func(w io.Writer) { table(w, []wire.Resource{item}) })
+		return c.print(item, func(w io.Writer) { printResources(w, []wire.Resource{item}) })
 	}
 	path := "/v1/resources"
 	if f.NArg() == 1 {
@@ -56,10 +56,10 @@
 	if err := boxes.Call(ctx, http.MethodGet, path, nil, &list); err != nil {
 		return fail(err)
 	}
-	return c.print(list, func(w io.Writer) { table(w, list.Items) })
+	return c.print(list, func(w io.Writer) { printResources(w, list.Items) })
 }
 
-func table(w io.Writer, items []wire.Resource) {
+func printResources(w io.Writer, items []wire.Resource) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "KIND\tNAME\tVERSION\tREVISION\tSPEC")
 	for _, i := range items {
--- a/commands/hash.go
+++ b/commands/hash.go
@@ -12,11 +12,11 @@
 
 func init() { subcommands.Register(&hash{}, "operators") }
 
-// hash prints the form in which API keys are kept.
+// hash prints the hash under which an API key is declared.
 type hash struct{}
 
 func (*hash) Name() string     { return "hash" }
-func (*hash) Synopsis() string { return "print the hash of an API key, as declared" }
+func (*hash) Synopsis() string { return "print the hash of an API key for use in a declaration" }
 func (*hash) Usage() string {
 	return `hash KEY: print the SHA-256 of a key, for key_hashes and operator_key_hash.
 
--- a/commands/load.go
+++ b/commands/load.go
@@ -21,22 +21,22 @@
 
 func init() { subcommands.Register(&load{}, "callers") }
 
-// load sends a mix of requests at a rate and reports what came of them.
+// load sends a mix of requests at a rate and reports the outcomes and latencies.
 type load struct {
 	target
 	output
-	model, checkModel string
-	rate              float64
-	drafts, checks    float64
-	last              time.Duration
-	seed              uint64
+	model, checkModel      string
+	rate                   float64
+	draftShare, checkShare float64
+	duration               time.Duration
+	seed                   uint64
 }
 
 func (*load) Name() string     { return "load" }
 func (*load) Synopsis() string { return "send a mix of requests and report stall, gaps and outcomes" }
 func (*load) Usage() string {
-	return `load -model MODEL [-rate 5] [-for 10s] [-drafts 0.3] [-checks 0.5]: send requests at a
-rate, the rest of the parts being lookups; the report tells first token, gaps,
+	return `load -model MODEL [-rate 5] [-for 10s] [-drafts 0.3] [-checks 0.5]: send drafts,
+checks and, for the remaining share, lookups at a rate; report first token, gaps,
 stall and outcomes by reason. Exits 1 if any answer was wrong.
 
   petrelstep load -model assessor -rate 5 -for 10s
@@ -45,14 +45,14 @@
 }
 
 func (c *load) SetFlags(f *flag.FlagSet) {
-	c.callers(f)
+	c.setCallerFlags(f)
 	c.output.setFlags(f)
 	f.StringVar(&c.model, "model", "", "model of drafts")
-	f.StringVar(&c.checkModel, "check-model", "", "model of checks and lookups; the same if empty")
+	f.StringVar(&c.checkModel, "check-model", "", "model of checks and lookups; the model of drafts if empty")
 	f.Float64Var(&c.rate, "rate", 5, "requests a second")
-	f.Float64Var(&c.drafts, "drafts", 0.3, "part of drafts")
-	f.Float64Var(&c.checks, "checks", 0.5, "part of checks")
-	f.DurationVar(&c.last, "for", 10*time.Second, "how long to send")
+	f.Float64Var(&c.draftShare, "drafts", 0.3, "share of drafts")
+	f.Float64Var(&c.checkShare, "checks", 0.5, "share of checks")
+	f.DurationVar(&c.duration, "for", 10*time.Second, "how long to send")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the mix")
 }
 
@@ -61,7 +61,7 @@
 	P50, P95, P99, P999, Max float64
 }
 
-// loadReport is what came of a load.
+// loadReport holds the results of a load.
 type loadReport struct {
 	Requests     int
 	Tokens       int
@@ -73,30 +73,30 @@
 	Reasons      map[string]int
 	FirstMs      quantiles
 	GapMs        quantiles
-	StallMs      quantiles // of a request, beyond 440 ms for the first token and 200 ms for gaps
+	StallMs      quantiles // time of a request beyond 440 ms for the first token and 200 ms for gaps
 }
 
-// tally gathers outcomes of all requests.
-type tally struct {
+// collector aggregates the outcomes of all requests.
+type collector struct {
 	mu                 sync.Mutex
 	report             loadReport
 	first, gaps, stall *hdrhistogram.Histogram
 }
 
 const (
-	microsMost  = int64(time.Hour / time.Microsecond)
-	digits      = 3
-	stallFirst  = 440 * time.Millisecond
-	stallGap    = 200 * time.Millisecond
-	progressFor = time.Second
+	maxMicros         = int64(time.Hour / time.Microsecond)
+	significantDigits = 3
+	firstTokenTarget  = 440 * time.Millisecond
+	gapTarget         = 200 * time.Millisecond
+	progressInterval  = time.Second
 )
 
-func newTally() *tally {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, microsMost, digits) }
-	return &tally{report: loadReport{Endings: map[string]int{}, Reasons: map[string]int{}}, first: h(), gaps: h(), stall: h()}
+func newCollector() *collector {
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, significantDigits) }
+	return &collector{report: loadReport{Endings: map[string]int{}, Reasons: map[string]int{}}, first: h(), gaps: h(), stall: h()}
 }
 
-func (t *tally) add(o client.Outcome) {
+func (t *collector) add(o client.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := &t.report
@@ -113,17 +113,17 @@
 	if o.Tokens == 0 {
 		return
 	}
-	// Durations beyond the histogram's bound are counted at it.
-	stall := max(o.First-stallFirst, 0)
-	_ = t.first.RecordValue(min(o.First.Microseconds(), microsMost))
+	// Durations beyond the histogram's range count as its maximum.
+	stall := max(o.First-firstTokenTarget, 0)
+	_ = t.first.RecordValue(min(o.First.Microseconds(), maxMicros))
 	for _, g := range o.Gaps {
-		_ = t.gaps.RecordValue(min(g.Microseconds(), microsMost))
-		stall += max(g-stallGap, 0)
+		_ = t.gaps.RecordValue(min(g.Microseconds(), maxMicros))
+		stall += max(g-gapTarget, 0)
 	}
-	_ = t.stall.RecordValue(min(stall.Microseconds(), microsMost))
+	_ = t.stall.RecordValue(min(stall.Microseconds(), maxMicros))
 }
 
-func (t *tally) finish(took time.Duration) loadReport {
+func (t *collector) finish(took time.Duration) loadReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.report
@@ -146,7 +146,7 @@
 	if c.checkModel == "" {
 		c.checkModel = c.model
 	}
-	t := newTally()
+	t := newCollector()
 	began := time.Now()
 	c.send(ctx, boxes, t)
 	report := t.finish(time.Since(began))
@@ -159,13 +159,13 @@
 	return exitDone
 }
 
-// send sends at the rate, whatever the answers take, and waits for them all.
-func (c *load) send(ctx context.Context, boxes *client.Client, t *tally) {
+// send sends requests at the rate, independent of response times, and waits for all.
+func (c *load) send(ctx context.Context, boxes *client.Client, t *collector) {
 	rng := rand.New(rand.NewPCG(c.seed, 0))
 	stop := c.progress(t)
 	defer stop()
 	var all sync.WaitGroup
-	end := time.Now().Add(c.last)
+	end := time.Now().Add(c.duration)
 	for n := 0; time.Now().Before(end); n++ {
 		req := c.request(rng, n)
 		all.Go(func() { t.add(boxes.Generate(ctx, n, req, nil)) })
@@ -181,23 +181,23 @@
 	}
 	u := rng.Float64()
 	switch {
-	case u < c.drafts:
+	case u < c.draftShare:
 		req.Model, req.Class, req.Prompt = c.model, wire.GenerationRequestClassDraft, fmt.Sprintf("draft the reasoning for case %d", n)
-	case u < c.drafts+c.checks:
+	case u < c.draftShare+c.checkShare:
 		req.Class, req.Prompt = wire.GenerationRequestClassCheck, fmt.Sprintf("is item %d in order?", n)
 	}
 	return req
 }
 
-// progress writes a line on a terminal until it is stopped.
-func (c *load) progress(t *tally) func() {
+// progress updates a line on a terminal until it is stopped.
+func (c *load) progress(t *collector) func() {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return func() {}
 	}
 	done := make(chan struct{})
 	go func() {
-		tick := time.NewTicker(progressFor)
+		tick := time.NewTicker(progressInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -215,7 +215,7 @@
 }
 
 func (r loadReport) table(w io.Writer) {
-	fmt.Fprintf(w, "requests %d in %.1f s, tokens %d (%.0f a second), taken up %d, wrong %d\n", r.Requests, r.Seconds, r.Tokens, r.TokensPerSec, r.TakenUp, r.Wrong)
+	fmt.Fprintf(w, "requests %d in %.1f s, tokens %d (%.0f a second), resumed %d, wrong %d\n", r.Requests, r.Seconds, r.Tokens, r.TokensPerSec, r.TakenUp, r.Wrong)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "ms\tp50\tp95\tp99\tp99.9\tmax\t")
 	for _, row := range []struct {
@@ -225,17 +225,17 @@
 		fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", row.name, row.q.P50, row.q.P95, row.q.P99, row.q.P999, row.q.Max)
 	}
 	_ = t.Flush()
-	counts(w, "ending", r.Endings)
-	counts(w, "reason", r.Reasons)
+	printCounts(w, "ending", r.Endings)
+	printCounts(w, "reason", r.Reasons)
 }
 
-func counts(w io.Writer, what string, m map[string]int) {
+func printCounts(w io.Writer, label string, m map[string]int) {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		fmt.Fprintf(w, "%s %s %d\n", what, k, m[k])
+		fmt.Fprintf(w, "%s %s %d\n", label, k, m[k])
 	}
 }
--- a/commands/status.go
+++ b/commands/status.go
@@ -16,7 +16,7 @@
 
 func init() { subcommands.Register(&status{}, "operators") }
 
-// status prints desired against actual state.
+// status prints the desired and the actual state.
 type status struct {
 	target
 	output
@@ -27,9 +27,9 @@
 func (*status) Name() string     { return "status" }
 func (*status) Synopsis() string { return "print desired and actual state, hall by hall" }
 func (*status) Usage() string {
-	return `status [-wait 30s] [-expect BOXES] [-o table|json]: print for each hall what is declared, what
-is so, since when, and why not. With -wait it waits until all is as declared,
-and exits 1 if it is not by then.
+	return `status [-wait 30s] [-expect BOXES] [-o table|json]: print for each hall the desired
+and the actual state, for how long, and the reason for a difference. With -wait it waits
+until the actual state is as declared, and exits 1 if it is not by then.
 
   petrelstep status
   petrelstep status -wait 1m -o json
@@ -37,10 +37,10 @@
 }
 
 func (c *status) SetFlags(f *flag.FlagSet) {
-	c.operators(f)
+	c.setOperatorFlags(f)
 	c.output.setFlags(f)
-	f.IntVar(&c.expect, "expect", 0, "with -wait: so many boxes must be seen")
-	f.DurationVar(&c.wait, "wait", 0, "wait so long for all to be as declared")
+	f.IntVar(&c.expect, "expect", 0, "with -wait: number of boxes that must be known")
+	f.DurationVar(&c.wait, "wait", 0, "maximum wait for the state to be as declared")
 }
 
 func (c *status) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -48,14 +48,14 @@
 	if !ok {
 		return exitUsage
 	}
-	const lookEvery = 200 * time.Millisecond
+	const pollInterval = 200 * time.Millisecond
 	until := time.Now().Add(c.wait)
 	for {
 		var s wire.Status
 		err := boxes.Call(ctx, http.MethodGet, "/v1/status", nil, &s)
 		converged := err == nil && len(s.Boxes) >= c.expect && converged(s)
 		if !converged && time.Now().Before(until) {
-			time.Sleep(lookEvery)
+			time.Sleep(pollInterval)
 			continue
 		}
 		if err != nil {
--- a/commands/version.go
+++ b/commands/version.go
@@ -10,17 +10,17 @@
 	"petrelstep/version"
 )
 
-func init() { subcommands.Register(&about{}, "") }
+func init() { subcommands.Register(&versionCommand{}, "") }
 
-// about prints the version.
-type about struct{}
+// versionCommand prints the version.
+type versionCommand struct{}
 
-func (*about) Name() string           { return "version" }
-func (*about) Synopsis() string       { return "print the version" }
-func (*about) Usage() string          { return "version: print the version.\n" }
-func (*about) SetFlags(*flag.FlagSet) {}
+func (*versionCommand) Name() string           { return "version" }
+func (*versionCommand) Synopsis() string       { return "print the version" }
+func (*versionCommand) Usage() string          { return "version: print the version.\n" }
+func (*versionCommand) SetFlags(*flag.FlagSet) {}
 
-func (*about) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
+func (*versionCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	fmt.Println("petrelstep", version.Version)
 	return exitDone
 }
--- a/commands/view.go
+++ b/commands/view.go
@@ -20,10 +20,10 @@
 
 func init() { subcommands.Register(&view{}, "operators") }
 
-// viewTime bounds the question to one box.
-const viewTime = 2 * time.Second
+// viewTimeout bounds the query of one box.
+const viewTimeout = 2 * time.Second
 
-// view prints what each box is to the others, and how old what it knows is.
+// view prints the role of each box and the age of its view of the fleet.
 type view struct {
 	boxes string
 	output
@@ -31,14 +31,14 @@
 
 func (*view) Name() string { return "view" }
 func (*view) Synopsis() string {
-	return "print which boxes are hubs and keepers, and how old their views are"
+	return "print which boxes are hubs and queue owners, and how old their views are"
 }
 func (*view) Usage() string {
-	return `view [-boxes ADDRESS,...] [-o table|json]: ask each box before the users' platform, at its operators'
-address, whether it is a hub, follows the store or keeps a queue, and how old what it
-knows is. EVACUATED names the halls whose upstreams get nothing new, and for how long
-the box has known it. Exits 1 if a box does not answer, boxes name different hubs, or
-one has not heard that a hall is evacuated or taken back.
+	return `view [-boxes ADDRESS,...] [-o table|json]: query each box in front of the users' platform, at its
+admin address: whether it is a hub, follows the store or owns a queue, and the age of its
+view. EVACUATED names the halls whose upstreams get no new requests, and for how long
+the box has known it. Exits 1 if a box does not answer, or if boxes name different hubs
+or evacuated halls.
 
   petrelstep view -boxes 10.1.0.19:7135,10.1.0.20:7135
 `
@@ -46,18 +46,18 @@
 
 func (c *view) SetFlags(f *flag.FlagSet) {
 	c.output.setFlags(f)
-	f.StringVar(&c.boxes, "boxes", os.Getenv("PETRELSTEP_ADMIN"), "operators' addresses of boxes, IP:port (default $PETRELSTEP_ADMIN)")
+	f.StringVar(&c.boxes, "boxes", os.Getenv("PETRELSTEP_ADMIN"), "admin addresses of boxes, IP:port (default $PETRELSTEP_ADMIN)")
 }
 
 func (c *view) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.boxes == "" {
-		fmt.Fprintln(os.Stderr, "name the boxes by -boxes or $PETRELSTEP_ADMIN")
+		fmt.Fprintln(os.Stderr, "set the boxes with -boxes or $PETRELSTEP_ADMIN")
 		return exitUsage
 	}
 	code := exitDone
 	var views []wire.BoxView
 	for box := range strings.SplitSeq(c.boxes, ",") {
-		v, err := ask(ctx, box)
+		v, err := queryView(ctx, box)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, box+": "+err.Error())
 			code = exitFailed
@@ -65,11 +65,11 @@
 		}
 		views = append(views, v)
 	}
-	if hubs := differ(views, hubs); len(hubs) > 1 {
+	if hubs := distinct(views, hubList); len(hubs) > 1 {
 		fmt.Fprintln(os.Stderr, "boxes name different hubs: "+strings.Join(hubs, "; "))
 		code = exitFailed
 	}
-	if lists := differ(views, evacuated); len(lists) > 1 {
+	if lists := distinct(views, evacuatedHalls); len(lists) > 1 {
 		fmt.Fprintln(os.Stderr, "boxes name different evacuated halls: "+strings.Join(lists, "; "))
 		code = exitFailed
 	}
@@ -79,18 +79,18 @@
 	return code
 }
 
-func ask(ctx context.Context, box string) (v wire.BoxView, err error) {
-	ctx, cancel := context.WithTimeout(ctx, viewTime)
+func queryView(ctx context.Context, box string) (v wire.BoxView, err error) {
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	boxes := client.New([]string{"http://" + box}, "")
 	defer boxes.Close()
 	return v, boxes.Call(ctx, http.MethodGet, "/v1/view", nil, &v)
 }
 
-func hubs(v wire.BoxView) string { return strings.Join(v.Hubs, " ") }
+func hubList(v wire.BoxView) string { return strings.Join(v.Hubs, " ") }
 
-// evacuated names the evacuated halls, by name; none as a dash.
-func evacuated(v wire.BoxView) string {
+// evacuatedHalls returns the names of the evacuated halls, or a dash for none.
+func evacuatedHalls(v wire.BoxView) string {
 	var names []string
 	for _, h := range v.Halls {
 		if h.Evacuated {
@@ -100,23 +100,23 @@
 	return cmp.Or(strings.Join(names, " "), "-")
 }
 
-// evacuatedSince names them with how long the box has known it.
+// evacuatedSince returns the evacuated halls with how long the box has known it.
 func evacuatedSince(v wire.BoxView) string {
 	var names []string
 	for _, h := range v.Halls {
 		if h.Evacuated {
-			names = append(names, h.Hall+" "+age(h.SinceMs))
+			names = append(names, h.Hall+" "+formatAge(h.SinceMs))
 		}
 	}
 	return cmp.Or(strings.Join(names, ","), "-")
 }
 
-// differ returns what boxes say, each once.
-func differ(views []wire.BoxView, says func(wire.BoxView) string) []string {
+// distinct returns the different values of a field among the views.
+func distinct(views []wire.BoxView, field func(wire.BoxView) string) []string {
 	var lists []string
 	seen := map[string]bool{}
 	for _, v := range views {
-		if list := says(v); !seen[list] {
+		if list := field(v); !seen[list] {
 			seen[list] = true
 			lists = append(lists, list)
 		}
@@ -133,14 +133,14 @@
 			state = "stops"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%t\t%t\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%s\n", v.Box, v.Hall, v.Hub, v.Reads,
-			strings.Join(v.Keeps, ","), v.Nearest, v.Boxes, v.Told, v.Tells, v.Version, age(v.ConfigurationAgeMs), v.Upstreams, age(v.UpstreamsAgeMs),
-			age(v.LoadsAgeMs), age(v.StoreSilentMs), evacuatedSince(v), v.Waiting, v.Serving, state)
+			strings.Join(v.Keeps, ","), v.Nearest, v.Boxes, v.Told, v.Tells, v.Version, formatAge(v.ConfigurationAgeMs), v.Upstreams, formatAge(v.UpstreamsAgeMs),
+			formatAge(v.LoadsAgeMs), formatAge(v.StoreSilentMs), evacuatedSince(v), v.Waiting, v.Serving, state)
 	}
 	_ = t.Flush()
 }
 
-// age writes an age in ms; that of what is not known as a dash.
-func age(ms int) string {
+// formatAge formats an age in ms; an unknown (negative) age becomes a dash.
+func formatAge(ms int) string {
 	if ms < 0 {
 		return "-"
 	}
--- a/commands/watch.go
+++ b/commands/watch.go
@@ -14,7 +14,7 @@
 
 func init() { subcommands.Register(&watch{}, "operators") }
 
-// watch prints changes as they come.
+// watch prints changes and states as they arrive.
 type watch struct {
 	target
 	revision int
@@ -22,19 +22,19 @@
 }
 
 func (*watch) Name() string     { return "watch" }
-func (*watch) Synopsis() string { return "print changes and the state as they come" }
+func (*watch) Synopsis() string { return "print changes and the state as they arrive" }
 func (*watch) Usage() string {
 	return `watch [-revision N] [-n COUNT]: print each change after a revision, and the state
-each second, one JSON object a line after its name, until interrupted.
+every second, one per line as a name and a JSON object, until interrupted.
 
   petrelstep watch -n 1
 `
 }
 
 func (c *watch) SetFlags(f *flag.FlagSet) {
-	c.operators(f)
+	c.setOperatorFlags(f)
 	f.IntVar(&c.revision, "revision", 0, "print changes after this one")
-	f.IntVar(&c.count, "n", 0, "stop after so many states, 0 for never")
+	f.IntVar(&c.count, "n", 0, "stop after this number of states, 0 for never")
 }
 
 func (c *watch) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
