--- a/cmd/petrelstep-experiment/main.go
+++ b/cmd/petrelstep-experiment/main.go
@@ -1,5 +1,5 @@
-// Command petrelstep-experiment measures the policies in all scenarios, in
-// virtual time. It prints the same figures on each run.
+// Command petrelstep-experiment runs the policies in all scenarios in virtual time and
+// prints the results, which are the same for each run.
 package main
 
 import (
@@ -15,20 +15,18 @@
 	"petrelstep/report"
 )
 
-// crowdedSeeds are for the scenarios that the bars are set in; others take
-// the first. None of them was tuned on: that was done on seeds 1 and 2.
-const crowdedSeeds = "11,12,13"
+// defaultSeeds are the seeds of the crowded scenarios; the others use the first.
+const defaultSeeds = "11,12,13"
 
-// collectRarely is the garbage collector's percentage.
-const collectRarely = 1000
+// gcPercent makes garbage collection rare: runs allocate much and keep little.
+const gcPercent = 1000
 
 func main() {
-	scenarios := flag.String("scenarios", "", "names, comma-separated; empty for all")
-	policies := flag.String("policies", strings.Join(experiment.Policies(), ","), "names, comma-separated")
-	seeds := flag.String("seeds", crowdedSeeds, "seeds of the crowded scenarios; the others take the first")
+	scenarios := flag.String("scenarios", "", "scenario names, comma-separated; empty for all")
+	policies := flag.String("policies", strings.Join(experiment.Policies(), ","), "policy names, comma-separated")
+	seeds := flag.String("seeds", defaultSeeds, "seeds of the crowded scenarios, comma-separated; the others use the first")
 	flag.Parse()
-	// Runs allocate much and keep little.
-	debug.SetGCPercent(collectRarely)
+	debug.SetGCPercent(gcPercent)
 	var reports []*report.Report
 	limit := make(chan struct{}, runtime.NumCPU())
 	for _, s := range experiment.Scenarios() {
@@ -37,7 +35,7 @@
 		}
 		reports = append(reports, report.New(s.Name))
 	}
-	measure(reports, strings.Split(*policies, ","), parse(*seeds), limit)
+	runAll(reports, strings.Split(*policies, ","), parseSeeds(*seeds), limit)
 	for _, r := range reports {
 		r.Table(os.Stdout)
 	}
@@ -47,9 +45,9 @@
 	}
 }
 
-// measure makes all runs, as many at once as there are cores. Results are
-// added in a fixed order.
-func measure(reports []*report.Report, policies []string, seeds []uint64, limit chan struct{}) {
+// runAll executes all runs, with concurrency bounded by limit, and adds the results in
+// a fixed order.
+func runAll(reports []*report.Report, policies []string, seeds []uint64, limit chan struct{}) {
 	type slot struct {
 		report *report.Report
 		result experiment.Result
@@ -82,12 +80,12 @@
 	return seeds[:1]
 }
 
-func parse(list string) []uint64 {
+func parseSeeds(list string) []uint64 {
 	var seeds []uint64
 	for _, s := range strings.Split(list, ",") {
 		n, err := strconv.ParseUint(s, 10, 64)
 		if err != nil {
-			os.Stderr.WriteString("-seeds: " + s + " is no number\n")
+			os.Stderr.WriteString("-seeds: " + s + " is not a number\n")
 			os.Exit(2)
 		}
 		seeds = append(seeds, n)
--- a/cmd/petrelstep-soak-own/main.go
+++ b/cmd/petrelstep-soak-own/main.go
@@ -1,6 +1,5 @@
-// Command petrelstep-soak-own keeps callers and operators at work on the example
-// set and checks what they were told. It strikes nothing itself; scripts/soak-own
-// does.
+// Command petrelstep-soak-own runs callers and operators against the example cluster
+// and checks the answers that they get. The faults are injected by scripts/soak-own.
 package main
 
 import (
@@ -15,11 +14,11 @@
 )
 
 func main() {
-	callers := flag.String("boxes", os.Getenv("PETRELSTEP_BOXES"), "callers' addresses of boxes")
-	admins := flag.String("admin", os.Getenv("PETRELSTEP_ADMIN"), "operators' addresses of boxes")
-	last := flag.Duration("for", time.Minute, "how long")
-	seed := flag.Uint64("seed", 1, "seed")
-	workers := flag.Int("workers", 8, "callers of each sort")
+	callers := flag.String("boxes", os.Getenv("PETRELSTEP_BOXES"), "caller addresses of boxes")
+	admins := flag.String("admin", os.Getenv("PETRELSTEP_ADMIN"), "admin addresses of boxes")
+	last := flag.Duration("for", time.Minute, "duration of the run")
+	seed := flag.Uint64("seed", 1, "seed of the requests")
+	workers := flag.Int("workers", 8, "number of callers of each kind")
 	flag.Parse()
 	s := own.New(own.Options{
 		Callers: urls(*callers), Admins: urls(*admins), History: "http://127.0.0.1:9301/history",
--- a/cmd/petrelstep-soak/main.go
+++ b/cmd/petrelstep-soak/main.go
@@ -1,5 +1,5 @@
-// Command petrelstep-soak strikes a site of real processes on loopback under
-// load, and checks the promises by what callers and workers saw.
+// Command petrelstep-soak injects faults into a site of real processes on loopback under
+// load, and checks the guarantees by what callers and workers observed.
 package main
 
 import (
@@ -16,18 +16,18 @@
 
 func main() {
 	var o soak.Options
-	flag.StringVar(&o.Site.Daemon, "daemon", "build/petrelstepd", "program of the boxes")
-	flag.StringVar(&o.Site.Dir, "dir", "", "for settings and logs; a new one if empty")
-	flag.IntVar(&o.Site.Boxes, "boxes", 5, "boxes")
-	flag.IntVar(&o.Site.Engines, "engines", 5, "workers with streams")
-	flag.IntVar(&o.Site.Plain, "plain", 3, "workers of the plain service")
-	flag.IntVar(&o.Callers, "callers", 24, "callers")
-	flag.Uint64Var(&o.Seed, "seed", uint64(time.Now().UnixNano()%1_000_000), "seed of strikes and requests")
-	flag.BoolVar(&o.Crowds, "crowds", false, "callers press the plain service at times")
-	flag.BoolVar(&o.Ends, "ends", false, "one caller comes with a request under which workers end")
-	flag.BoolVar(&o.Needs, "needs", false, "workers name limits")
-	flag.BoolVar(&o.Words, "words", false, "workers leave by their answers, and ask for rest")
-	flag.DurationVar(&o.Last, "for", 20*time.Second, "how long to strike")
+	flag.StringVar(&o.Site.Daemon, "daemon", "build/petrelstepd", "path of the daemon that the boxes run")
+	flag.StringVar(&o.Site.Dir, "dir", "", "directory for settings and logs; a new one if empty")
+	flag.IntVar(&o.Site.Boxes, "boxes", 5, "number of boxes")
+	flag.IntVar(&o.Site.Engines, "engines", 5, "number of workers that stream")
+	flag.IntVar(&o.Site.Plain, "plain", 3, "number of workers of the plain service")
+	flag.IntVar(&o.Callers, "callers", 24, "number of callers")
+	flag.Uint64Var(&o.Seed, "seed", uint64(time.Now().UnixNano()%1_000_000), "seed of faults and requests")
+	flag.BoolVar(&o.Crowds, "crowds", false, "callers overload the plain service at times")
+	flag.BoolVar(&o.Ends, "ends", false, "one caller sends a request during which workers die")
+	flag.BoolVar(&o.Needs, "needs", false, "workers announce request limits")
+	flag.BoolVar(&o.Words, "words", false, "workers announce in their responses that they leave, and request backoffs")
+	flag.DurationVar(&o.Last, "for", 20*time.Second, "how long to inject faults")
 	flag.Parse()
 	os.Exit(run(o))
 }
--- a/cmd/petrelstep-standin/main.go
+++ b/cmd/petrelstep-standin/main.go
@@ -1,5 +1,5 @@
-// Command petrelstep-standin runs small stand-ins for the platform, model
-// engines and plain services, for tests and the first run only.
+// Command petrelstep-standin runs small stand-ins for the platform, model engines and
+// plain services, for tests and demonstrations only.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	os.Exit(int(subcommands.Execute(ctx)))
 }
 
-// serve answers on an address until ctx ends.
+// serve serves HTTP on an address until ctx ends.
 func serve(ctx context.Context, address string, h http.Handler) subcommands.ExitStatus {
 	s := &http.Server{Addr: address, Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	context.AfterFunc(ctx, func() { _ = s.Close() })
@@ -56,15 +56,15 @@
 }
 
 func (c *engineCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.listen, "listen", "127.0.0.1:9201", "address")
-	f.StringVar(&c.options.Name, "name", "e1", "name")
-	f.StringVar(&c.options.Model, "model", "", "model loaded at the start")
-	f.StringVar(&c.options.Platform, "platform", "", "address of the weight store; empty loads at once")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:9201", "address to listen on")
+	f.StringVar(&c.options.Name, "name", "e1", "name of the engine")
+	f.StringVar(&c.options.Model, "model", "", "model loaded at start")
+	f.StringVar(&c.options.Platform, "platform", "", "address of the weight store; if empty, models load at once")
 	f.BoolVar(&c.options.Fenced, "fenced", false, "check the fence of orders")
-	f.Uint64Var(&c.options.Seed, "seed", 1, "seed of hidden lengths")
-	f.Float64Var(&c.options.Speed, "speed", 1, "steps are so many times faster")
-	f.Float64Var(&c.options.DraftWords, "draft", 400, "median length of drafts, tokens")
-	f.IntVar(&c.lagMs, "lag-ms", 500, "age of load reports")
+	f.Uint64Var(&c.options.Seed, "seed", 1, "seed of the output lengths")
+	f.Float64Var(&c.options.Speed, "speed", 1, "factor by which steps are faster")
+	f.Float64Var(&c.options.DraftWords, "draft", 400, "median length of drafts in tokens")
+	f.IntVar(&c.lagMs, "lag-ms", 500, "age of load reports in ms")
 }
 
 func (c *engineCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -82,7 +82,7 @@
 func (*serviceCommand) Usage() string    { return "service -listen IP:PORT\n" }
 
 func (c *serviceCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.listen, "listen", "127.0.0.1:9301", "address")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:9301", "address to listen on")
 }
 
 func (c *serviceCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -101,10 +101,10 @@
 func (*platformCommand) Usage() string    { return "platform -listen IP:PORT\n" }
 
 func (c *platformCommand) SetFlags(f *flag.FlagSet) {
-	f.StringVar(&c.listen, "listen", "127.0.0.1:9001", "address")
-	f.IntVar(&c.lagMs, "member-lag-ms", 1000, "lag of the list of boxes")
-	f.Float64Var(&c.options.WeightsPerSec, "weights", 2, "reads of weights a second")
-	f.Float64Var(&c.options.WritesPerSecond, "writes", 200, "transactions a second")
+	f.StringVar(&c.listen, "listen", "127.0.0.1:9001", "address to listen on")
+	f.IntVar(&c.lagMs, "member-lag-ms", 1000, "lag of the member list in ms")
+	f.Float64Var(&c.options.WeightsPerSec, "weights", 2, "weight reads per second")
+	f.Float64Var(&c.options.WritesPerSecond, "writes", 200, "transactions per second")
 }
 
 func (c *platformCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/cmd/petrelstep/main.go
+++ b/cmd/petrelstep/main.go
@@ -1,4 +1,4 @@
-// Command petrelstep is the operators' and callers' command line.
+// Command petrelstep is the command line for operators and callers.
 package main
 
 import (
--- a/cmd/petrelstepd/main.go
+++ b/cmd/petrelstepd/main.go
@@ -1,4 +1,4 @@
-// Command petrelstepd is the daemon; every box runs the same one.
+// Command petrelstepd is the daemon that every box runs.
 package main
 
 import (
@@ -29,7 +29,7 @@
 )
 
 func main() {
-	settings := flag.String("settings", "petrelstep.json", "file of JSON settings")
+	settings := flag.String("settings", "petrelstep.json", "file with JSON settings")
 	check := flag.Bool("check", false, "check the settings and exit")
 	about := flag.Bool("version", false, "print the version and exit")
 	flag.Parse()
@@ -43,17 +43,17 @@
 		os.Exit(exitSettings)
 	}
 	if *check {
-		fmt.Println("settings are right")
+		fmt.Println("settings are valid")
 		return
 	}
 	os.Exit(run(c))
 }
 
-// logTime is the longest wait at the end for lines that are not yet written.
-const logTime = 200 * time.Millisecond
+// logFlushTimeout bounds the wait at exit for log lines that are not yet written.
+const logFlushTimeout = 200 * time.Millisecond
 
-// box is a box of either kind: with petrelstep's own interface to callers and
-// operators, or before the users' platform.
+// box is a daemon of either kind: with petrelstep's own interface for callers and
+// operators, or in front of the users' platform.
 type box interface {
 	Run(ctx context.Context) error
 	Drain()
@@ -67,13 +67,13 @@
 		return exitFailed
 	}
 	out := logs.NewBounded(os.Stdout, counts.LinesDropped)
-	defer out.Close(logTime)
+	defer out.Close(logFlushTimeout)
 	log := logs.New(out, string(c.LogLevel), c.Box)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	b, err := newBox(ctx, c, log, counts)
 	if err == nil {
-		go signals(b, cancel)
+		go handleSignals(b, cancel)
 		err = b.Run(ctx)
 	}
 	if err != nil {
@@ -91,24 +91,24 @@
 		}
 		return d.OnClock(timer.Boot), nil
 	}
-	debug.SetMemoryLimit(int64(memoryPart * c.Edge.MemoryMb * megabyte))
+	debug.SetMemoryLimit(int64(memoryLimitShare * c.Edge.MemoryMb * megabyte))
 	return edge.New(c, log, counts).OnClock(timer.Boot), nil
 }
 
 const (
 	megabyte = 1 << 20
-	// memoryPart of a box's memory is what the collector keeps the heap under;
-	// the rest is for stacks, buffers of connections and the program itself.
-	memoryPart = 0.6
+	// memoryLimitShare is the share of a box's memory that is set as the soft limit of
+	// the Go runtime; the rest is headroom.
+	memoryLimitShare = 0.6
 )
 
-// signals drains on the first signal to stop and ends at once on the second;
-// SIGHUP reads the key files again.
-func signals(d box, cancel context.CancelFunc) {
-	got := make(chan os.Signal, 4)
-	signal.Notify(got, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+// handleSignals drains on the first SIGTERM or SIGINT and stops at once on the second;
+// SIGHUP reloads the certificates.
+func handleSignals(d box, cancel context.CancelFunc) {
+	received := make(chan os.Signal, 4)
+	signal.Notify(received, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	stops := 0
-	for s := range got {
+	for s := range received {
 		if s == syscall.SIGHUP {
 			d.Reload()
 			continue
