--- a/lossreport/chart.go
+++ b/lossreport/chart.go
@@ -9,11 +9,11 @@
 const (
 	chartWidth  = 1200
 	chartHeight = 480
-	// labelCount is how many seconds are named on the axis.
+	// labelCount is the number of labelled seconds on the axis.
 	labelCount = 12
 )
 
-// Chart draws what became of the requests of each second, as an SVG.
+// Chart returns an SVG chart of the outcomes of requests by the second of their end.
 func (l *Report) Chart() ([]byte, error) {
 	if len(l.requests) == 0 {
 		return nil, &EmptyError{}
@@ -35,7 +35,7 @@
 	stacked := true
 	option := charts.NewBarChartOptionWithData(values)
 	option.StackSeries = &stacked
-	option.Title = charts.TitleOption{Text: "What became of requests, by the second of their end"}
+	option.Title = charts.TitleOption{Text: "Outcomes of requests, by the second of their end"}
 	option.CategoryAxis.Labels = names
 	option.CategoryAxis.LabelCount = labelCount
 	option.Legend = charts.LegendOption{SeriesNames: outcomes, Offset: charts.OffsetStr{Top: "24"}}
@@ -46,8 +46,8 @@
 	return painter.Bytes()
 }
 
-// EmptyError says that the logs tell of no request.
+// EmptyError reports that the logs contain no finished request.
 type EmptyError struct{}
 
 // Error implements error.
-func (*EmptyError) Error() string { return "the logs tell of no request" }
+func (*EmptyError) Error() string { return "the logs contain no finished request" }
--- a/lossreport/lossreport.go
+++ b/lossreport/lossreport.go
@@ -1,6 +1,6 @@
-// Package lossreport reads the logs of boxes and tells where time and answers were
-// lost: of which routes, organisations, halls, engines and seconds, and whether
-// in the queue, at the engine, by pauses or by refusals.
+// Package lossreport reports from the logs of boxes where time and answers were lost: by
+// route, organisation, hall, engine and second, and whether in the queue, at the engine,
+// by pauses or by refusals.
 package lossreport
 
 import (
@@ -12,50 +12,50 @@
 	"petrelstep/timeline"
 )
 
-// What becomes of requests. An answer that is late for several reasons counts
-// under the first of them.
+// Outcomes of requests. An answer that is late for several reasons counts under the first
+// of them.
 const (
-	inTime    = "in_time"
-	lateQueue = "late_queue" // its first event: most of the time was waited for room
-	lateFirst = "late_first" // its first event, or its whole answer
-	lateMove  = "late_move"  // a pause over a move
-	lateFar   = "late_far"   // a pause of a stream between halls
-	lateNear  = "late_near"  // a pause of a stream within its hall
-	failed    = "failed"     // the upstream's own failure
-	lost      = "lost"       // a stream that broke
-	refused   = "refused"
-	gone      = "caller_gone"
+	inTime     = "in_time"
+	lateQueue  = "late_queue" // late first event, mainly because of queueing
+	lateFirst  = "late_first" // late first event or whole answer
+	lateMove   = "late_move"  // pause during a move to another upstream
+	lateFar    = "late_far"   // pause of a stream between halls
+	lateNear   = "late_near"  // pause of a stream within a hall
+	failed     = "failed"     // failure status from the upstream
+	lost       = "lost"       // response that broke off
+	refused    = "refused"
+	callerGone = "caller_gone"
 )
 
-// outcomes is the order of columns.
-var outcomes = []string{inTime, lateQueue, lateFirst, lateMove, lateFar, lateNear, failed, lost, refused, gone}
+// outcomes lists the outcomes in the order of columns.
+var outcomes = []string{inTime, lateQueue, lateFirst, lateMove, lateFar, lateNear, failed, lost, refused, callerGone}
 
-// ended are the last lines of requests.
-var ended = map[string]bool{
+// finalEvents are the events that end a request.
+var finalEvents = map[string]bool{
 	"streamed": true, "stream_lost": true, "answered": true, "answer_cut": true, "refused": true, "caller_gone": true,
 }
 
-// request is what the logs tell of one request's end.
+// request holds the data of one finished request.
 type request struct {
-	at           time.Time
-	route        string
-	organisation string
-	hall         string // of its box
-	engine       string
-	outcome      string
-	reason       string        // of a refusal
-	waited       time.Duration // for room
-	engineTime   time.Duration // from its sending to its first event
-	event        time.Duration // between its events
-	pause        time.Duration // the longest
-	stalled      time.Duration // beyond its aims
-	streams      bool
+	at            time.Time
+	route         string
+	organisation  string
+	hall          string // hall of the box
+	engine        string
+	outcome       string
+	reason        string        // reason of a refusal
+	queueTime     time.Duration // wait for capacity
+	engineTime    time.Duration // from sending to the first event
+	eventInterval time.Duration // mean interval between events
+	pause         time.Duration // longest pause
+	stalled       time.Duration // time beyond the targets
+	streamed      bool
 }
 
-// Report are those of one set of logs.
+// Report holds the finished requests of a set of logs.
 type Report struct{ requests []request }
 
-// New works out the losses from the logs' lines.
+// New returns the report for the lines of any number of logs.
 func New(lines []timeline.Line) *Report {
 	halls := map[string]string{}
 	for _, l := range lines {
@@ -65,7 +65,7 @@
 	}
 	l := &Report{}
 	for _, line := range lines {
-		if ended[line.Event] {
+		if finalEvents[line.Event] {
 			l.requests = append(l.requests, requestOf(line, halls[line.Box]))
 		}
 	}
@@ -76,35 +76,35 @@
 func requestOf(line timeline.Line, hall string) request {
 	f := line.Fields
 	ms := func(name string) time.Duration {
-		n, _ := strconv.Atoi(f[name]) // what a line lacks counts as none
+		n, _ := strconv.Atoi(f[name]) // a missing field counts as 0
 		return time.Duration(n) * time.Millisecond
 	}
 	r := request{
 		at: line.At, route: cmp.Or(f["route"], "-"), organisation: cmp.Or(f["organisation"], "-"), hall: cmp.Or(hall, "-"),
-		engine: cmp.Or(f["upstream"], "-"), waited: ms("waited_ms"), pause: ms("gap_ms"), reason: f["reason"],
+		engine: cmp.Or(f["upstream"], "-"), queueTime: ms("waited_ms"), pause: ms("gap_ms"), reason: f["reason"],
 	}
-	first, aim, gapAim := ms("first_ms"), ms("aim_ms"), ms("gap_aim_ms")
+	first, target, gapTarget := ms("first_ms"), ms("aim_ms"), ms("gap_aim_ms")
 	events, _ := strconv.Atoi(f["events"])
-	if r.streams = f["events"] != ""; r.streams {
-		r.engineTime = first - r.waited
-		r.event = (ms("took_ms") - first) / time.Duration(max(events-1, 1))
+	if r.streamed = f["events"] != ""; r.streamed {
+		r.engineTime = first - r.queueTime
+		r.eventInterval = (ms("took_ms") - first) / time.Duration(max(events-1, 1))
 	}
-	if !r.streams {
+	if !r.streamed {
 		first = ms("took_ms")
 	}
-	if r.streams || line.Event == "answered" {
-		r.stalled = beyond(first, aim) + beyond(r.pause, gapAim)
+	if r.streamed || line.Event == "answered" {
+		r.stalled = excess(first, target) + excess(r.pause, gapTarget)
 	}
-	r.outcome = outcomeOf(line, r, beyond(first, aim) > 0, beyond(r.pause, gapAim) > 0)
+	r.outcome = outcomeOf(line, r, excess(first, target) > 0, excess(r.pause, gapTarget) > 0)
 	return r
 }
 
-// beyond is by how much a time passes an aim; there may be none.
-func beyond(took, aim time.Duration) time.Duration {
-	if aim == 0 {
+// excess returns the time beyond a target; a target of 0 means none.
+func excess(took, target time.Duration) time.Duration {
+	if target == 0 {
 		return 0
 	}
-	return max(took-aim, 0)
+	return max(took-target, 0)
 }
 
 func outcomeOf(line timeline.Line, r request, lateAtFirst, paused bool) string {
@@ -115,10 +115,10 @@
 	case line.Event == "stream_lost" || line.Event == "answer_cut":
 		return lost
 	case line.Event == "caller_gone":
-		return gone
+		return callerGone
 	case status >= 500:
 		return failed
-	case lateAtFirst && r.waited > r.engineTime && r.streams:
+	case lateAtFirst && r.queueTime > r.engineTime && r.streamed:
 		return lateQueue
 	case lateAtFirst:
 		return lateFirst
--- a/lossreport/write.go
+++ b/lossreport/write.go
@@ -13,41 +13,40 @@
 )
 
 const (
-	// histogramMost is the longest time that is told apart.
-	histogramMost   = 2 * time.Minute
-	histogramDigits = 3
-	// worstShown is how many of the worst engines, organisations and seconds are
-	// listed.
-	worstShown = 6
+	// maxHistogramTime is the longest time that the histogram distinguishes.
+	maxHistogramTime = 2 * time.Minute
+	histogramDigits  = 3
+	// maxWorstRows bounds the rows of each table of the worst groups.
+	maxWorstRows = 6
 )
 
-// Write prints the tables.
+// Write prints the report as tables.
 func (l *Report) Write(out io.Writer) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "route\tasked\t%s\tstall_s\n", strings.Join(outcomes, "\t"))
-	routes := groups(l.requests, func(r request) string { return r.route })
+	fmt.Fprintf(t, "route\trequests\t%s\tstall_s\n", strings.Join(outcomes, "\t"))
+	routes := groupBy(l.requests, func(r request) string { return r.route })
 	for _, g := range routes {
 		fmt.Fprintf(t, "%s\t%d%s\t%.3f\n", g.name, len(g.requests), g.counts(), g.stall())
 	}
-	fmt.Fprintf(t, "\nroute\twhat\tp50_ms\tp90_ms\tp99_ms\tp99.9_ms\tmost_ms\n")
+	fmt.Fprintf(t, "\nroute\tphase\tp50_ms\tp90_ms\tp99_ms\tp99.9_ms\tmax_ms\n")
 	for _, g := range routes {
-		g.times(t)
+		g.writeTimes(t)
 	}
-	l.reasons(t)
-	l.worst(t, "box's hall", func(r request) string { return r.hall })
-	l.worst(t, "organisation", func(r request) string { return r.organisation })
-	l.worst(t, "upstream", func(r request) string { return r.engine })
-	l.worst(t, "second", func(r request) string { return r.at.UTC().Format("15:04:05") })
+	l.writeReasons(t)
+	l.writeWorst(t, "box's hall", func(r request) string { return r.hall })
+	l.writeWorst(t, "organisation", func(r request) string { return r.organisation })
+	l.writeWorst(t, "upstream", func(r request) string { return r.engine })
+	l.writeWorst(t, "second", func(r request) string { return r.at.UTC().Format("15:04:05") })
 	return t.Flush()
 }
 
-// group is a part of the requests.
+// group holds the requests that share a property, such as the route.
 type group struct {
 	name     string
 	requests []request
 }
 
-func groups(all []request, of func(request) string) []group {
+func groupBy(all []request, of func(request) string) []group {
 	byName := map[string][]request{}
 	for _, r := range all {
 		byName[of(r)] = append(byName[of(r)], r)
@@ -78,7 +77,7 @@
 	return b.String()
 }
 
-// stall is the mean time that a request stood beyond its aims, in seconds.
+// stall returns the mean time of a request beyond its targets, in seconds.
 func (g group) stall() float64 {
 	sum := time.Duration(0)
 	for _, r := range g.requests {
@@ -87,22 +86,22 @@
 	return sum.Seconds() / float64(max(len(g.requests), 1))
 }
 
-// times prints the parts of the time of a route's streams.
-func (g group) times(out io.Writer) {
-	parts := []struct {
+// writeTimes prints quantiles of the phases of a route's streams.
+func (g group) writeTimes(out io.Writer) {
+	phases := []struct {
 		name string
 		of   func(request) time.Duration
 	}{
-		{"waited for room", func(r request) time.Duration { return r.waited }},
+		{"wait for capacity", func(r request) time.Duration { return r.queueTime }},
 		{"engine, to the first event", func(r request) time.Duration { return r.engineTime }},
-		{"between events, mean", func(r request) time.Duration { return r.event }},
+		{"between events, mean", func(r request) time.Duration { return r.eventInterval }},
 		{"longest pause", func(r request) time.Duration { return r.pause }},
 	}
-	for _, p := range parts {
-		h := hdrhistogram.New(0, histogramMost.Microseconds(), histogramDigits)
+	for _, p := range phases {
+		h := hdrhistogram.New(0, maxHistogramTime.Microseconds(), histogramDigits)
 		for _, r := range g.requests {
-			if r.streams {
-				_ = h.RecordValue(min(max(p.of(r), 0), histogramMost).Microseconds()) // within its bounds
+			if r.streamed {
+				_ = h.RecordValue(min(max(p.of(r), 0), maxHistogramTime).Microseconds()) // clamped to the range
 			}
 		}
 		if h.TotalCount() == 0 {
@@ -113,8 +112,8 @@
 	}
 }
 
-// reasons prints what was refused, and why.
-func (l *Report) reasons(out io.Writer) {
+// writeReasons prints the refusals by reason and route.
+func (l *Report) writeReasons(out io.Writer) {
 	fmt.Fprintf(out, "\nrefused\troute\tcount\n")
 	var all []request
 	for _, r := range l.requests {
@@ -122,18 +121,18 @@
 			all = append(all, r)
 		}
 	}
-	for _, g := range groups(all, func(r request) string { return r.reason + "\t" + r.route }) {
+	for _, g := range groupBy(all, func(r request) string { return r.reason + "\t" + r.route }) {
 		fmt.Fprintf(out, "%s\t%d\n", g.name, len(g.requests))
 	}
 }
 
-// worst prints the groups with the most requests that were not in time.
-func (l *Report) worst(out io.Writer, what string, of func(request) string) {
-	list := groups(l.requests, of)
+// writeWorst prints the groups with the most requests that were not in time.
+func (l *Report) writeWorst(out io.Writer, label string, of func(request) string) {
+	list := groupBy(l.requests, of)
 	missed := func(g group) int { return len(g.requests) - g.count(inTime) }
 	slices.SortStableFunc(list, func(a, b group) int { return cmp.Compare(missed(b), missed(a)) })
-	fmt.Fprintf(out, "\n%s\tasked\t%s\n", what, strings.Join(outcomes, "\t"))
-	for _, g := range list[:min(len(list), worstShown)] {
+	fmt.Fprintf(out, "\n%s\trequests\t%s\n", label, strings.Join(outcomes, "\t"))
+	for _, g := range list[:min(len(list), maxWorstRows)] {
 		fmt.Fprintf(out, "%s\t%d%s\n", g.name, len(g.requests), g.counts())
 	}
 }
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline reads the logs of boxes and tells one request's life in
-// order, with what each box that touched it believed meanwhile.
+// Package timeline reads the logs of boxes and returns the lines of one request in order,
+// with the state changes of the boxes that handled it.
 package timeline
 
 import (
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is a parsed log line of a box.
 type Line struct {
 	At     time.Time
 	Box    string
 	Event  string
 	Fields map[string]string
-	Text   string // as it was written
+	Text   string // the line as written, from its first field
 }
 
-// lineMost bounds a line, in bytes.
-const lineMost = 1 << 20
+// maxLineBytes bounds the length of a line.
+const maxLineBytes = 1 << 20
 
-// Read reads the lines of a log; what is no line of a box is left out. Text
-// before the first field is passed over: some collectors put one there.
+// Read parses the lines of a log and skips those that no box wrote. It ignores text before
+// the first field, such as a collector's prefix.
 func Read(in io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, lineMost)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if line, ok := parse(scanner.Text()); ok {
 			lines = append(lines, line)
@@ -42,7 +42,7 @@
 	if start < 0 {
 		return Line{}, false
 	}
-	line := Line{Fields: fields(text[start:]), Text: text[start:]}
+	line := Line{Fields: parseFields(text[start:]), Text: text[start:]}
 	at, err := time.Parse(time.RFC3339, line.Fields["time"])
 	if err != nil || line.Fields["event"] == "" {
 		return Line{}, false
@@ -51,8 +51,8 @@
 	return line, true
 }
 
-// fields splits key=value pairs; values may be quoted.
-func fields(text string) map[string]string {
+// parseFields splits key=value pairs; values may be quoted.
+func parseFields(text string) map[string]string {
 	found := map[string]string{}
 	for text != "" {
 		name, rest, ok := strings.Cut(strings.TrimLeft(text, " "), "=")
@@ -71,20 +71,20 @@
 	return found
 }
 
-// beliefs are the events that change what a box believes, or what it can reach.
-var beliefs = map[string]bool{
+// stateChanges are the events that change a box's configuration, view or connectivity.
+var stateChanges = map[string]bool{
 	"configured": true, "upstreams_listed": true, "history_forgotten": true, "store_lost": true, "store_regained": true,
 	"peer_lost": true, "peer_regained": true, "draining": true, "started": true, "stopped": true, "upstream_leaves": true,
 	"configuration_stale": true, "configuration_confirmed": true, "upstream_rest": true,
 }
 
-// before is how long before a request's first line a box's beliefs are told:
-// what is older shows in the age that its lines give.
-const before = 6 * time.Second
+// contextBefore is how long before a request's first line state changes are included; the
+// effect of older ones shows in the ages that the request's own lines report.
+const contextBefore = 6 * time.Second
 
-// Of returns the lines of one request, and those between by which the boxes
-// that touched it changed their beliefs, in order. Of upstreams only those that
-// the request was sent to are told.
+// Of returns in order the lines of one request and the state changes meanwhile of the
+// boxes that handled it. Of the leaving upstreams it includes only those that the request
+// was sent to.
 func Of(lines []Line, request string) []Line {
 	var first, last time.Time
 	boxes, upstreams := map[string]bool{}, map[string]bool{}
@@ -106,14 +106,14 @@
 	if first.IsZero() {
 		return nil
 	}
-	var life []Line
+	var result []Line
 	for _, l := range lines {
-		within := !l.At.Before(first.Add(-before)) && !l.At.After(last)
-		belief := beliefs[l.Event] && boxes[l.Box] && within && (l.Event != "upstream_leaves" || upstreams[l.Fields["upstream"]])
-		if l.Fields["request"] == request || belief {
-			life = append(life, l)
+		within := !l.At.Before(first.Add(-contextBefore)) && !l.At.After(last)
+		isContext := stateChanges[l.Event] && boxes[l.Box] && within && (l.Event != "upstream_leaves" || upstreams[l.Fields["upstream"]])
+		if l.Fields["request"] == request || isContext {
+			result = append(result, l)
 		}
 	}
-	sort.SliceStable(life, func(i, j int) bool { return life[i].At.Before(life[j].At) })
-	return life
+	sort.SliceStable(result, func(i, j int) bool { return result[i].At.Before(result[j].At) })
+	return result
 }
