--- a/logs/bounded.go
+++ b/logs/bounded.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// linesMost bounds the lines that wait for a reader; 1 MB or so.
-	linesMost = 4096
-	// linesPerSecond bounds the rate: a box serves some 100 requests a second
-	// with 4 lines each at its peak.
-	linesPerSecond = 2000
+	// maxQueuedLines bounds the lines that wait to be written, about 1 MB.
+	maxQueuedLines = 4096
+	// maxLinesPerSecond bounds the rate; about 100 requests a second with 4 lines each
+	// are a box's peak.
+	maxLinesPerSecond = 2000
 )
 
-// Bounded writes lines on a task of its own and never holds its callers up:
-// what does not fit, or comes too fast, is dropped and counted.
+// Bounded is a writer that never blocks its callers. A goroutine writes the lines; those
+// that exceed the queue or the rate limit are dropped and counted.
 type Bounded struct {
 	out     io.Writer
 	dropped func(n int)
@@ -28,19 +28,19 @@
 	closed bool
 }
 
-// NewBounded returns a writer to out; dropped is told of each line that was
-// dropped. Close must be called.
+// NewBounded returns a writer to out that calls dropped with the number of dropped lines.
+// Close must be called.
 func NewBounded(out io.Writer, dropped func(n int)) *Bounded {
-	b := &Bounded{out: out, dropped: dropped, lines: make(chan []byte, linesMost), done: make(chan struct{})}
+	b := &Bounded{out: out, dropped: dropped, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go b.run()
 	return b
 }
 
-// Write implements io.Writer for one line; it never fails and never waits.
+// Write implements io.Writer for one line. It never fails and never blocks.
 func (b *Bounded) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.closed || !b.within(time.Now()) {
+	if b.closed || !b.allowLine(time.Now()) {
 		b.dropped(1)
 		return len(line), nil
 	}
@@ -52,24 +52,24 @@
 	return len(line), nil
 }
 
-// within tells whether the rate lets one more line through.
-func (b *Bounded) within(now time.Time) bool {
+// allowLine reports whether one more line is within the rate limit.
+func (b *Bounded) allowLine(now time.Time) bool {
 	if now.Sub(b.second) >= time.Second {
 		b.second, b.count = now, 0
 	}
 	b.count++
-	return b.count <= linesPerSecond
+	return b.count <= maxLinesPerSecond
 }
 
 func (b *Bounded) run() {
 	defer close(b.done)
 	for line := range b.lines {
-		_, _ = b.out.Write(line) // there is nowhere to report it
+		_, _ = b.out.Write(line) // a failed log write cannot be logged
 	}
 }
 
-// Close writes what waits, for no longer than a moment.
-func (b *Bounded) Close(most time.Duration) {
+// Close writes the queued lines, for at most timeout.
+func (b *Bounded) Close(timeout time.Duration) {
 	b.mu.Lock()
 	if !b.closed {
 		b.closed = true
@@ -78,6 +78,6 @@
 	b.mu.Unlock()
 	select {
 	case <-b.done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs sets up structured logs: one line of key=value pairs an event.
+// Package logs sets up structured logging: each event is one line of key=value pairs.
 package logs
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New returns the log of one box at a level.
+// New returns a logger that adds the box's name to each line. An invalid level means info.
 func New(out io.Writer, level, box string) *logrus.Entry {
 	logger := logrus.New()
 	logger.SetOutput(out)
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -13,25 +13,25 @@
 	"petrelstep/logs"
 )
 
-// stuck is a reader that does not read until it is let go.
-type stuck struct {
+// blockedWriter is a writer that blocks until free is closed.
+type blockedWriter struct {
 	mu   sync.Mutex
 	free chan struct{}
 	got  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.free
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(p)
 }
 
-// TestNeverBlocks writes far more than is held to a reader that does not read.
+// TestNeverBlocks writes more lines than the queue holds to an output that blocks.
 func TestNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &stuck{free: make(chan struct{})}
+		out := &blockedWriter{free: make(chan struct{})}
 		dropped := 0
 		b := logs.NewBounded(out, func(n int) { dropped += n })
 		log := logs.New(b, "info", "b1")
@@ -39,21 +39,21 @@
 		const lines = 10000
 		for range lines {
 			log.Info("event")
-			time.Sleep(600 * time.Microsecond) // below the bound on the rate
+			time.Sleep(600 * time.Microsecond) // below the rate limit
 		}
-		is.Equal(time.Since(began), lines*600*time.Microsecond) // no write held it up
+		is.Equal(time.Since(began), lines*600*time.Microsecond) // no write blocked
 		is.True(dropped > 0)
 		is.True(dropped < lines)
 		close(out.free)
 		b.Close(time.Minute)
-		is.Equal(strings.Count(out.got.String(), "event=event")+dropped, lines) // each line is written or counted
+		is.Equal(strings.Count(out.got.String(), "event=event")+dropped, lines) // each line is either written or counted as dropped
 	})
 }
 
 func TestRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &stuck{free: make(chan struct{})}
+		out := &blockedWriter{free: make(chan struct{})}
 		close(out.free)
 		dropped := 0
 		b := logs.NewBounded(out, func(n int) { dropped += n })
--- a/report/report.go
+++ b/report/report.go
@@ -1,5 +1,5 @@
-// Package report prints what experiments measured: a table a scenario, and
-// one line that holds our policy against the best baseline of each column.
+// Package report prints the results of experiments: a table for each scenario, and a line
+// that compares our policy with the best baseline of each column.
 package report
 
 import (
@@ -12,15 +12,15 @@
 	"petrelstep/experiment"
 )
 
-// Ours is the policy that is held against the baselines.
+// Ours is the policy that is compared with the baselines.
 const Ours = "forecast"
 
-// column is a measure; what lies below its floor counts as the floor, so that
-// a ratio of two small noises says nothing.
+// column is a measure. Values below its floor count as the floor, so that the ratio of two
+// values within the noise is 1.
 type column struct {
 	name   string
 	floor  float64
-	higher bool // is better
+	higher bool // higher is better
 	of     func(experiment.Result) float64
 }
 
@@ -34,7 +34,7 @@
 	{"tokens", 1, true, func(r experiment.Result) float64 { return float64(r.Tokens) }},
 }
 
-// Report holds the results of one scenario, by policy, each over all seeds.
+// Report holds the results of one scenario by policy, one for each seed.
 type Report struct {
 	scenario string
 	results  map[string][]experiment.Result
@@ -53,7 +53,7 @@
 	r.results[res.Policy] = append(r.results[res.Policy], res)
 }
 
-// mean returns a column's mean over the seeds.
+// mean returns the mean of a column over the seeds.
 func (r *Report) mean(policy string, c column) float64 {
 	sum := 0.0
 	for _, res := range r.results[policy] {
@@ -65,18 +65,18 @@
 // Table prints the scenario's table.
 func (r *Report) Table(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "\n%s, mean of %d seed(s)\n", r.scenario, r.seeds())
+	fmt.Fprintf(w, "\n%s, mean of %d seed(s)\n", r.scenario, r.seedCount())
 	fmt.Fprintln(t, "policy\tpreempt\tstall_mid s\tstall_all s\tshort p99 s\tgap p99 s\tgap p99.9 s\tMtokens\tdone\tjain\tmessages\tKB\trefused\tretried\t")
 	for _, p := range experiment.Policies() {
 		if len(r.results[p]) == 0 {
 			continue
 		}
-		r.row(t, p)
+		r.writeRow(t, p)
 	}
 	_ = t.Flush()
 }
 
-func (r *Report) row(w io.Writer, policy string) {
+func (r *Report) writeRow(w io.Writer, policy string) {
 	fmt.Fprintf(w, "%s\t", policy)
 	for _, c := range columns {
 		v := r.mean(policy, c)
@@ -96,24 +96,25 @@
 		jain += res.Fairness
 		messages += float64(res.Messages)
 		bytes += float64(res.Bytes)
-		add(refused, res.Refused)
-		add(retried, res.Retried)
+		addCounts(refused, res.Refused)
+		addCounts(retried, res.Retried)
 	}
 	n := float64(len(r.results[policy]))
-	fmt.Fprintf(w, "%.0f\t%.3f\t%.0f\t%.0f\t%s\t%s\t\n", done/n, jain/n, messages/n, bytes/n/1000, list(refused), list(retried))
+	fmt.Fprintf(w, "%.0f\t%.3f\t%.0f\t%.0f\t%s\t%s\t\n", done/n, jain/n, messages/n, bytes/n/1000, formatCounts(refused), formatCounts(retried))
 }
 
-// Ratio prints ours over the best baseline of each column, and the distance
-// to the oracle.
+// Ratio prints the ratios of our policy to the best baseline and to the oracle, for each
+// column.
 func (r *Report) Ratio(w io.Writer) {
-	fmt.Fprintf(w, "RATIO %s%s\n", r.scenario, r.over(func(c column) float64 { return r.bestBaseline(c) }))
-	fmt.Fprintf(w, "ORACLE %s%s\n", r.scenario, r.over(func(c column) float64 { return r.mean("oracle", c) }))
+	fmt.Fprintf(w, "RATIO %s%s\n", r.scenario, r.formatRatios(func(c column) float64 { return r.bestBaseline(c) }))
+	fmt.Fprintf(w, "ORACLE %s%s\n", r.scenario, r.formatRatios(func(c column) float64 { return r.mean("oracle", c) }))
 }
 
-func (r *Report) over(of func(column) float64) string {
+// formatRatios formats the ratio of our policy to a reference for each column.
+func (r *Report) formatRatios(reference func(column) float64) string {
 	var b strings.Builder
 	for _, c := range columns {
-		fmt.Fprintf(&b, " %s=%.3f", c.name, max(r.mean(Ours, c), c.floor)/max(of(c), c.floor))
+		fmt.Fprintf(&b, " %s=%.3f", c.name, max(r.mean(Ours, c), c.floor)/max(reference(c), c.floor))
 	}
 	return b.String()
 }
@@ -129,20 +130,21 @@
 	return best
 }
 
-func (r *Report) seeds() int {
+func (r *Report) seedCount() int {
 	for _, all := range r.results {
 		return len(all)
 	}
 	return 0
 }
 
-func add(to, from map[string]int) {
+func addCounts(to, from map[string]int) {
 	for k, v := range from {
 		to[k] += v
 	}
 }
 
-func list(m map[string]int) string {
+// formatCounts formats counts sorted by key, or a dash for none.
+func formatCounts(m map[string]int) string {
 	if len(m) == 0 {
 		return "-"
 	}
@@ -151,9 +153,9 @@
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
-	parts := make([]string, len(keys))
+	pairs := make([]string, len(keys))
 	for i, k := range keys {
-		parts[i] = fmt.Sprintf("%s=%d", k, m[k])
+		pairs[i] = fmt.Sprintf("%s=%d", k, m[k])
 	}
-	return strings.Join(parts, ",")
+	return strings.Join(pairs, ",")
 }
