--- a/timer/boot.go
+++ b/timer/boot.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is the machine's clock that counts suspensions; 0 where it cannot be read, which
-// never looks like one.
+// Boot returns the time since the machine was started, suspensions included. It returns 0
+// if the clock cannot be read, which never looks like a suspension.
 func Boot() time.Duration {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil {
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,5 +1,5 @@
-// Package timer is the one source of time: parts subscribe to it for ticks
-// and ask it what time it is, and for how long the machine was suspended.
+// Package timer provides ticks and the time to the components of a box, and detects that
+// the machine was suspended.
 package timer
 
 import (
@@ -10,45 +10,45 @@
 )
 
 const (
-	// sleptLeast is the least difference of the two clocks that is a suspension: they
-	// are read one after the other, and a suspension lasts seconds.
-	sleptLeast = 50 * time.Millisecond
-	// sleepsMost bounds the suspensions that are remembered; older ones count as one.
-	sleepsMost = 64
+	// minSuspension is the smallest difference of the two clocks that counts as a
+	// suspension, as they are not read at the same instant.
+	minSuspension = 50 * time.Millisecond
+	// maxSuspensions bounds the recorded suspensions; older ones are merged.
+	maxSuspensions = 64
 )
 
-// Clock tells the time since the machine was started, suspensions included, which the
-// steady clock leaves out.
+// Clock returns the time since the machine was started, including suspensions, which the
+// monotonic clock excludes.
 type Clock func() time.Duration
 
-// sleep is a suspension that was noticed at a time.
-type sleep struct {
-	noticed time.Time
-	lasted  time.Duration
+// suspension records when a suspension was detected and how long it lasted.
+type suspension struct {
+	detected time.Time
+	duration time.Duration
 }
 
-// Service hands out ticks. It is safe for use by several goroutines.
+// Service provides ticks and detects suspensions. It is safe for concurrent use.
 type Service struct {
-	clock Clock // nil: suspensions are not seen
+	clock Clock // nil: suspensions are not detected
 
-	mu     sync.Mutex
-	base   time.Time     // on the steady clock
-	offset time.Duration // of the clock then, and what was slept since
-	sleeps []sleep
-	woke   []func(slept time.Duration)
+	mu          sync.Mutex
+	base        time.Time     // on the monotonic clock
+	offset      time.Duration // reading of clock at base, plus the suspensions since
+	suspensions []suspension
+	onWake      []func(slept time.Duration)
 }
 
-// New returns a timer service that does not see suspensions.
+// New returns a timer service that does not detect suspensions.
 func New() *Service { return &Service{} }
 
-// NewOn returns a timer service that sees suspensions by a clock that counts them.
+// NewOn returns a timer service that detects suspensions by a clock that includes them.
 func NewOn(c Clock) *Service {
 	s := New()
 	s.On(c)
 	return s
 }
 
-// On lets a timer service see suspensions from now on.
+// On sets the clock by which suspensions are detected from now on.
 func (s *Service) On(c Clock) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,17 +58,16 @@
 // Now returns the present time.
 func (*Service) Now() time.Time { return time.Now() }
 
-// OnWake calls f, before Check returns, each time that the machine was suspended: what
-// a part knows may be older by so much than the steady clock says.
+// OnWake registers f, which Check calls after each suspension with its duration. The data
+// of a component is older by that duration than the monotonic clock shows.
 func (s *Service) OnWake(f func(slept time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.woke = append(s.woke, f)
+	s.onWake = append(s.onWake, f)
 }
 
-// Check looks whether the machine was suspended since the last time. It is called
-// before anything is done by what is known: each tick does, and each request. It
-// takes one system call.
+// Check detects whether the machine was suspended since the last call. Each tick and each
+// request calls it before using recorded data. It takes one system call.
 func (s *Service) Check() {
 	slept, woke := s.check()
 	for _, f := range woke {
@@ -76,45 +75,45 @@
 	}
 }
 
-// check notes a suspension, and returns who is to be told.
+// check records a suspension and returns the functions to call.
 func (s *Service) check() (slept time.Duration, woke []func(time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.clock == nil {
 		return 0, nil
 	}
-	total := s.clock() - s.offset // before the steady clock: a pause between the two only hides a suspension until the next time
+	total := s.clock() - s.offset // read before the monotonic clock: a delay in between only hides a suspension until the next check
 	now := time.Now()
 	slept = total - now.Sub(s.base)
-	if slept < sleptLeast {
+	if slept < minSuspension {
 		return 0, nil
 	}
 	s.offset += slept
-	s.sleeps = append(s.sleeps, sleep{now, slept})
-	if len(s.sleeps) > sleepsMost {
-		s.sleeps[1].lasted += s.sleeps[0].lasted
-		s.sleeps = s.sleeps[1:]
+	s.suspensions = append(s.suspensions, suspension{now, slept})
+	if len(s.suspensions) > maxSuspensions {
+		s.suspensions[1].duration += s.suspensions[0].duration
+		s.suspensions = s.suspensions[1:]
 	}
-	return slept, s.woke
+	return slept, s.onWake
 }
 
-// Slept returns for how long the machine was suspended since a time: by so much what
-// was known then is older than the steady clock says.
+// Slept returns how long the machine was suspended since a time. Data of that time is older
+// by this duration than the monotonic clock shows.
 func (s *Service) Slept(since time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var sum time.Duration
-	for _, at := range s.sleeps {
-		if at.noticed.After(since) {
-			sum += at.lasted
+	for _, pause := range s.suspensions {
+		if pause.detected.After(since) {
+			sum += pause.duration
 		}
 	}
 	return sum
 }
 
-// Every calls f each period until ctx ends, on the caller's goroutine. The
-// first call comes after a part of the period that depends on name, so that
-// boxes which start together do not tick together.
+// Every calls f each period on the caller's goroutine until ctx ends. The first call comes
+// after a fraction of the period that depends on name, so that boxes that start together
+// do not tick together.
 func (s *Service) Every(ctx context.Context, name string, period time.Duration, f func(now time.Time)) {
 	phase := time.NewTimer(phaseOf(name, period))
 	defer phase.Stop()
@@ -138,7 +137,7 @@
 	}
 }
 
-// Sleep waits for d; it reports false if ctx ended first.
+// Sleep waits for d and returns false if ctx ended first.
 func (*Service) Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -11,32 +11,34 @@
 	"petrelstep/timer"
 )
 
-// machine is a clock that can be suspended.
-type machine struct {
-	began time.Time
+// fakeMachine is a machine whose clock includes simulated suspensions.
+type fakeMachine struct {
+	start time.Time
 	slept atomic.Int64 // ns
 }
 
-func (m *machine) clock() time.Duration { return time.Since(m.began) + time.Duration(m.slept.Load()) }
+func (m *fakeMachine) clock() time.Duration {
+	return time.Since(m.start) + time.Duration(m.slept.Load())
+}
 
-// TestSlept shows what a suspension does to what was known before and after it, also
-// where more than are remembered come.
+// TestSlept checks that a suspension counts for times before it and not after it, also if
+// there are more suspensions than are recorded.
 func TestSlept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m := &machine{began: time.Now()}
+		m := &fakeMachine{start: time.Now()}
 		s := timer.NewOn(m.clock)
-		var told []time.Duration
-		s.OnWake(func(slept time.Duration) { told = append(told, slept) })
+		var notified []time.Duration
+		s.OnWake(func(slept time.Duration) { notified = append(notified, slept) })
 		before := time.Now()
 		time.Sleep(time.Second)
 		s.Check()
-		is.Equal(len(told), 0)
+		is.Equal(len(notified), 0)
 		m.slept.Add(int64(6 * time.Second))
 		time.Sleep(time.Millisecond)
 		s.Check()
 		s.Check()
-		is.Equal(told, []time.Duration{6 * time.Second})
+		is.Equal(notified, []time.Duration{6 * time.Second})
 		time.Sleep(time.Millisecond)
 		after := time.Now()
 		is.Equal(s.Slept(before), 6*time.Second)
@@ -47,15 +49,15 @@
 			s.Check()
 		}
 		is.Equal(s.Slept(before), 206*time.Second)
-		is.True(s.Slept(after) >= 200*time.Second) // never less than it was
+		is.True(s.Slept(after) >= 200*time.Second) // merged suspensions never count for less
 	})
 }
 
-// TestTickAfterWake shows that a tick finds the suspension noted.
+// TestTickAfterWake checks that a suspension is recorded before the next tick.
 func TestTickAfterWake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m := &machine{began: time.Now()}
+		m := &fakeMachine{start: time.Now()}
 		s := timer.NewOn(m.clock)
 		before := time.Now()
 		var ticks atomic.Int64
@@ -70,7 +72,7 @@
 	})
 }
 
-// TestBoot holds that the machine's clock is read and does not run back.
+// TestBoot checks that the machine's clock can be read and is monotonic.
 func TestBoot(t *testing.T) {
 	is := is.New(t)
 	first := timer.Boot()
@@ -78,7 +80,7 @@
 	is.True(timer.Boot() >= first)
 }
 
-// BenchmarkCheck is what each request and tick costs.
+// BenchmarkCheck measures the cost of Check, which each request and tick pays.
 func BenchmarkCheck(b *testing.B) {
 	s := timer.NewOn(timer.Boot)
 	for b.Loop() {
--- a/tlscerts/tlscerts.go
+++ b/tlscerts/tlscerts.go
@@ -1,5 +1,5 @@
-// Package tlscerts holds the TLS certificate of a box and reads its files again
-// when told to, so that certificates are renewed without a stop.
+// Package tlscerts provides the TLS configurations of a box and reloads its certificate
+// files on request, so that certificates are renewed without a restart.
 package tlscerts
 
 import (
@@ -9,45 +9,47 @@
 	"sync/atomic"
 )
 
-// Files names the files; empty names mean no TLS.
+// Files holds the paths of the certificate files; empty paths mean no TLS.
 type Files struct{ Certificate, Key, Authority string }
 
-// Error says which file could not be used.
+// Error reports a file that could not be used.
 type Error struct {
 	File string
 	Err  error
 }
 
 // Error implements error.
-func (e *Error) Error() string { return "keys: " + e.File + ": " + e.Err.Error() }
+func (e *Error) Error() string { return "TLS certificates: " + e.File + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NoCertificatesError says that a file holds no certificate.
+// NoCertificatesError reports that a file or a peer provides no certificate.
 type NoCertificatesError struct{}
 
 // Error implements error.
 func (*NoCertificatesError) Error() string { return "no certificates" }
 
+// state holds the loaded files.
 type state struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// Reloader is safe for use by several goroutines.
+// Reloader provides TLS configurations that use the last loaded certificates. It is safe
+// for concurrent use.
 type Reloader struct {
-	files Files
-	now   atomic.Pointer[state]
+	files   Files
+	current atomic.Pointer[state]
 }
 
-// New reads the files.
+// New loads the files.
 func New(files Files) (*Reloader, error) {
 	k := &Reloader{files: files}
 	return k, k.Reload()
 }
 
-// Reload reads the files again; on an error the old keys stay in use.
+// Reload loads the files again. After an error the old certificates stay in use.
 func (k *Reloader) Reload() error {
 	if k.files.Certificate == "" {
 		return nil
@@ -67,22 +69,22 @@
 			return &Error{File: k.files.Authority, Err: &NoCertificatesError{}}
 		}
 	}
-	k.now.Store(s)
+	k.current.Store(s)
 	return nil
 }
 
-// Callers returns the configuration towards callers; nil for none.
+// Callers returns the server configuration for callers and operators, or nil without TLS.
 func (k *Reloader) Callers() *tls.Config {
-	if k.now.Load() == nil {
+	if k.current.Load() == nil {
 		return nil
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: k.certificate}
 }
 
-// PeerServer returns the configuration for connections from boxes: both sides
-// show a certificate of the authority. Nil for none.
+// PeerServer returns the server configuration for other boxes, or nil without TLS. Both
+// sides must present a certificate of the authority.
 func (k *Reloader) PeerServer() *tls.Config {
-	s := k.now.Load()
+	s := k.current.Load()
 	if s == nil || s.authority == nil {
 		return nil
 	}
@@ -91,17 +93,17 @@
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, GetCertificate: k.certificate,
-				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: k.now.Load().authority,
+				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: k.current.Load().authority,
 			}, nil
 		},
 	}
 }
 
-// PeerClient returns the configuration for connections to boxes; nil for none.
-// Boxes are known by address, and addresses come and go: a box proves that it
-// is one by a certificate of the authority, not by its name.
+// PeerClient returns the client configuration for other boxes, or nil without TLS. Boxes
+// are addressed by IP addresses that change, so a box is verified by a certificate of the
+// authority and not by its name.
 func (k *Reloader) PeerClient() *tls.Config {
-	s := k.now.Load()
+	s := k.current.Load()
 	if s == nil || s.authority == nil {
 		return nil
 	}
@@ -110,23 +112,24 @@
 		InsecureSkipVerify: true, // replaced by VerifyConnection below
 		VerifyConnection:   k.verifyBox,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &k.now.Load().certificate, nil
+			return &k.current.Load().certificate, nil
 		},
 	}
 }
 
+// verifyBox checks that a server's certificate is signed by the authority.
 func (k *Reloader) verifyBox(c tls.ConnectionState) error {
 	if len(c.PeerCertificates) == 0 {
 		return &NoCertificatesError{}
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, cert := range c.PeerCertificates[1:] {
-		between.AddCert(cert)
+		intermediates.AddCert(cert)
 	}
-	_, err := c.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: k.now.Load().authority, Intermediates: between})
+	_, err := c.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: k.current.Load().authority, Intermediates: intermediates})
 	return err
 }
 
 func (k *Reloader) certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-	return &k.now.Load().certificate, nil
+	return &k.current.Load().certificate, nil
 }
--- a/tlscerts/tlscerts_test.go
+++ b/tlscerts/tlscerts_test.go
@@ -57,8 +57,8 @@
 	return file
 }
 
-// issue writes the files of a box and returns them.
-func (a *authority) issue(t *testing.T, name string) tlscerts.Files {
+// issueFiles issues the certificate of a box and returns its files.
+func (a *authority) issueFiles(t *testing.T, name string) tlscerts.Files {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -80,9 +80,9 @@
 	}
 }
 
-// meet lets a client meet a server; it returns the server's certificate's
-// serial number as the client sees it.
-func meet(server, client *tls.Config) (int64, error) {
+// handshake connects a client to a server and returns the serial number of the server's
+// certificate as the client sees it.
+func handshake(server, client *tls.Config) (int64, error) {
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
 	if err != nil {
 		return 0, err
@@ -107,7 +107,7 @@
 	return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64(), nil
 }
 
-func newKeys(t *testing.T, f tlscerts.Files) *tlscerts.Reloader {
+func newReloader(t *testing.T, f tlscerts.Files) *tlscerts.Reloader {
 	t.Helper()
 	k, err := tlscerts.New(f)
 	if err != nil {
@@ -116,52 +116,53 @@
 	return k
 }
 
-// TestPeers tells which boxes may meet.
+// TestPeers checks which peers accept each other.
 func TestPeers(t *testing.T) {
 	ours, others := newAuthority(t), newAuthority(t)
-	a, b, stranger := newKeys(t, ours.issue(t, "a")), newKeys(t, ours.issue(t, "b")), newKeys(t, others.issue(t, "c"))
+	a, b, stranger := newReloader(t, ours.issueFiles(t, "a")), newReloader(t, ours.issueFiles(t, "b")), newReloader(t, others.issueFiles(t, "c"))
 	tests := map[string]struct {
 		server, client *tls.Config
 		ok             bool
 	}{
-		"two boxes":          {a.PeerServer(), b.PeerClient(), true},
-		"a stranger calls":   {a.PeerServer(), stranger.PeerClient(), false},
-		"a stranger answers": {stranger.PeerServer(), b.PeerClient(), false},
-		"no certificate":     {a.PeerServer(), &tls.Config{InsecureSkipVerify: true}, false},
+		"two boxes":                   {a.PeerServer(), b.PeerClient(), true},
+		"client of another authority": {a.PeerServer(), stranger.PeerClient(), false},
+		"server of another authority": {stranger.PeerServer(), b.PeerClient(), false},
+		"no certificate":              {a.PeerServer(), &tls.Config{InsecureSkipVerify: true}, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := meet(tt.server, tt.client)
+			_, err := handshake(tt.server, tt.client)
 			is.Equal(err == nil, tt.ok)
 		})
 	}
 }
 
-// TestReload renews a certificate without a stop; broken files change nothing.
+// TestReload checks that a renewed certificate is used without a restart and that invalid
+// files change nothing.
 func TestReload(t *testing.T) {
 	is := is.New(t)
 	ours := newAuthority(t)
-	files := ours.issue(t, "a")
-	k := newKeys(t, files)
+	files := ours.issueFiles(t, "a")
+	k := newReloader(t, files)
 	server, client := k.Callers(), &tls.Config{InsecureSkipVerify: true}
-	before, err := meet(server, client)
+	before, err := handshake(server, client)
 	is.NoErr(err)
-	ours.issue(t, "a")
+	ours.issueFiles(t, "a")
 	is.NoErr(k.Reload())
-	after, err := meet(server, client)
+	after, err := handshake(server, client)
 	is.NoErr(err)
 	is.True(after > before)
 	is.NoErr(os.WriteFile(files.Key, []byte("broken"), 0o600))
 	is.True(k.Reload() != nil)
-	still, err := meet(server, client)
+	still, err := handshake(server, client)
 	is.NoErr(err)
 	is.Equal(still, after)
 }
 
 func TestNone(t *testing.T) {
 	is := is.New(t)
-	k := newKeys(t, tlscerts.Files{})
+	k := newReloader(t, tlscerts.Files{})
 	is.True(k.Callers() == nil)
 	is.True(k.PeerServer() == nil)
 	is.True(k.PeerClient() == nil)
--- a/version/version.go
+++ b/version/version.go
@@ -1,5 +1,5 @@
-// Package version names the release.
+// Package version holds the version of the release.
 package version
 
-// Version is the release, set by hand with each entry of CHANGELOG.md.
+// Version is the release's version, set by hand with each entry of CHANGELOG.md.
 const Version = "0.1.0"
