--- a/client/client.go
+++ b/client/client.go
@@ -1,5 +1,5 @@
-// Package client speaks to boxes as callers and operators do. The command
-// line and the load tool are built on it.
+// Package client is an HTTP client for the interfaces that boxes offer to callers and
+// operators. The command line is built on it.
 package client
 
 import (
@@ -19,22 +19,22 @@
 	"petrelstep/wire"
 )
 
-// Outcome is what became of one request, as the caller saw it.
+// Outcome is the result of one generation as the caller saw it.
 type Outcome struct {
 	Ending     string
 	Reason     string
 	RetryAfter time.Duration
 	Tokens     int
-	Whole      bool // count and hash are right
-	Wrong      string
+	Whole      bool   // the token count and the hash match
+	Wrong      string // what was invalid in the stream, if anything
 	Generation string
 	Request    string
 	First      time.Duration
 	Gaps       []time.Duration
-	Resumed    int // times that the stream was taken up again
+	Resumed    int // number of times that the stream was resumed
 }
 
-// Error is an answer of an interface that is not the one asked for.
+// Error is a refusal from a box.
 type Error struct{ Body wire.RefusalBody }
 
 // Error implements error.
@@ -49,8 +49,7 @@
 	return text
 }
 
-// Client calls any of several boxes; it goes on to the next when one cannot
-// be reached.
+// Client calls any of several boxes and tries the next one if a box is unreachable.
 type Client struct {
 	http  *http.Client
 	boxes []string // base URLs
@@ -58,62 +57,63 @@
 }
 
 const (
-	// takeUps bounds how often one stream is taken up again.
-	takeUps    = 20
-	takeUpWait = 100 * time.Millisecond
+	// maxResumes bounds the attempts to resume one stream.
+	maxResumes = 20
+	resumeWait = 100 * time.Millisecond
 )
 
-// New returns a client of boxes by their base URLs, with an API key.
+// New returns a client for the boxes with the given base URLs and an API key.
 func New(boxes []string, key string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, IdleConnTimeout: 30 * time.Second}
 	return &Client{http: &http.Client{Transport: transport}, boxes: boxes, key: key}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Generate asks for a generation at the box of a number and reads it to its
-// end, taking it up at other boxes when its own is lost. token is called with
-// the text of each.
+// Generate requests a generation from the box with the given index and reads it to its
+// end. If the connection is lost, it resumes the stream at other boxes. It calls token
+// with the text of each token.
 func (c *Client) Generate(ctx context.Context, box int, req wire.GenerationRequest, token func(text string)) Outcome {
 	raw, err := json.Marshal(req)
 	if err != nil {
 		return Outcome{Ending: "not_run", Reason: err.Error()}
 	}
-	r := &reading{began: time.Now(), hash: xxhash.New(), token: token}
-	resp, err := c.do(ctx, http.MethodPost, c.box(box)+"/v1/generations", raw, nil)
+	r := &streamState{start: time.Now(), hash: xxhash.New(), token: token}
+	resp, err := c.do(ctx, http.MethodPost, c.boxURL(box)+"/v1/generations", raw, nil)
 	for n := 1; n < len(c.boxes) && neverSent(err); n++ {
 		box++
-		resp, err = c.do(ctx, http.MethodPost, c.box(box)+"/v1/generations", raw, nil)
+		resp, err = c.do(ctx, http.MethodPost, c.boxURL(box)+"/v1/generations", raw, nil)
 	}
 	if err != nil {
-		// Nothing is known of a POST without an answer.
+		// A POST without an answer may or may not have been executed.
 		return Outcome{Ending: "unknown", Reason: "no_answer"}
 	}
 	r.read(resp)
-	for n := 0; !r.over && r.out.Request != "" && n < takeUps && ctx.Err() == nil; n++ {
-		time.Sleep(takeUpWait)
+	for n := 0; !r.finished && r.out.Request != "" && n < maxResumes && ctx.Err() == nil; n++ {
+		time.Sleep(resumeWait)
 		box++
-		c.takeUp(ctx, box, r)
+		c.resume(ctx, box, r)
 	}
-	if !r.over {
+	if !r.finished {
 		r.out.Ending, r.out.Reason = "unknown", "cut_off"
 	}
 	return r.out
 }
 
-// neverSent tells whether a call failed before any byte could go out.
+// neverSent reports whether a call failed before any byte was sent.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (c *Client) takeUp(ctx context.Context, box int, r *reading) {
+// resume continues a stream after the last received token.
+func (c *Client) resume(ctx context.Context, box int, r *streamState) {
 	header := http.Header{}
 	if r.out.Tokens > 0 {
 		header.Set("Last-Event-ID", strconv.Itoa(r.out.Tokens-1))
 	}
-	resp, err := c.do(ctx, http.MethodGet, c.box(box)+"/v1/generations/"+r.out.Request, nil, header)
+	resp, err := c.do(ctx, http.MethodGet, c.boxURL(box)+"/v1/generations/"+r.out.Request, nil, header)
 	if err != nil {
 		return
 	}
@@ -121,10 +121,10 @@
 	r.read(resp)
 }
 
-func (c *Client) box(n int) string { return c.boxes[n%len(c.boxes)] }
+func (c *Client) boxURL(n int) string { return c.boxes[n%len(c.boxes)] }
 
-// Call carries out one call of an interface and decodes its answer into out.
-// The error is an *Error where a box answered.
+// Call sends one request and decodes the answer into out. The error is an *Error if a box
+// answered with a refusal.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	var raw []byte
 	if in != nil {
@@ -135,7 +135,7 @@
 	}
 	var last error
 	for n := range c.boxes {
-		resp, err := c.do(ctx, method, c.box(n)+path, raw, nil)
+		resp, err := c.do(ctx, method, c.boxURL(n)+path, raw, nil)
 		if err != nil {
 			last = err
 			continue
@@ -145,27 +145,28 @@
 	return last
 }
 
-// Service carries out a call to a plain service at the box of a number.
+// Service calls a plain service through the box with the given index.
 func (c *Client) Service(ctx context.Context, box int, method, path, key string, body []byte) (int, []byte, error) {
 	header := http.Header{}
 	if key != "" {
 		header.Set("Idempotency-Key", key)
 	}
-	resp, err := c.do(ctx, method, c.box(box)+"/v1/services/"+path, body, header)
+	resp, err := c.do(ctx, method, c.boxURL(box)+"/v1/services/"+path, body, header)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if resp.Header.Get("Petrelstep-Ending") == "" && err == nil {
-		return resp.StatusCode, raw, refusalOf(raw)
+		return resp.StatusCode, raw, decodeRefusal(raw)
 	}
 	return resp.StatusCode, raw, err
 }
 
-// Open starts a call whose answer is a stream of events.
+// Open sends a request whose answer is a stream of events. The caller calls the returned
+// function to close the stream.
 func (c *Client) Open(ctx context.Context, path string) (*sse.Reader, func(), error) {
-	resp, err := c.do(ctx, http.MethodGet, c.box(0)+path, nil, nil)
+	resp, err := c.do(ctx, http.MethodGet, c.boxURL(0)+path, nil, nil)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -197,7 +198,7 @@
 		return err
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refusalOf(raw)
+		return decodeRefusal(raw)
 	}
 	if out == nil {
 		return nil
@@ -205,7 +206,7 @@
 	return json.Unmarshal(raw, out)
 }
 
-func refusalOf(raw []byte) error {
+func decodeRefusal(raw []byte) error {
 	var body wire.RefusalBody
 	if err := json.Unmarshal(raw, &body); err != nil {
 		return err
@@ -213,27 +214,27 @@
 	return &Error{Body: body}
 }
 
-// reading is one caller's way through a stream, over all boxes that carry it.
-type reading struct {
-	out   Outcome
-	began time.Time
-	last  time.Time
-	hash  *xxhash.Digest
-	token func(text string)
-	over  bool
+// streamState is the state of a stream across all boxes that deliver it.
+type streamState struct {
+	out      Outcome
+	start    time.Time
+	last     time.Time
+	hash     *xxhash.Digest
+	token    func(text string)
+	finished bool
 }
 
-func (r *reading) read(resp *http.Response) {
+func (r *streamState) read(resp *http.Response) {
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		r.refused(resp)
+		r.handleRefusal(resp)
 		return
 	}
 	events := sse.New(resp.Body)
 	for {
 		e, err := events.Next()
 		if err != nil {
-			return // cut off; it may be taken up
+			return // disconnected; the stream may be resumed
 		}
 		switch e.Name {
 		case sse.Start:
@@ -242,38 +243,39 @@
 				r.out.Request = s.Request
 			}
 		case sse.End:
-			r.end(e.Data)
+			r.handleEnd(e.Data)
 			return
 		default:
-			r.take(e)
+			r.addToken(e)
 		}
 	}
 }
 
-// refused ends a request by its refusal. While a stream is taken up, a box
-// that cannot serve now is no end.
-func (r *reading) refused(resp *http.Response) {
+// handleRefusal ends a request with the refusal's outcome. While a stream is being resumed,
+// a temporary refusal does not end it.
+func (r *streamState) handleRefusal(resp *http.Response) {
 	raw, _ := io.ReadAll(resp.Body)
 	var refused *Error
-	if !errors.As(refusalOf(raw), &refused) {
-		r.out.Ending, r.out.Reason, r.over = "unknown", "status_"+strconv.Itoa(resp.StatusCode), true
+	if !errors.As(decodeRefusal(raw), &refused) {
+		r.out.Ending, r.out.Reason, r.finished = "unknown", "status_"+strconv.Itoa(resp.StatusCode), true
 		return
 	}
 	temporary := resp.StatusCode == http.StatusServiceUnavailable || refused.Body.Reason == "upstream_lost"
 	if r.out.Request != "" && temporary {
 		return
 	}
-	r.out.Ending, r.out.Reason, r.over = string(refused.Body.Ending), refused.Body.Reason, true
+	r.out.Ending, r.out.Reason, r.finished = string(refused.Body.Ending), refused.Body.Reason, true
 	r.out.RetryAfter = time.Duration(refused.Body.RetryAfterMs) * time.Millisecond
 }
 
-func (r *reading) take(e sse.Event) {
+// addToken records a token and checks that it is the next one.
+func (r *streamState) addToken(e sse.Event) {
 	now := time.Now()
 	if e.ID != r.out.Tokens {
-		r.out.Wrong = "token " + strconv.Itoa(e.ID) + " where " + strconv.Itoa(r.out.Tokens) + " was due"
+		r.out.Wrong = "token " + strconv.Itoa(e.ID) + " where " + strconv.Itoa(r.out.Tokens) + " was expected"
 	}
 	if r.out.Tokens == 0 {
-		r.out.First = now.Sub(r.began)
+		r.out.First = now.Sub(r.start)
 	} else {
 		r.out.Gaps = append(r.out.Gaps, now.Sub(r.last))
 	}
@@ -281,7 +283,7 @@
 	r.out.Tokens++
 	var text string
 	if err := json.Unmarshal(e.Data, &text); err != nil {
-		r.out.Wrong = "token is no string"
+		r.out.Wrong = "token is not a string"
 	}
 	_, _ = r.hash.WriteString(text)
 	if r.token != nil {
@@ -289,13 +291,14 @@
 	}
 }
 
-func (r *reading) end(data []byte) {
+// handleEnd takes the outcome from the end event and checks the token count and the hash.
+func (r *streamState) handleEnd(data []byte) {
 	var e wire.EndEvent
 	if err := json.Unmarshal(data, &e); err != nil {
 		r.out.Wrong = err.Error()
 		return
 	}
-	r.over = true
+	r.finished = true
 	r.out.Ending, r.out.Reason, r.out.Generation = string(e.Ending), e.Reason, e.Generation
 	r.out.RetryAfter = time.Duration(e.RetryAfterMs) * time.Millisecond
 	r.out.Whole = e.Ending == wire.EndEventEndingDone && e.Count == r.out.Tokens && r.out.Wrong == "" &&
