--- a/upstream/engine/engine.go
+++ b/upstream/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine is the client of model engines. The concrete protocol is the
-// users' to name; this adapter speaks the stand-in's.
+// Package engine is the client of model engines. It implements the protocol of the
+// stand-in engine; users adapt it to the protocol of theirs.
 package engine
 
 import (
@@ -17,15 +17,15 @@
 	"petrelstep/wire"
 )
 
-// Kind tells what is certain after a failure.
+// Kind classifies a failure by what is certain after it.
 type Kind int
 
 // The kinds of failure.
 const (
 	NotSent        Kind = iota // no byte left the box
-	Rejected                   // the engine answered that it started nothing
-	AttemptUnknown             // the engine does not hold the attempt
-	Indeterminate              // nothing is certain
+	Rejected                   // the engine answered that it did not start the generation
+	AttemptUnknown             // the engine does not know the attempt
+	Indeterminate              // the engine may or may not have acted on the call
 )
 
 // Error is a failed call to an engine.
@@ -40,13 +40,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// StatusError is an answer that is not the one asked for.
+// StatusError is an answer with an unexpected status.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// KindOf returns the kind of a failure; Lost for any other error.
+// KindOf returns the kind of a failure; Indeterminate for any other error.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -55,44 +55,44 @@
 	return Indeterminate
 }
 
-// Engine calls engines by their addresses. It is safe for use by several
-// goroutines.
+// Engine is a client for engines, which are named by address in each call. It is safe for
+// concurrent use.
 type Engine struct{ http *http.Client }
 
 const (
-	dialTime = time.Second
-	idleMost = 256
-	// answerMost bounds an answer that is no stream, in bytes.
-	answerMost = 8 << 20
+	dialTimeout  = time.Second
+	maxIdleConns = 256
+	// maxAnswerBytes bounds an answer that is not a stream.
+	maxAnswerBytes = 8 << 20
 )
 
-// New returns a client.
+// New returns a client with its own connection pool.
 func New() *Engine {
-	dialer := &net.Dialer{Timeout: dialTime}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idleMost,
+		MaxIdleConnsPerHost: maxIdleConns,
 		IdleConnTimeout:     30 * time.Second,
 		DisableCompression:  true,
 	}
 	return &Engine{http: &http.Client{Transport: transport}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (e *Engine) Close() { e.http.CloseIdleConnections() }
 
-// Stream is the body of one generation's events.
+// Stream reads the events of one generation.
 type Stream struct {
 	*sse.Reader
 	body io.Closer
 }
 
-// NewStream returns the stream of a body that an engine sends.
+// NewStream returns a stream that reads events from a response body.
 func NewStream(body io.ReadCloser) *Stream {
 	return &Stream{Reader: sse.New(body), body: body}
 }
 
-// Close ends the reading; the engine keeps the generation.
+// Close stops reading; the generation continues at the engine.
 func (s *Stream) Close() { _ = s.body.Close() }
 
 // Generate starts a generation and returns its stream.
@@ -104,7 +104,7 @@
 	return e.open(ctx, http.MethodPost, "http://"+address+"/generate", bytes.NewReader(raw))
 }
 
-// Resume takes a generation up from an offset.
+// Resume returns the stream of a running generation from a token offset.
 func (e *Engine) Resume(ctx context.Context, address, attempt string, from int) (*Stream, error) {
 	return e.open(ctx, http.MethodGet, fmt.Sprintf("http://%s/generations/%s?from=%d", address, attempt, from), nil)
 }
@@ -116,16 +116,16 @@
 	}
 	resp, err := e.http.Do(req)
 	if err != nil {
-		return nil, &Error{Kind: kindOfTransport(err), Err: err}
+		return nil, &Error{Kind: transportErrorKind(err), Err: err}
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, &Error{Kind: kindOfStatus(resp.StatusCode), Err: &StatusError{Status: resp.StatusCode}}
+		return nil, &Error{Kind: statusKind(resp.StatusCode), Err: &StatusError{Status: resp.StatusCode}}
 	}
 	return NewStream(resp.Body), nil
 }
 
-// Cancel ends a generation and tells whether it ever started.
+// Cancel cancels a generation and returns whether it had started.
 func (e *Engine) Cancel(ctx context.Context, address, attempt string) (wire.CancelAnswer, error) {
 	var a wire.CancelAnswer
 	err := e.call(ctx, http.MethodPost, "http://"+address+"/generations/"+attempt+"/cancel", nil, &a)
@@ -139,14 +139,14 @@
 	return l, err
 }
 
-// CacheEvents reads the changes of the prefix cache after a sequence number.
+// CacheEvents reads the prefix cache events after a sequence number.
 func (e *Engine) CacheEvents(ctx context.Context, address string, after int) (wire.CacheEvents, error) {
 	var c wire.CacheEvents
 	err := e.call(ctx, http.MethodGet, fmt.Sprintf("http://%s/cache?after=%d", address, after), nil, &c)
 	return c, err
 }
 
-// Order sends an order.
+// Order sends an order, which declares what the engine serves.
 func (e *Engine) Order(ctx context.Context, address string, o wire.EngineOrder) (wire.OrderAnswer, error) {
 	var a wire.OrderAnswer
 	err := e.call(ctx, http.MethodPost, "http://"+address+"/orders", o, &a)
@@ -168,13 +168,13 @@
 	}
 	resp, err := e.http.Do(req)
 	if err != nil {
-		return &Error{Kind: kindOfTransport(err), Err: err}
+		return &Error{Kind: transportErrorKind(err), Err: err}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return &Error{Kind: kindOfStatus(resp.StatusCode), Err: &StatusError{Status: resp.StatusCode}}
+		return &Error{Kind: statusKind(resp.StatusCode), Err: &StatusError{Status: resp.StatusCode}}
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err == nil {
 		err = json.Unmarshal(raw, out)
 	}
@@ -184,7 +184,7 @@
 	return nil
 }
 
-func kindOfTransport(err error) Kind {
+func transportErrorKind(err error) Kind {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return NotSent
@@ -192,7 +192,7 @@
 	return Indeterminate
 }
 
-func kindOfStatus(status int) Kind {
+func statusKind(status int) Kind {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest:
 		return Rejected
--- a/upstream/service/service.go
+++ b/upstream/service/service.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// Call is one call to carry out. Values are immutable.
+// Call is one call to a service. Values are immutable.
 type Call struct {
 	Method  string
 	Address string // IP:port
-	Path    string // with the query
-	Type    string // of the body
+	Path    string // with the query string
+	Type    string // content type of the body
 	Body    []byte
-	Attempt string // token of the one try that may run it
+	Attempt string // token of the only attempt that may run the call
 }
 
-// Answer is a service's whole answer.
+// Answer is the complete answer of a service.
 type Answer struct {
 	Status     int
 	Type       string
-	RetryAfter string // when to come back, as its head says; empty where it does not
+	RetryAfter string // value of the Retry-After header; empty if absent
 	Body       []byte
 }
 
-// Error is a call without an answer.
+// Error reports a call that got no answer.
 type Error struct {
-	NotSent bool // certain that no byte left the box
+	NotSent bool // no byte left the box
 	Err     error
 }
 
@@ -41,33 +41,33 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotSent tells whether an error means that nothing left the box.
+// NotSent reports whether an error means that no byte left the box.
 func NotSent(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.NotSent
 }
 
-// Service calls plain services. It is safe for use by several goroutines.
+// Service is a client for plain services. It is safe for concurrent use.
 type Service struct{ http *http.Client }
 
 const (
-	dialTime = time.Second
-	// answerMost bounds an answer, in bytes.
-	answerMost = 16 << 20
+	dialTimeout = time.Second
+	// maxAnswerBytes bounds the body of an answer.
+	maxAnswerBytes = 16 << 20
 )
 
-// New returns a client whose calls last no longer than timeout. Idle
-// connections are not kept: the transport repeats calls on a connection that
-// it finds closed, and a call that must not be repeated may not run that risk.
+// New returns a client whose calls last no longer than timeout. It keeps no idle
+// connections, as the HTTP transport may repeat a call on a connection that was closed
+// meanwhile, which a call that must run at most once does not allow.
 func New(timeout time.Duration) *Service {
-	dialer := &net.Dialer{Timeout: dialTime}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Service{http: &http.Client{
 		Timeout:   timeout,
 		Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true},
 	}}
 }
 
-// Do carries out a call once.
+// Do sends a call once.
 func (s *Service) Do(ctx context.Context, c Call) (Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
@@ -83,7 +83,7 @@
 		return Answer{}, &Error{NotSent: errors.As(err, &op) && op.Op == "dial", Err: err}
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return Answer{}, &Error{Err: err}
 	}
--- a/upstream/service/service_test.go
+++ b/upstream/service/service_test.go
@@ -12,8 +12,8 @@
 	"petrelstep/upstream/service"
 )
 
-// TestAgain holds that what a service says of when to come back is read.
-func TestAgain(t *testing.T) {
+// TestRetryAfter checks that the Retry-After header of a service is returned.
+func TestRetryAfter(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "7")
