--- a/soak/checker/checker.go
+++ b/soak/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker holds what callers were told against what workers ran. It
-// sees only both ends of a site, as the users do.
+// Package checker compares the responses that callers received with the requests that
+// workers executed. It sees only these two ends of a site, not the boxes between them.
 package checker
 
 import (
@@ -16,16 +16,16 @@
 
 // The kinds of requests, named like their routes.
 const (
-	Draft  Kind = "draft" // a stream that may run once
-	Check  Kind = "check" // a stream that may be resumed
-	Once   Kind = "once"  // a whole answer, may run once
-	Lookup Kind = "look"  // a whole answer, may be repeated
+	Draft  Kind = "draft" // streamed, may run once only
+	Check  Kind = "check" // streamed, may be resumed
+	Once   Kind = "once"  // not streamed, may run once only
+	Lookup Kind = "look"  // not streamed, may be repeated
 )
 
-// Streams tells whether answers are streams.
+// Streams reports whether responses are streams.
 func (k Kind) Streams() bool { return k == Draft || k == Check }
 
-// Repeatable tells whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (k Kind) Repeatable() bool { return k == Check || k == Lookup }
 
 // Attempt is one request as its caller saw it.
@@ -38,15 +38,15 @@
 	Body         string
 	Sent         time.Time
 	Ended        time.Time
-	Revoked      time.Time // when its key was taken away, before it was sent; zero if it was not
-	Status       int       // 0 without an answer
+	Revoked      time.Time // when its key was revoked before it was sent; zero if it was not
+	Status       int       // 0 without a response
 	Sealed       bool
-	Answer       string // as far as it came
-	Complete     bool   // it ended as a whole answer does
-	GaveUp       bool   // the caller left
+	Answer       string // body as far as received
+	Complete     bool   // the response ended normally
+	GaveUp       bool   // the caller cancelled or timed out
 }
 
-// Execution is one run at a worker.
+// Execution is one run of a request at a worker.
 type Execution struct {
 	Worker      string
 	Incarnation int64 // of the worker
@@ -54,111 +54,112 @@
 	worker.Run
 }
 
-// Stop is a planned stop of a box with nothing else wrong.
+// Stop is a planned stop of a box with no other fault active.
 type Stop struct {
 	Box    string
-	From   time.Time // nothing was wrong from then on
+	From   time.Time // no other fault was active from then on
 	Signal time.Time
 	Until  time.Time
 }
 
-// Evacuation is that of a hall with nothing else wrong.
+// Evacuation is the evacuation of a hall with no other fault active.
 type Evacuation struct {
 	Hall  string
-	From  time.Time // the store has it
-	Until time.Time // it is taken back
+	From  time.Time // written to the store
+	Until time.Time // cancelled
 }
 
-// Promises are those that are checked.
+// The guarantees that are checked.
 const (
-	Mixed       = "MIXED"   // an answer that is not the worker's, or of another request
-	Order       = "ORDER"   // a stream with a gap, a repeat, or cut but complete to see
-	Unrequested = "UNASKED" // a run of what no caller asked
-	Duplicate   = "TWICE"   // a second run of what may run once
-	Refused     = "REFUSED" // told that it was not run, and it ran
-	Revoked     = "REVOKED" // served by a key that was taken away
-	CutOff      = "CUT"     // a planned stop broke it off
+	Mixed       = "MIXED"   // a response that no worker sent, or that belongs to another request
+	Order       = "ORDER"   // a stream with a gap or repeat, or truncated but marked complete
+	Unrequested = "UNASKED" // a run that no caller requested
+	Duplicate   = "TWICE"   // a second run of a request that may run once only
+	Refused     = "REFUSED" // a run of a request that was reported as not run
+	Revoked     = "REVOKED" // a run for a revoked key
+	CutOff      = "CUT"     // a response interrupted by a planned stop
 	Evacuated   = "CLOSED"  // a run begun in an evacuated hall
-	Limits      = "LIMIT"   // a worker got more than it named
-	Poison      = "ENDS"    // a request under which workers end reached too many
-	Drain       = "DRAIN"   // a worker got requests long after it had told the box that it leaves
-	Rest        = "REST"    // a worker got requests in a rest that it had asked the box for
+	Limits      = "LIMIT"   // a worker got more requests than its announced limit
+	Poison      = "ENDS"    // a poison request crashed too many workers
+	Drain       = "DRAIN"   // a worker got requests long after it had announced leaving to the box
+	Rest        = "REST"    // a worker got requests during a backoff that it had announced to the box
 )
 
-// Violation is one broken promise.
+// Violation is one violated guarantee.
 type Violation struct {
 	Guarantee string
 	Request   string
 	Detail    string
 }
 
-// String returns a line.
+// String returns the violation as one line.
 func (b Violation) String() string { return b.Guarantee + " " + b.Request + ": " + b.Detail }
 
-// Checker checks histories of one site.
+// Checker checks the histories of one site.
 type Checker struct {
-	events int           // in a stream
-	key    time.Duration // that a key may be served after it was taken away
-	hall   time.Duration // that a hall may get runs after it was evacuated
+	events          int           // in each stream
+	revocationBound time.Duration // how long a revoked key may be accepted
+	evacuationBound time.Duration // how long an evacuated hall may get runs
 }
 
-// New returns a verdict over streams of so many events.
+// New returns a checker for streams of the given number of events, with bounds on how long
+// a revoked key may be accepted and an evacuated hall may get runs.
 func New(events int, key, hall time.Duration) *Checker {
-	return &Checker{events: events, key: key, hall: hall}
+	return &Checker{events: events, revocationBound: key, evacuationBound: hall}
 }
 
-// closed returns the runs that began in a hall while it was evacuated.
-func (v *Checker) closed(ran []Execution, evacuations []Evacuation) []Violation {
-	var broken []Violation
+// runsInEvacuated returns a violation for each run begun in an evacuated hall.
+func (c *Checker) runsInEvacuated(ran []Execution, evacuations []Evacuation) []Violation {
+	var violations []Violation
 	for _, r := range ran {
 		for _, e := range evacuations {
-			if late := r.At.Sub(e.From); r.Hall == e.Hall && late > v.hall && r.At.Before(e.Until) {
-				broken = append(broken, Violation{Evacuated, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, late)})
+			if after := r.At.Sub(e.From); r.Hall == e.Hall && after > c.evacuationBound && r.At.Before(e.Until) {
+				violations = append(violations, Violation{Evacuated, r.ID, fmt.Sprintf("begun in %s %v after its evacuation", r.Hall, after)})
 			}
 		}
 	}
-	return broken
+	return violations
 }
 
-// Check returns what is broken.
-func (v *Checker) Check(attempts []Attempt, ran []Execution, stops []Stop, evacuations []Evacuation) []Violation {
+// Check returns the violations in the histories.
+func (c *Checker) Check(attempts []Attempt, ran []Execution, stops []Stop, evacuations []Evacuation) []Violation {
 	runs := map[string][]Execution{}
 	for _, r := range ran {
 		runs[r.ID] = append(runs[r.ID], r)
 	}
-	broken := v.closed(ran, evacuations)
-	asked := map[string]bool{}
+	violations := c.runsInEvacuated(ran, evacuations)
+	requested := map[string]bool{}
 	for _, a := range attempts {
-		asked[a.ID] = true
-		for _, check := range []func(Attempt, []Execution) (string, string){v.answer, runOnce, refused, asAsked, v.revoked} {
-			if promise, detail := check(a, runs[a.ID]); promise != "" {
-				broken = append(broken, Violation{promise, a.ID, detail})
+		requested[a.ID] = true
+		for _, check := range []func(Attempt, []Execution) (string, string){c.checkAnswer, checkRunOnce, checkRefused, checkUnchanged, c.checkRevoked} {
+			if guarantee, detail := check(a, runs[a.ID]); guarantee != "" {
+				violations = append(violations, Violation{guarantee, a.ID, detail})
 			}
 		}
 		for _, s := range stops {
-			if detail := cut(a, s); detail != "" {
-				broken = append(broken, Violation{CutOff, a.ID, detail})
+			if detail := cutByStop(a, s); detail != "" {
+				violations = append(violations, Violation{CutOff, a.ID, detail})
 			}
 		}
 	}
 	for id := range runs {
-		if !asked[id] {
-			broken = append(broken, Violation{Unrequested, id, "no caller sent it"})
+		if !requested[id] {
+			violations = append(violations, Violation{Unrequested, id, "no caller sent it"})
 		}
 	}
-	return broken
+	return violations
 }
 
-// answer holds a success against the worker's own text.
-func (v *Checker) answer(a Attempt, runs []Execution) (promise, detail string) {
+// checkAnswer compares a successful response with the text that the workers produce.
+func (c *Checker) checkAnswer(a Attempt, runs []Execution) (guarantee, detail string) {
 	if a.Status != http.StatusOK {
 		return "", ""
 	}
 	if !a.Sealed {
-		return Mixed, "a success without a seal"
+		return Mixed, "success without a seal"
 	}
 	if a.Kind.Streams() {
-		return v.stream(a)
+		return c.checkStream(a)
 	}
 	if !a.Complete {
 		return "", ""
@@ -168,24 +169,24 @@
 			return "", ""
 		}
 	}
-	return Mixed, fmt.Sprintf("answered %q by none of its %d runs", a.Answer, len(runs))
+	return Mixed, fmt.Sprintf("response %q matches none of its %d runs", a.Answer, len(runs))
 }
 
-func (v *Checker) stream(a Attempt) (promise, detail string) {
+func (c *Checker) checkStream(a Attempt) (guarantee, detail string) {
 	var whole strings.Builder
-	for i := range v.events {
+	for i := range c.events {
 		fmt.Fprintf(&whole, "id: %d\ndata: %s %d\n\n", i, a.ID, i)
 	}
 	switch {
 	case !strings.HasPrefix(whole.String(), a.Answer):
-		return Order, fmt.Sprintf("%d bytes are no beginning of its stream", len(a.Answer))
+		return Order, fmt.Sprintf("%d bytes received are not a prefix of its stream", len(a.Answer))
 	case a.Complete && len(a.Answer) < whole.Len():
-		return Order, "ended as complete before its last event"
+		return Order, "ended as complete without its last event"
 	}
 	return "", ""
 }
 
-func runOnce(a Attempt, runs []Execution) (promise, detail string) {
+func checkRunOnce(a Attempt, runs []Execution) (guarantee, detail string) {
 	begun := 0
 	for _, r := range runs {
 		if r.From == "" {
@@ -198,7 +199,7 @@
 	return "", ""
 }
 
-func refused(a Attempt, runs []Execution) (promise, detail string) {
+func checkRefused(a Attempt, runs []Execution) (guarantee, detail string) {
 	switch a.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
 	default:
@@ -207,10 +208,10 @@
 	if a.Kind.Repeatable() || len(runs) == 0 {
 		return "", ""
 	}
-	return Refused, fmt.Sprintf("told %d, and ran at %s", a.Status, runs[0].Worker)
+	return Refused, fmt.Sprintf("status %d, but it ran at %s", a.Status, runs[0].Worker)
 }
 
-func asAsked(a Attempt, runs []Execution) (promise, detail string) {
+func checkUnchanged(a Attempt, runs []Execution) (guarantee, detail string) {
 	for _, r := range runs {
 		if r.Organisation != a.Organisation || r.Target != a.Target || r.Body != a.Body {
 			return Unrequested, fmt.Sprintf("ran as %s %s %q", r.Organisation, r.Target, r.Body)
@@ -219,21 +220,21 @@
 	return "", ""
 }
 
-func (v *Checker) revoked(a Attempt, runs []Execution) (promise, detail string) {
-	if len(runs) == 0 || a.Revoked.IsZero() || a.Sent.Sub(a.Revoked) <= v.key {
+func (c *Checker) checkRevoked(a Attempt, runs []Execution) (guarantee, detail string) {
+	if len(runs) == 0 || a.Revoked.IsZero() || a.Sent.Sub(a.Revoked) <= c.revocationBound {
 		return "", ""
 	}
-	return Revoked, fmt.Sprintf("sent %v after its key was taken away", a.Sent.Sub(a.Revoked))
+	return Revoked, fmt.Sprintf("sent %v after its key was revoked", a.Sent.Sub(a.Revoked))
 }
 
-// cut tells whether a planned stop broke an answer off: one that had begun, at
-// a box without any other trouble.
-func cut(a Attempt, s Stop) string {
+// cutByStop describes how a planned stop interrupted a response that had begun, or returns
+// "" if it did not.
+func cutByStop(a Attempt, s Stop) string {
 	if a.Box != s.Box || a.Complete || a.GaveUp || a.Status != http.StatusOK {
 		return ""
 	}
 	if a.Sent.Before(s.From) || a.Ended.Before(s.Signal) || a.Ended.After(s.Until) {
 		return ""
 	}
-	return fmt.Sprintf("broken off %v after the signal", a.Ended.Sub(s.Signal))
+	return fmt.Sprintf("interrupted %v after the signal", a.Ended.Sub(s.Signal))
 }
--- a/soak/checker/checker_test.go
+++ b/soak/checker/checker_test.go
@@ -18,7 +18,7 @@
 
 var now = time.Now()
 
-// attempt is a request that is served, changed by change.
+// attempt returns a served request, modified by change.
 func attempt(kind checker.Kind, change func(*checker.Attempt)) checker.Attempt {
 	a := checker.Attempt{
 		ID: "r", Kind: kind, Box: "b", Organisation: "council", Target: "/x", Sent: now, Ended: now.Add(time.Second),
@@ -33,7 +33,7 @@
 	return a
 }
 
-// run is its run, changed by change.
+// run returns the run of that request, modified by change.
 func run(change func(*checker.Execution)) checker.Execution {
 	r := checker.Execution{Worker: "w", Run: worker.Run{ID: "r", Organisation: "council", Target: "/x", At: now}}
 	if change != nil {
@@ -42,7 +42,7 @@
 	return r
 }
 
-// TestCheck shows that each broken promise is seen, and nothing else is.
+// TestCheck checks that each violation is found and correct histories yield none.
 func TestCheck(t *testing.T) {
 	once := []checker.Execution{run(nil)}
 	again := []checker.Execution{run(nil), run(func(r *checker.Execution) { r.Worker = "v" })}
@@ -54,62 +54,62 @@
 		stops   []checker.Stop
 		want    string
 	}{
-		"a whole answer":                   {attempt(checker.Once, nil), once, nil, ""},
-		"a stream":                         {attempt(checker.Draft, nil), once, nil, ""},
-		"a moved stream":                   {attempt(checker.Draft, nil), moved, nil, ""},
-		"a repeated look":                  {attempt(checker.Lookup, nil), again, nil, ""},
-		"a refusal":                        {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), nil, nil, ""},
-		"a broken stream":                  {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = a.Answer[:20], false }), once, nil, ""},
-		"without a seal":                   {attempt(checker.Once, func(a *checker.Attempt) { a.Sealed = false }), once, nil, checker.Mixed},
-		"another's answer":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Answer = "answer to q by w" }), once, nil, checker.Mixed},
-		"an answer of no run":              {attempt(checker.Once, nil), nil, nil, checker.Mixed},
-		"a gap":                            {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[len(a.Answer)/2:] }), once, nil, checker.Order},
-		"cut, and complete to see":         {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[:len(a.Answer)/2] }), once, nil, checker.Order},
-		"nobody asked":                     {attempt(checker.Once, func(a *checker.Attempt) { a.ID, a.Status = "q", 502 }), once, nil, checker.Unrequested},
-		"another organisation's":           {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Organisation = "firm" })}, nil, checker.Unrequested},
-		"another body":                     {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Body = "x" })}, nil, checker.Unrequested},
-		"two runs":                         {attempt(checker.Draft, nil), again, nil, checker.Duplicate},
-		"refused, and ran":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), once, nil, checker.Refused},
-		"a key taken away just now":        {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-4 * time.Second) }), once, nil, ""},
-		"a key taken away":                 {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-6 * time.Second) }), once, nil, checker.Revoked},
-		"broken off by a planned stop":     {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = "", false }), once, stop, checker.CutOff},
-		"its caller left before that stop": {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete, a.GaveUp = "", false, true }), once, stop, ""},
+		"plain response":                          {attempt(checker.Once, nil), once, nil, ""},
+		"stream":                                  {attempt(checker.Draft, nil), once, nil, ""},
+		"moved stream":                            {attempt(checker.Draft, nil), moved, nil, ""},
+		"repeated lookup":                         {attempt(checker.Lookup, nil), again, nil, ""},
+		"rejected":                                {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), nil, nil, ""},
+		"interrupted stream":                      {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = a.Answer[:20], false }), once, nil, ""},
+		"without a seal":                          {attempt(checker.Once, func(a *checker.Attempt) { a.Sealed = false }), once, nil, checker.Mixed},
+		"response to another request":             {attempt(checker.Once, func(a *checker.Attempt) { a.Answer = "answer to q by w" }), once, nil, checker.Mixed},
+		"response without a run":                  {attempt(checker.Once, nil), nil, nil, checker.Mixed},
+		"gap in the stream":                       {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[len(a.Answer)/2:] }), once, nil, checker.Order},
+		"truncated stream marked complete":        {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer = a.Answer[:len(a.Answer)/2] }), once, nil, checker.Order},
+		"run without a request":                   {attempt(checker.Once, func(a *checker.Attempt) { a.ID, a.Status = "q", 502 }), once, nil, checker.Unrequested},
+		"run for another organisation":            {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Organisation = "firm" })}, nil, checker.Unrequested},
+		"run with another body":                   {attempt(checker.Draft, nil), []checker.Execution{run(func(r *checker.Execution) { r.Body = "x" })}, nil, checker.Unrequested},
+		"two runs":                                {attempt(checker.Draft, nil), again, nil, checker.Duplicate},
+		"rejected but ran":                        {attempt(checker.Once, func(a *checker.Attempt) { a.Status = 503 }), once, nil, checker.Refused},
+		"key revoked within the bound":            {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-4 * time.Second) }), once, nil, ""},
+		"key revoked before the bound":            {attempt(checker.Once, func(a *checker.Attempt) { a.Revoked = now.Add(-6 * time.Second) }), once, nil, checker.Revoked},
+		"interrupted by a planned stop":           {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete = "", false }), once, stop, checker.CutOff},
+		"cancelled by its caller before the stop": {attempt(checker.Draft, func(a *checker.Attempt) { a.Answer, a.Complete, a.GaveUp = "", false, true }), once, stop, ""},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{tt.attempt}, tt.runs, tt.stops, nil)
+			violations := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{tt.attempt}, tt.runs, tt.stops, nil)
 			if tt.want == "" {
-				is.Equal(len(broken), 0)
+				is.Equal(len(violations), 0)
 				return
 			}
-			is.Equal(len(broken), 1)
-			is.Equal(broken[0].Guarantee, tt.want)
+			is.Equal(len(violations), 1)
+			is.Equal(violations[0].Guarantee, tt.want)
 		})
 	}
 }
 
-// TestClosed shows which runs break the promise of an evacuated hall.
-func TestClosed(t *testing.T) {
+// TestEvacuated checks which runs in an evacuated hall are violations.
+func TestEvacuated(t *testing.T) {
 	evacuated := []checker.Evacuation{{Hall: "leith", From: now, Until: now.Add(10 * time.Second)}}
 	tests := map[string]struct {
 		hall string
 		at   time.Duration
 		want int
 	}{
-		"before":              {"leith", -time.Second, 0},
-		"within its time":     {"leith", 2 * time.Second, 0},
-		"later":               {"leith", 4 * time.Second, 1},
-		"once it is back":     {"leith", 11 * time.Second, 0},
-		"later, another hall": {"gorgie", 4 * time.Second, 0},
+		"before the evacuation":         {"leith", -time.Second, 0},
+		"within the bound":              {"leith", 2 * time.Second, 0},
+		"after the bound":               {"leith", 4 * time.Second, 1},
+		"after the evacuation ended":    {"leith", 11 * time.Second, 0},
+		"after the bound, another hall": {"gorgie", 4 * time.Second, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			ran := run(func(r *checker.Execution) { r.Hall, r.At = tt.hall, now.Add(tt.at) })
-			broken := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Execution{ran}, nil, evacuated)
+			violations := checker.New(events, 5*time.Second, 3*time.Second).Check([]checker.Attempt{attempt(checker.Once, nil)}, []checker.Execution{ran}, nil, evacuated)
 			is := is.New(t)
-			is.Equal(len(broken), tt.want)
-			is.True(len(broken) == 0 || broken[0].Guarantee == checker.Evacuated)
+			is.Equal(len(violations), tt.want)
+			is.True(len(violations) == 0 || violations[0].Guarantee == checker.Evacuated)
 		})
 	}
 }
--- a/soak/checker/limits.go
+++ b/soak/checker/limits.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// needHeard is how long after a worker first named its limit the sum is bounded.
-	needHeard = 3 * time.Second
-	// needWindow is over what time it is: limitOver times what the limit allows, and
-	// limitSlack more.
-	needWindow = 4 * time.Second
-	limitOver  = 1.5
-	limitSlack = 5
-	// toldBefore is since when a box must have been told for what it sends to count.
-	toldBefore = 500 * time.Millisecond
+	// limitSettleTime is how long after its first announcement a worker's limit binds all boxes.
+	limitSettleTime = 3 * time.Second
+	// limitWindow is the window in which requests are counted. They may reach limitFactor
+	// times the limit plus limitSlack.
+	limitWindow = 4 * time.Second
+	limitFactor = 1.5
+	limitSlack  = 5
+	// announcementLag is how long after a box's first request, whose response announces the
+	// limit, its requests begin to count.
+	announcementLag = 500 * time.Millisecond
 )
 
-// Span is a time.
+// Span is a period of time.
 type Span struct{ From, Until time.Time }
 
-// Limit is what a worker named from a time on.
+// Limit is a rate limit that a worker announced from a time on.
 type Limit struct {
 	At        time.Time
 	PerSecond float64
 }
 
-// LimitPeriod is a time in which a worker named limits.
+// LimitPeriod is a period in which a worker announced limits.
 type LimitPeriod struct {
 	Worker      string
-	Incarnation int64 // the worker's life
+	Incarnation int64 // of the worker
 	Span
 	Limits []Limit
 }
 
-// CheckLimits returns the needs in which a worker got more than it took, from boxes that it
-// had told; struck is when each box was ended, stopped or held, which excuses it until
-// it has had time to hear. It returns how many requests were counted too.
-func (v *Checker) CheckLimits(attempts []Attempt, ran []Execution, needs []LimitPeriod, struck map[string][]Span) (broken []Violation, counted int) {
+// CheckLimits returns a violation for each period in which a worker got more requests than
+// its limit from boxes that knew the limit, and the number of requests counted. A box
+// is excused while it is disrupted and until it has had time to receive the limit again.
+func (c *Checker) CheckLimits(attempts []Attempt, ran []Execution, periods []LimitPeriod, disrupted map[string][]Span) (violations []Violation, counted int) {
 	boxes := make(map[string]string, len(attempts))
 	for _, a := range attempts {
 		boxes[a.ID] = a.Box
@@ -47,38 +48,38 @@
 	for _, r := range ran {
 		runs[r.Worker] = append(runs[r.Worker], r)
 	}
-	for _, n := range needs {
+	for _, n := range periods {
 		if len(n.Limits) == 0 {
 			continue
 		}
-		at := n.count(runs[n.Worker], boxes, struck)
+		at := n.countedAt(runs[n.Worker], boxes, disrupted)
 		counted += len(at)
 		for i := range at {
-			if most, allowed := within(at[i:]), n.allowed(at[i]); float64(most) > allowed {
-				broken = append(broken, Violation{Limits, n.Worker, fmt.Sprintf("%d requests in %v, %.1f allowed", most, needWindow, allowed)})
+			if got, allowed := countInWindow(at[i:]), n.allowed(at[i]); float64(got) > allowed {
+				violations = append(violations, Violation{Limits, n.Worker, fmt.Sprintf("%d requests in %v, %.1f allowed", got, limitWindow, allowed)})
 				break
 			}
 		}
 	}
-	return broken, counted
+	return violations, counted
 }
 
-// allowed is the bound for a window: that of the highest limit that was named in it, or
-// so shortly before that boxes may not have heard of the next.
+// allowed returns the bound for a window: that of the highest limit announced in it, or
+// shortly before it, when boxes may not have received the next one yet.
 func (n LimitPeriod) allowed(from time.Time) float64 {
 	highest := 0.0
 	for i, l := range n.Limits {
-		over := i+1 < len(n.Limits) && n.Limits[i+1].At.Before(from.Add(-needHeard))
-		if !over && l.At.Before(from.Add(needWindow)) {
+		superseded := i+1 < len(n.Limits) && n.Limits[i+1].At.Before(from.Add(-limitSettleTime))
+		if !superseded && l.At.Before(from.Add(limitWindow)) {
 			highest = max(highest, l.PerSecond)
 		}
 	}
-	return limitOver*highest*needWindow.Seconds() + limitSlack
+	return limitFactor*highest*limitWindow.Seconds() + limitSlack
 }
 
-// count returns when the runs began that count.
-func (n LimitPeriod) count(runs []Execution, boxes map[string]string, struck map[string][]Span) (at []time.Time) {
-	told := map[string]time.Time{}
+// countedAt returns the start times of the runs that count against the limit.
+func (n LimitPeriod) countedAt(runs []Execution, boxes map[string]string, disrupted map[string][]Span) (at []time.Time) {
+	firstSeen := map[string]time.Time{}
 	slices.SortFunc(runs, func(a, b Execution) int { return a.At.Compare(b.At) })
 	for _, r := range runs {
 		box := boxes[r.ID]
@@ -86,28 +87,29 @@
 		if r.Incarnation != n.Incarnation || since < 0 || r.At.After(n.Until) {
 			continue
 		}
-		if excused(r.At, struck[box]) {
-			delete(told, box)
+		if excused(r.At, disrupted[box]) {
+			delete(firstSeen, box)
 			continue
 		}
-		switch first, ok := told[box]; {
+		switch first, ok := firstSeen[box]; {
 		case !ok:
-			told[box] = r.At
-		case r.At.Sub(first) >= toldBefore && since >= needHeard:
+			firstSeen[box] = r.At
+		case r.At.Sub(first) >= announcementLag && since >= limitSettleTime:
 			at = append(at, r.At)
 		}
 	}
 	return at
 }
 
-// excused tells whether a box was struck at a time or had no time to hear since.
-func excused(at time.Time, struck []Span) bool {
-	return slices.ContainsFunc(struck, func(s Span) bool { return !at.Before(s.From) && at.Before(s.Until.Add(needHeard)) })
+// excused reports whether a box was disrupted at a time, or too recently to have received
+// the limit again.
+func excused(at time.Time, disrupted []Span) bool {
+	return slices.ContainsFunc(disrupted, func(s Span) bool { return !at.Before(s.From) && at.Before(s.Until.Add(limitSettleTime)) })
 }
 
-// within returns how many of some times lie in the window that begins with the first.
-func within(at []time.Time) int {
-	in := slices.IndexFunc(at, func(o time.Time) bool { return o.Sub(at[0]) >= needWindow })
+// countInWindow returns the number of times in the window that begins with the first.
+func countInWindow(at []time.Time) int {
+	in := slices.IndexFunc(at, func(o time.Time) bool { return o.Sub(at[0]) >= limitWindow })
 	if in < 0 {
 		return len(at)
 	}
--- a/soak/faults/faults.go
+++ b/soak/faults/faults.go
@@ -1,6 +1,5 @@
-// Package faults does to a site what its users' days do: it breaks processes,
-// links, the store and workers, one thing after the other and several at once,
-// drawn from a seed.
+// Package faults injects faults into the processes, links, store and workers of a site,
+// in sequence and concurrently, drawn from a seed.
 package faults
 
 import (
@@ -21,99 +20,102 @@
 )
 
 const (
-	// pauseMost is the longest pause between strikes.
-	pauseMost = 600 * time.Millisecond
-	// lastMost is the longest that one strike lasts: longer than a key may be
-	// served, so that beliefs go stale.
-	lastMost = 6 * time.Second
-	// overlap is one in how many strikes that is waited for before the next.
-	overlap = 3
-	// entryShare is one in how many strikes beside which a worker starts again under its
-	// id, or entries are spoilt.
-	entryShare = 2
-	// calmly is one in how many strikes before which all is let come to rest, and
-	// a box stopped.
-	calmly = 6
-	// calm is how long nothing may have been wrong before a planned stop that is
-	// to cut nothing: longer than any answer takes.
-	calm = 3 * time.Second
-	// stopTime is a box's grace of 8 s, and what a busy machine takes to end a
-	// process: one that is still there then is ended by force.
+	// maxPause bounds the pause between faults.
+	maxPause = 600 * time.Millisecond
+	// maxDuration bounds the duration of a fault: longer than site.KeyAge, so that the
+	// boxes' data goes stale.
+	maxDuration = 6 * time.Second
+	// joinShare: after one in joinShare faults, all are awaited before the next.
+	joinShare = 3
+	// rowFaultShare: with one in rowFaultShare faults, concurrently a worker restarts under
+	// its id or rows are corrupted.
+	rowFaultShare = 2
+	// calmShare: instead of one in calmShare faults, a box is stopped and a hall evacuated
+	// with no other fault active.
+	calmShare = 6
+	// calmTime is how long no fault may have been active before a planned stop that must
+	// interrupt nothing: longer than any response takes.
+	calmTime = 3 * time.Second
+	// stopTime is a box's drain time of 8 s plus a margin for a busy machine, after which
+	// it is killed.
 	stopTime = 8500 * time.Millisecond
-	// badAnswers are spoiled in a row by each worker of a service; one alone is
-	// passed by after its first.
+	// badAnswers is the number of consecutive faulty responses of each worker of a service;
+	// a single faulty worker would be avoided after its first.
 	badAnswers = 6
-	// downWithKeys is how long the store is down while keys are taken away:
-	// longer than a key may be served.
-	downWithKeys = site.KeyAge + 2*time.Second
-	// evacuated is how long a hall is evacuated.
-	evacuated = 5 * time.Second
-	// slowStore is how late the store's answers are, in ms.
-	slowStore = 400
+	// revocationOutage is how long the store is down while keys are revoked: longer than a
+	// key may be accepted.
+	revocationOutage = site.KeyAge + 2*time.Second
+	// evacuationTime is how long a hall stays evacuated.
+	evacuationTime = 5 * time.Second
+	// slowStoreMs is the delay of a slow store's responses, in ms.
+	slowStoreMs = 400
 )
 
-// StopError says that a box did not end within the time of its planned stop.
+// StopError reports that a box did not end within the time of its planned stop.
 type StopError struct{ Box string }
 
 // Error implements error.
-func (e *StopError) Error() string { return "stop of " + e.Box + ": not ended in " + stopTime.String() }
+func (e *StopError) Error() string {
+	return "stop of " + e.Box + ": still running after " + stopTime.String()
+}
 
-// Injector is a seed's.
+// Injector injects the faults drawn from a seed. Each kind of draw has its own source, so
+// that enabling one doesn't change the others.
 type Injector struct {
-	site   *site.Site
-	random *rand.Rand
-	halls  *rand.Rand // which are evacuated
-	entry  *rand.Rand // whose entries are struck; drawn apart, so that the other strikes of a seed stay the same
-	need   *rand.Rand // who names limits
-	word   *rand.Rand // who leaves by its answers, and who asks for rest
-	out    io.Writer
+	site           *site.Site
+	random         *rand.Rand
+	hallRandom     *rand.Rand // picks the halls to evacuate
+	rowRandom      *rand.Rand // picks the workers whose rows are corrupted or that restart
+	limitRandom    *rand.Rand // picks the workers that announce limits
+	announceRandom *rand.Rand // picks the workers that announce leaving or a backoff
+	out            io.Writer
 
-	mu      sync.Mutex
-	active  int
-	ended   time.Time // of the last strike
-	stops   []checker.Stop
-	failure error
+	mu        sync.Mutex
+	active    int
+	lastEnded time.Time // end of the last fault
+	stops     []checker.Stop
+	failure   error
 
 	evacuations []checker.Evacuation
 }
 
-// New returns strikes at a site; out is told of each.
+// New returns an injector for a site that writes a line to out for each fault.
 func New(s *site.Site, seed uint64, out io.Writer) *Injector {
-	return &Injector{site: s, random: rand.New(rand.NewPCG(seed, 0)), halls: rand.New(rand.NewPCG(seed, 1)), entry: rand.New(rand.NewPCG(seed, 2)), need: rand.New(rand.NewPCG(seed, 3)), word: rand.New(rand.NewPCG(seed, 4)), out: out}
+	return &Injector{site: s, random: rand.New(rand.NewPCG(seed, 0)), hallRandom: rand.New(rand.NewPCG(seed, 1)), rowRandom: rand.New(rand.NewPCG(seed, 2)), limitRandom: rand.New(rand.NewPCG(seed, 3)), announceRandom: rand.New(rand.NewPCG(seed, 4)), out: out}
 }
 
-// plan is one strike, drawn.
+// plan is a fault to inject.
 type plan struct {
-	name string
-	last time.Duration
-	do   func(last time.Duration) error
+	name     string
+	duration time.Duration
+	do       func(duration time.Duration) error
 }
 
-// Run strikes until ctx ends, and waits until all is whole again. An error says
-// that a box did not start, or a stand-in.
+// Run injects faults until ctx ends, and waits until all have ended. An error means that a
+// box or a stand-in failed to start or stop.
 func (s *Injector) Run(ctx context.Context) error {
 	began := time.Now()
 	var all sync.WaitGroup
 	for ctx.Err() == nil {
-		if s.random.IntN(calmly) == 0 {
+		if s.random.IntN(calmShare) == 0 {
 			all.Wait()
 			s.stopCalmly(ctx, s.site.Boxes[s.random.IntN(len(s.site.Boxes))], began)
-			s.evacuateCalmly(ctx, site.Halls()[s.halls.IntN(len(site.Halls()))], began)
+			s.evacuateCalmly(ctx, site.Halls()[s.hallRandom.IntN(len(site.Halls()))], began)
 			continue
 		}
 		p := s.draw()
-		fmt.Fprintf(s.out, "%6.2f %s for %v\n", time.Since(began).Seconds(), p.name, p.last.Round(time.Millisecond))
-		all.Go(func() { s.strike(p) })
-		if s.entry.IntN(entryShare) == 0 {
-			e := s.onEntry()
+		fmt.Fprintf(s.out, "%6.2f %s for %v\n", time.Since(began).Seconds(), p.name, p.duration.Round(time.Millisecond))
+		all.Go(func() { s.inject(p) })
+		if s.rowRandom.IntN(rowFaultShare) == 0 {
+			e := s.drawRowFault()
 			fmt.Fprintf(s.out, "%6.2f %s\n", time.Since(began).Seconds(), e.name)
-			all.Go(func() { s.strike(e) })
+			all.Go(func() { s.inject(e) })
 		}
-		if s.random.IntN(overlap) == 0 {
+		if s.random.IntN(joinShare) == 0 {
 			all.Wait()
 		}
 		select {
-		case <-time.After(time.Duration(s.random.Int64N(int64(pauseMost)))):
+		case <-time.After(time.Duration(s.random.Int64N(int64(maxPause)))):
 		case <-ctx.Done():
 		}
 	}
@@ -121,35 +123,35 @@
 	return s.failure
 }
 
-// stopCalmly stops a box once nothing has been wrong for a while.
+// stopCalmly stops a box once no fault has been active for a while.
 func (s *Injector) stopCalmly(ctx context.Context, b *site.Box, began time.Time) {
 	select {
-	case <-time.After(calm + pauseMost):
+	case <-time.After(calmTime + maxPause):
 	case <-ctx.Done():
 		return
 	}
 	fmt.Fprintf(s.out, "%6.2f stop %s in calm\n", time.Since(began).Seconds(), b.Name)
-	s.strike(plan{do: func(time.Duration) error { return s.stop(b) }})
+	s.inject(plan{do: func(time.Duration) error { return s.stop(b) }})
 }
 
-// evacuateCalmly evacuates a hall once nothing has been wrong for a while, and takes
-// that back.
+// evacuateCalmly evacuates a hall for a while once no fault has been active for a while.
 func (s *Injector) evacuateCalmly(ctx context.Context, hall string, began time.Time) {
 	select {
-	case <-time.After(calm + pauseMost):
+	case <-time.After(calmTime + maxPause):
 	case <-ctx.Done():
 		return
 	}
 	fmt.Fprintf(s.out, "%6.2f evacuate %s in calm\n", time.Since(began).Seconds(), hall)
-	s.strike(plan{do: func(time.Duration) error { return s.evacuate(hall) }})
+	s.inject(plan{do: func(time.Duration) error { return s.evacuate(hall) }})
 }
 
-// evacuate is judged where nothing else is wrong.
+// evacuate evacuates a hall for a while, and records that for the checker if no other fault
+// was active.
 func (s *Injector) evacuate(hall string) error {
 	from := time.Now()
 	s.site.Platform.Evacuate(hall)
-	time.Sleep(evacuated)
-	if s.quietSince(from.Add(-calm)) {
+	time.Sleep(evacuationTime)
+	if s.quietSince(from.Add(-calmTime)) {
 		s.mu.Lock()
 		s.evacuations = append(s.evacuations, checker.Evacuation{Hall: hall, From: from, Until: time.Now()})
 		s.mu.Unlock()
@@ -158,39 +160,39 @@
 	return nil
 }
 
-// Evacuations returns those with nothing else wrong.
+// Evacuations returns the evacuations with no other fault active.
 func (s *Injector) Evacuations() []checker.Evacuation { return s.evacuations }
 
-// Stops returns the planned stops with nothing else wrong.
+// Stops returns the planned stops with no other fault active.
 func (s *Injector) Stops() []checker.Stop { return s.stops }
 
-func (s *Injector) strike(p plan) {
+func (s *Injector) inject(p plan) {
 	s.mu.Lock()
 	s.active++
 	s.mu.Unlock()
-	err := p.do(p.last)
+	err := p.do(p.duration)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active--
-	s.ended = time.Now()
+	s.lastEnded = time.Now()
 	if err != nil {
 		s.failure = err
 	}
 }
 
-// drawn is what is random about a strike.
-type drawn struct {
-	box     *site.Box
-	service string
-	number  int
-	way     faultproxy.Way
-	last    time.Duration
-	short   time.Duration // the same, for what is not to last long
-	faults  []worker.Fault
+// drawnFault holds the random parameters of a fault.
+type drawnFault struct {
+	box      *site.Box
+	service  string
+	number   int
+	way      faultproxy.Way
+	duration time.Duration
+	short    time.Duration // duration, bounded for faults that must be short
+	faults   []worker.Fault
 }
 
-// at does something to a worker of the service that was drawn.
-func (s *Injector) at(d drawn, do func(w *site.Worker) error) func(time.Duration) error {
+// onDrawnWorker applies do to the drawn worker, if there is one.
+func (s *Injector) onDrawnWorker(d drawnFault, do func(w *site.Worker) error) func(time.Duration) error {
 	return func(time.Duration) error {
 		if w := s.site.Pick(d.service, d.number); w != nil {
 			return do(w)
@@ -199,109 +201,109 @@
 	}
 }
 
-// draw returns the next strike. All that is random is drawn here, so that a
-// seed's strikes are the same on each run.
+// draw returns the next fault. All its random parameters are drawn here, so that a seed
+// gives the same faults on each run.
 func (s *Injector) draw() plan {
-	d := drawn{
+	d := drawnFault{
 		box: s.site.Boxes[s.random.IntN(len(s.site.Boxes))], service: []string{"llm", "llm", "plain"}[s.random.IntN(3)],
 		number: s.random.IntN(1000), way: faultproxy.Way(s.random.IntN(3)),
-		last: 300*time.Millisecond + time.Duration(s.random.Int64N(int64(lastMost))), faults: s.faults(),
+		duration: 300*time.Millisecond + time.Duration(s.random.Int64N(int64(maxDuration))), faults: s.drawWorkerFaults(),
 	}
-	d.short = min(d.last, 2*time.Second)
+	d.short = min(d.duration, 2*time.Second)
 	var all []plan
-	for _, group := range [][]plan{s.onBox(d), s.onStore(d), s.onWorker(d)} {
+	for _, group := range [][]plan{s.boxFaults(d), s.storeFaults(d), s.workerFaults(d)} {
 		all = append(all, group...)
 	}
 	return all[s.random.IntN(len(all))]
 }
 
-// onBox returns strikes at a process and its links.
-func (s *Injector) onBox(d drawn) []plan {
+// boxFaults returns faults of a box's process and links.
+func (s *Injector) boxFaults(d drawnFault) []plan {
 	b := d.box
-	kill := plan{"kill " + b.Name, d.short, func(last time.Duration) error { return s.kill(b, last) }}
-	stop := plan{"stop " + b.Name, d.last, func(time.Duration) error { return s.stop(b) }}
+	kill := plan{"kill " + b.Name, d.short, func(duration time.Duration) error { return s.kill(b, duration) }}
+	stop := plan{"stop " + b.Name, d.duration, func(time.Duration) error { return s.stop(b) }}
 	return []plan{
 		kill, kill, stop, stop,
-		{"pause " + b.Name, d.last, func(last time.Duration) error { return s.pause(b, last) }},
+		{"pause " + b.Name, d.duration, func(duration time.Duration) error { return s.pause(b, duration) }},
 		{"reload " + b.Name, 0, func(time.Duration) error { b.Signal(syscall.SIGHUP); return nil }},
 		{"reset callers of " + b.Name, 0, func(time.Duration) error { b.Link.Cut(0); return nil }},
-		{"silence the connections of " + b.Name + " to the store for good", 0, func(time.Duration) error { b.Store.Mute(); return nil }},
-		{"cut the store from " + b.Name, d.last, linked(b.Store.Cut)},
-		{fmt.Sprint("silence the store of ", b.Name, " way ", d.way), d.last, linked(func(last time.Duration) { b.Store.Silence(d.way, last) })},
+		{"mute the connections of " + b.Name + " to the store", 0, func(time.Duration) error { b.Store.Mute(); return nil }},
+		{"cut the store from " + b.Name, d.duration, forDuration(b.Store.Cut)},
+		{fmt.Sprint("silence the store link of ", b.Name, ", direction ", d.way), d.duration, forDuration(func(duration time.Duration) { b.Store.Silence(d.way, duration) })},
 	}
 }
 
-// onStore returns strikes at the store and at what the operator keeps there.
-func (s *Injector) onStore(d drawn) []plan {
+// storeFaults returns faults of the store, and revocations of keys.
+func (s *Injector) storeFaults(d drawnFault) []plan {
 	organisation := []string{"council", "firm"}[d.number%2]
-	revoke := plan{"keys taken away from " + organisation, 0, func(time.Duration) error { s.site.Revoke(organisation); return nil }}
+	revoke := plan{"revoke the key of " + organisation, 0, func(time.Duration) error { s.site.Revoke(organisation); return nil }}
 	return []plan{
 		revoke, revoke,
-		{"the store is down", d.last, s.store(wire.Fault{Part: platform.Table, Mode: wire.FaultModeDown})},
-		{"the store is slow", d.last, s.store(wire.Fault{Part: platform.Table, Mode: wire.FaultModeSlow, DelayMs: slowStore})},
-		{"the store loses answers", d.last, s.store(wire.Fault{Part: platform.TableWrites, Mode: wire.FaultModeLoseReply})},
-		{"the store forgets", 0, func(time.Duration) error { s.site.Platform.Forget(); return nil }},
-		{"the store is down, and keys are taken away", downWithKeys, func(last time.Duration) error {
+		{"the store is down", d.duration, s.storeFault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeDown})},
+		{"the store is slow", d.duration, s.storeFault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeSlow, DelayMs: slowStoreMs})},
+		{"the store loses responses", d.duration, s.storeFault(wire.Fault{Part: platform.TableWrites, Mode: wire.FaultModeLoseReply})},
+		{"the store drops its history", 0, func(time.Duration) error { s.site.Platform.Forget(); return nil }},
+		{"the store is down and a key is revoked", revocationOutage, func(duration time.Duration) error {
 			s.site.Platform.Fault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeDown})
 			s.site.Revoke(organisation)
-			time.Sleep(last)
+			time.Sleep(duration)
 			s.site.Platform.Fault(wire.Fault{Part: platform.Table, Mode: wire.FaultModeNone})
 			return nil
 		}},
 	}
 }
 
-// onWorker returns strikes at a worker and its link.
-func (s *Injector) onWorker(d drawn) []plan {
-	leaves := plan{"a worker leaves: " + d.service, site.Notice, s.at(d, func(w *site.Worker) error { return s.site.Leave(w, true) })}
-	spoils := plan{fmt.Sprint("bad answers of ", d.service, ": ", d.faults), 0, func(time.Duration) error {
+// workerFaults returns faults of a worker and its link.
+func (s *Injector) workerFaults(d drawnFault) []plan {
+	leave := plan{"a worker leaves: " + d.service, site.Notice, s.onDrawnWorker(d, func(w *site.Worker) error { return s.site.Leave(w, true) })}
+	badResponses := plan{fmt.Sprint("bad responses of ", d.service, ": ", d.faults), 0, func(time.Duration) error {
 		for _, w := range s.site.Live(d.service) {
 			w.Next(d.faults...)
 		}
 		return nil
 	}}
 	return []plan{
-		leaves, leaves, spoils, spoils, spoils,
-		{"a worker leaves without a word: " + d.service, site.Notice, s.at(d, func(w *site.Worker) error { return s.site.Leave(w, false) })},
-		{"a worker crashes: " + d.service, site.Notice, s.at(d, s.site.Crash)},
-		{"a worker's row lapses: " + d.service, d.short, s.at(d, func(w *site.Worker) error { s.site.DropRow(w, d.short); return nil })},
-		{fmt.Sprint("silence a worker of ", d.service, " way ", d.way), d.short, s.at(d, func(w *site.Worker) error {
+		leave, leave, badResponses, badResponses, badResponses,
+		{"a worker leaves unannounced: " + d.service, site.Notice, s.onDrawnWorker(d, func(w *site.Worker) error { return s.site.Leave(w, false) })},
+		{"a worker crashes: " + d.service, site.Notice, s.onDrawnWorker(d, s.site.Crash)},
+		{"a worker's row is lost: " + d.service, d.short, s.onDrawnWorker(d, func(w *site.Worker) error { s.site.DropRow(w, d.short); return nil })},
+		{fmt.Sprint("silence a worker of ", d.service, ", direction ", d.way), d.short, s.onDrawnWorker(d, func(w *site.Worker) error {
 			w.WhileBroken(func() {
 				w.Link.Silence(d.way, d.short)
 				time.Sleep(d.short)
 			})
 			return nil
 		})},
-		{"reset a worker's connections: " + d.service, 0, s.at(d, func(w *site.Worker) error { w.WhileBroken(func() { w.Link.Cut(0) }); return nil })},
+		{"reset a worker's connections: " + d.service, 0, s.onDrawnWorker(d, func(w *site.Worker) error { w.WhileBroken(func() { w.Link.Cut(0) }); return nil })},
 	}
 }
 
-// onEntry draws a strike at a worker that starts again under its id, or at its entry.
-func (s *Injector) onEntry() plan {
-	d := drawn{service: []string{"llm", "llm", "plain"}[s.entry.IntN(3)], number: s.entry.IntN(1000), short: time.Duration(s.entry.Int64N(int64(lastMost)))}
-	silent := s.entry.IntN(2) == 0
-	if s.entry.IntN(2) == 0 {
-		return plan{"foreign entries, one over a worker's of " + d.service, d.short, s.at(d, func(w *site.Worker) error {
+// drawRowFault draws the restart of a worker under its id, or the corruption of its row.
+func (s *Injector) drawRowFault() plan {
+	d := drawnFault{service: []string{"llm", "llm", "plain"}[s.rowRandom.IntN(3)], number: s.rowRandom.IntN(1000), short: time.Duration(s.rowRandom.Int64N(int64(maxDuration)))}
+	silent := s.rowRandom.IntN(2) == 0
+	if s.rowRandom.IntN(2) == 0 {
+		return plan{"corrupt rows, one of a worker of " + d.service, d.short, s.onDrawnWorker(d, func(w *site.Worker) error {
 			s.site.CorruptRows(w, d.short)
 			return nil
 		})}
 	}
-	return plan{fmt.Sprint("a worker starts again: ", d.service, ", silently: ", silent), 0, s.at(d, func(w *site.Worker) error {
+	return plan{fmt.Sprint("a worker restarts: ", d.service, ", silent: ", silent), 0, s.onDrawnWorker(d, func(w *site.Worker) error {
 		return s.site.Restart(w, silent)
 	})}
 }
 
-// linked lasts as long as what it does to a link.
-func linked(do func(last time.Duration)) func(time.Duration) error {
-	return func(last time.Duration) error {
-		do(last)
-		time.Sleep(last)
+// forDuration returns a fault that calls do and lasts for the duration.
+func forDuration(do func(duration time.Duration)) func(time.Duration) error {
+	return func(duration time.Duration) error {
+		do(duration)
+		time.Sleep(duration)
 		return nil
 	}
 }
 
-// faults draws some answers that a worker spoils.
-func (s *Injector) faults() []worker.Fault {
+// drawWorkerFaults draws the faults of a worker's next responses.
+func (s *Injector) drawWorkerFaults() []worker.Fault {
 	all := []worker.Fault{
 		worker.Full, worker.Failure, worker.Reset, worker.Cut, worker.Unsealed, worker.Foreign, worker.Extra, worker.Unframed,
 		worker.NotHTTP, worker.LostReply, worker.Busy,
@@ -313,43 +315,43 @@
 	return faults
 }
 
-func (s *Injector) store(f wire.Fault) func(time.Duration) error {
-	return func(last time.Duration) error {
+func (s *Injector) storeFault(f wire.Fault) func(time.Duration) error {
+	return func(duration time.Duration) error {
 		s.site.Platform.Fault(f)
-		time.Sleep(last)
+		time.Sleep(duration)
 		s.site.Platform.Fault(wire.Fault{Part: f.Part, Mode: wire.FaultModeNone})
 		return nil
 	}
 }
 
-func (s *Injector) kill(b *site.Box, last time.Duration) error {
+func (s *Injector) kill(b *site.Box, duration time.Duration) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
 	defer b.RecordDisruption(time.Now())
 	b.Signal(syscall.SIGKILL)
 	<-b.Ended()
-	time.Sleep(last)
+	time.Sleep(duration)
 	return b.Start()
 }
 
-func (s *Injector) pause(b *site.Box, last time.Duration) error {
+func (s *Injector) pause(b *site.Box, duration time.Duration) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
 	defer b.RecordDisruption(time.Now())
 	b.Signal(syscall.SIGSTOP)
-	time.Sleep(last)
+	time.Sleep(duration)
 	b.Signal(syscall.SIGCONT)
 	return nil
 }
 
-// stop stops a box as planned and starts it again. Where nothing else is wrong
-// from well before until its end, no answer may be cut off.
+// stop drains a box and starts it again. If no other fault was active from calmTime before
+// until its end, the stop is recorded for the checker: it must interrupt no response.
 func (s *Injector) stop(b *site.Box) error {
 	b.Lock.Lock()
 	defer b.Lock.Unlock()
 	signal := time.Now()
 	defer b.RecordDisruption(signal)
-	quiet := s.quietSince(signal.Add(-calm))
+	quiet := s.quietSince(signal.Add(-calmTime))
 	b.Signal(syscall.SIGTERM)
 	select {
 	case <-b.Ended():
@@ -358,18 +360,18 @@
 		<-b.Ended()
 		return &StopError{Box: b.Name}
 	}
-	if quiet && s.quietSince(signal.Add(-calm)) {
+	if quiet && s.quietSince(signal.Add(-calmTime)) {
 		s.mu.Lock()
-		s.stops = append(s.stops, checker.Stop{Box: b.Name, From: signal.Add(-calm), Signal: signal, Until: time.Now()})
+		s.stops = append(s.stops, checker.Stop{Box: b.Name, From: signal.Add(-calmTime), Signal: signal, Until: time.Now()})
 		s.mu.Unlock()
 	}
 	return b.Start()
 }
 
-// quietSince tells whether nothing but one strike was under way since a time, and no
-// worker ended under a request: what ran there is lost with it, whoever else stops.
+// quietSince reports whether at most one fault has been active since a time and no poison
+// request has crashed a worker, which loses its runs whoever else stops.
 func (s *Injector) quietSince(at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.active <= 1 && s.ended.Before(at) && s.site.LastPoisonCrash().Before(at)
+	return s.active <= 1 && s.lastEnded.Before(at) && s.site.LastPoisonCrash().Before(at)
 }
--- a/soak/loadgen/loadgen.go
+++ b/soak/loadgen/loadgen.go
@@ -1,6 +1,5 @@
-// Package loadgen is the callers of the soak. Each keeps its connections for as
-// long as their box's process lives, and asks again only as the callers'
-// protocol lets it.
+// Package loadgen generates the soak's load. Each caller keeps its connections as long as
+// the box's process runs, and retries only as the callers' protocol allows.
 package loadgen
 
 import (
@@ -17,55 +16,55 @@
 )
 
 const (
-	// patience is how long a caller waits for an answer.
+	// patience is how long a caller waits for a response.
 	patience = 8 * time.Second
-	// rest is the mean pause between a caller's requests.
-	rest = 60 * time.Millisecond
-	// againMost bounds how often a request is asked again.
-	againMost = 2
-	// againWait is the wait before that, where the answer names none.
-	againWait = 100 * time.Millisecond
-	// crowdEvery and crowdFor are when callers press plain services: three times as often
-	// as else, and nothing else meanwhile.
-	crowdEvery = 12 * time.Second
-	crowdFor   = 4 * time.Second
-	crowdTimes = 3
-	// oldKeyShare is one in how many requests that still come with the key that
-	// was taken away last.
+	// meanPause is the mean pause between a caller's requests.
+	meanPause = 60 * time.Millisecond
+	// maxRetries bounds the retries of a request.
+	maxRetries = 2
+	// retryWait is the wait before a retry if the response has no Retry-After.
+	retryWait = 100 * time.Millisecond
+	// In the last burstDuration of each burstInterval callers send requests to the plain
+	// service only, burstFactor times as often as usual.
+	burstInterval = 12 * time.Second
+	burstDuration = 4 * time.Second
+	burstFactor   = 3
+	// oldKeyShare: one in oldKeyShare requests uses the key revoked last.
 	oldKeyShare = 6
-	// targets are how many paths there are of a kind.
+	// targets is the number of paths of each kind.
 	targets = 50
-	// boxesMost is how many boxes a caller talks to; it keeps a connection to each.
-	boxesMost = 4
-	// leaveShare is one in how many requests whose caller leaves early.
-	leaveShare = 25
-	// slowShare is one in how many callers that pause before they read an answer.
+	// maxBoxes is the number of boxes that a caller keeps a connection to.
+	maxBoxes = 4
+	// cancelShare: the caller cancels one in cancelShare requests early.
+	cancelShare = 25
+	// slowShare: one in slowShare callers pauses before it reads a stream.
 	slowShare = 5
 	slowPause = 700 * time.Millisecond
-	// endsEvery is how often the request comes under which workers end.
-	endsEvery = 400 * time.Millisecond
+	// poisonInterval is the pause between poison requests.
+	poisonInterval = 400 * time.Millisecond
 )
 
-var plain = []checker.Kind{checker.Once, checker.Lookup}
+var plainKinds = []checker.Kind{checker.Once, checker.Lookup}
 
 var kinds = []checker.Kind{checker.Draft, checker.Check, checker.Once, checker.Once, checker.Lookup, checker.Lookup}
 
-// Generator is safe for use by several goroutines.
+// Generator runs the callers of a site and records their requests. It is safe for use by
+// several goroutines.
 type Generator struct {
 	site   *site.Site
 	seed   uint64
-	crowds bool
-	ends   bool
+	bursts bool
+	poison bool
 
 	mu       sync.Mutex
 	attempts []checker.Attempt
 }
 
-// New returns callers of a site that Run starts. In crowds they press plain services at
-// times, and where workers are to end one comes with a request under which they do;
-// without, a seed plays what it always did.
-func New(s *site.Site, seed uint64, crowds, ends bool) *Generator {
-	return &Generator{site: s, seed: seed, crowds: crowds, ends: ends}
+// New returns a generator for a site. With bursts, callers overload the plain service at
+// times; with poison, one more caller sends requests that crash workers. Neither changes
+// what a seed draws for the other callers.
+func New(s *site.Site, seed uint64, bursts, poison bool) *Generator {
+	return &Generator{site: s, seed: seed, bursts: bursts, poison: poison}
 }
 
 // Attempts returns all requests that have ended.
@@ -75,51 +74,50 @@
 	return append([]checker.Attempt(nil), l.attempts...)
 }
 
-// Run keeps so many callers at work until ctx ends, and waits for their answers.
+// Run runs the given number of callers until ctx ends, and waits for their responses.
 func (l *Generator) Run(ctx context.Context, callers int) {
 	var all sync.WaitGroup
 	for i := range callers {
 		all.Go(func() { l.caller(ctx, i) })
 	}
-	if l.ends {
-		all.Go(func() { l.endWorkers(ctx) })
+	if l.poison {
+		all.Go(func() { l.sendPoison(ctx) })
 	}
 	all.Wait()
 }
 
-// endWorkers is the caller of the request under which workers end: it comes again and
-// again, at any box.
-func (l *Generator) endWorkers(ctx context.Context) {
+// sendPoison sends the poison request repeatedly, each time to a random box.
+func (l *Generator) sendPoison(ctx context.Context) {
 	random := rand.New(rand.NewPCG(l.seed, 1<<32))
 	client := caller.New()
 	defer client.Close()
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprint("ends-", n)
 		box := l.site.Boxes[random.IntN(len(l.site.Boxes))]
-		asking, cancel := context.WithTimeout(context.Background(), patience)
-		l.send(asking, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.PoisonBody}, l.site.Key("council"), 0)
+		waiting, cancel := context.WithTimeout(context.Background(), patience)
+		l.send(waiting, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.PoisonBody}, l.site.Key("council"), 0)
 		cancel()
-		time.Sleep(endsEvery)
+		time.Sleep(poisonInterval)
 	}
 }
 
-// caller is one task: a connection to each of its boxes, kept open.
+// caller sends the requests of one caller over connections to its boxes that it keeps open.
 func (l *Generator) caller(ctx context.Context, number int) {
 	random := rand.New(rand.NewPCG(l.seed, uint64(number)))
 	client := caller.New()
 	defer client.Close()
 	began := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
-		from, pause := kinds, rest
-		if l.crowds && time.Since(began)%crowdEvery > crowdEvery-crowdFor {
-			from, pause = plain, rest/crowdTimes
+		from, pause := kinds, meanPause
+		if l.bursts && time.Since(began)%burstInterval > burstInterval-burstDuration {
+			from, pause = plainKinds, meanPause/burstFactor
 		}
 		kind := from[random.IntN(len(from))]
-		for again := range againMost + 1 {
-			id := fmt.Sprintf("%s-%d-%d-%d", kind, number, n, again)
-			box := l.site.Boxes[(number+random.IntN(boxesMost))%len(l.site.Boxes)]
-			wait, more := l.ask(client, random, number, box, kind, id)
-			if !more || ctx.Err() != nil {
+		for retry := range maxRetries + 1 {
+			id := fmt.Sprintf("%s-%d-%d-%d", kind, number, n, retry)
+			box := l.site.Boxes[(number+random.IntN(maxBoxes))%len(l.site.Boxes)]
+			wait, again := l.request(client, random, number, box, kind, id)
+			if !again || ctx.Err() != nil {
 				break
 			}
 			time.Sleep(wait)
@@ -128,8 +126,8 @@
 	}
 }
 
-// ask sends one request, and returns whether it may be asked again, and when.
-func (l *Generator) ask(client *caller.Caller, random *rand.Rand, number int, box *site.Box, kind checker.Kind, id string) (wait time.Duration, again bool) {
+// request sends one request, and returns whether it may be retried, and after what wait.
+func (l *Generator) request(client *caller.Caller, random *rand.Rand, number int, box *site.Box, kind checker.Kind, id string) (wait time.Duration, retry bool) {
 	organisation := []string{"council", "firm"}[random.IntN(2)]
 	key := l.site.Key(organisation)
 	if old := l.site.OldKey(organisation); old != "" && random.IntN(oldKeyShare) == 0 {
@@ -139,11 +137,11 @@
 	if kind == checker.Draft || kind == checker.Once {
 		a.Body = "body of " + id
 	}
-	left := patience
-	if random.IntN(leaveShare) == 0 {
-		left = time.Duration(random.IntN(800)) * time.Millisecond
+	timeout := patience
+	if random.IntN(cancelShare) == 0 {
+		timeout = time.Duration(random.IntN(800)) * time.Millisecond
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), left)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var pause time.Duration
 	if number%slowShare == slowShare-1 && kind.Streams() {
@@ -154,14 +152,14 @@
 		return 0, false
 	}
 	if wait == 0 {
-		wait = againWait
+		wait = retryWait
 	}
-	promised := a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests
-	return wait, promised || kind.Repeatable()
+	notRun := a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests
+	return wait, notRun || kind.Repeatable()
 }
 
-// send sends an attempt and keeps what came of it; it returns when to come back.
-func (l *Generator) send(ctx context.Context, client *caller.Caller, box *site.Box, a checker.Attempt, key string, pause time.Duration) (ended checker.Attempt, back time.Duration) {
+// send sends an attempt and records its outcome; it also returns the response's Retry-After.
+func (l *Generator) send(ctx context.Context, client *caller.Caller, box *site.Box, a checker.Attempt, key string, pause time.Duration) (ended checker.Attempt, retryAfter time.Duration) {
 	a.Box, a.Sent = box.Name, time.Now()
 	answer := client.Send(ctx, box.Link.Address(), caller.Request{
 		ID: a.ID, Host: site.Host(), Target: a.Target, Body: a.Body, Key: key, Wait: patience, Tokens: "900,240", Pause: pause,
--- a/soak/own/own.go
+++ b/soak/own/own.go
@@ -1,6 +1,6 @@
-// Package own keeps callers and operators at work on a running set with
-// petrelstep's own interface while something else strikes it, and checks what they were told against what the
-// stand-ins' own histories say was run.
+// Package own runs callers and operators of petrelstep's own interface against a running
+// set, while a script injects faults, and compares the responses that they received with
+// the stand-ins' histories of what was run.
 package own
 
 import (
@@ -20,49 +20,50 @@
 	"petrelstep/wire"
 )
 
-// Options say whom to work on.
+// Options configure a run.
 type Options struct {
-	Callers  []string // base URLs
-	Admins   []string
-	History  string // URL of the plain service's history
-	Key      string // of a caller
-	Admin    string // key of an operator
+	Callers  []string // base URLs of the boxes for callers
+	Admins   []string // base URLs of the boxes for operators
+	History  string   // URL of the plain service's history
+	Key      string   // of a caller
+	Admin    string   // key of an operator
 	Duration time.Duration
 	Seed     uint64
 	Workers  int
 }
 
-// Result is what came of it. Lost, Twice, Wrong, Reverted and Cut must be zero.
+// Result holds the counts of a run. Lost, Twice, Wrong, Reverted and Cut must be zero.
 type Result struct {
 	Requests, Done, NotRun, Failed, Unknown   int
 	Lost, Twice, Wrong, Reverted, Cut, Behind int
 }
 
-// String returns the closing line.
+// String returns the summary line.
 func (t Result) String() string {
 	return fmt.Sprintf("SOAK requests=%d done=%d not_run=%d failed=%d unknown=%d lost=%d twice=%d wrong=%d reverted=%d cut=%d",
 		t.Requests, t.Done, t.NotRun, t.Failed, t.Unknown, t.Lost, t.Twice, t.Wrong, t.Reverted, t.Cut)
 }
 
-// Violated tells whether a promise was broken.
+// Violated reports whether a guarantee was violated.
 func (t Result) Violated() bool { return t.Lost+t.Twice+t.Wrong+t.Reverted+t.Cut > 0 }
 
-// Own is one run.
+// Own is one run of load and checks.
 type Own struct {
 	Options
-	callers *client.Client
-	mu      sync.Mutex
-	tally   Result
-	told    map[string]string // endings told, in order, by key of a call
-	notes   []string
+	callers    *client.Client
+	mu         sync.Mutex
+	result     Result
+	outcomes   map[string]string // outcomes received, in order, by idempotency key
+	violations []string
 }
 
-// New returns a run that Run starts.
+// New returns a run; Run starts it.
 func New(options Options) *Own {
-	return &Own{Options: options, callers: client.New(options.Callers, options.Key), told: map[string]string{}}
+	return &Own{Options: options, callers: client.New(options.Callers, options.Key), outcomes: map[string]string{}}
 }
 
-// Run works until its time is over, waits for all answers, and checks them.
+// Run sends load for the configured duration, waits for all responses, and checks them. It
+// returns a line for each violation.
 func (s *Own) Run(ctx context.Context) (Result, []string) {
 	work, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
@@ -72,42 +73,42 @@
 		all.Go(func() { s.generate(ctx, work, rng, w) })
 		all.Go(func() { s.call(ctx, work, rng, w) })
 	}
-	all.Go(func() { s.declare(ctx, work) })
-	all.Go(func() { s.watch(work) })
+	all.Go(func() { s.checkApplied(ctx, work) })
+	all.Go(func() { s.checkMonotonic(work) })
 	all.Wait()
 	s.checkHistory()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.tally, s.notes
+	return s.result, s.violations
 }
 
-func (s *Own) count(ending string) {
+func (s *Own) count(outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tally.Requests++
-	switch ending {
+	s.result.Requests++
+	switch outcome {
 	case "done":
-		s.tally.Done++
+		s.result.Done++
 	case "not_run":
-		s.tally.NotRun++
+		s.result.NotRun++
 	case "failed":
-		s.tally.Failed++
+		s.result.Failed++
 	case "unknown":
-		s.tally.Unknown++
+		s.result.Unknown++
 	default:
-		s.tally.Lost++
+		s.result.Lost++
 	}
 }
 
-// broken notes a broken promise.
-func (s *Own) broken(counter *int, format string, args ...any) {
+// violation counts and records a violation.
+func (s *Own) violation(counter *int, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*counter++
-	s.notes = append(s.notes, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// generate asks for generations and holds each against its attempt's own text.
+// generate requests generations and compares each with the text of its attempt.
 func (s *Own) generate(ctx, work context.Context, rng *rand.Rand, worker int) {
 	for n := 0; work.Err() == nil; n++ {
 		req := wire.GenerationRequest{
@@ -128,40 +129,40 @@
 
 func (s *Own) checkTokens(out client.Outcome, got []string) {
 	if out.Wrong != "" || out.Ending == "done" && !out.Whole {
-		s.broken(&s.tally.Wrong, "generation %s: %s", out.Generation, out.Wrong)
+		s.violation(&s.result.Wrong, "generation %s: %s", out.Generation, out.Wrong)
 	}
 	if out.Reason == "cut_off" {
-		s.broken(&s.tally.Lost, "generation of %d tokens was never taken up", out.Tokens)
+		s.violation(&s.result.Lost, "generation of %d tokens was never resumed", out.Tokens)
 	}
 	if out.Generation == "" {
 		return
 	}
 	for i, t := range got {
 		if t != text.Token(out.Generation, i) {
-			s.broken(&s.tally.Wrong, "generation %s: token %d is of another", out.Generation, i)
+			s.violation(&s.result.Wrong, "generation %s: token %d is of another generation", out.Generation, i)
 			return
 		}
 	}
 }
 
-// call sends calls that must not be repeated, each again and again with its
-// key until its outcome is settled.
+// call sends calls that must not run twice, and retries each with its idempotency key until
+// it is done.
 func (s *Own) call(ctx, work context.Context, rng *rand.Rand, worker int) {
 	for n := 0; work.Err() == nil; n++ {
 		key := fmt.Sprintf("notice-%d-%d", worker, n)
-		ending, trail := "", ""
+		outcome, history := "", ""
 		const tries = 6
 		for range tries {
-			ending = s.callOnce(ctx, rng, key)
-			trail += ending + " "
-			if ending == "done" {
+			outcome = s.callOnce(ctx, rng, key)
+			history += outcome + " "
+			if outcome == "done" {
 				break
 			}
 			time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		}
-		s.count(ending)
+		s.count(outcome)
 		s.mu.Lock()
-		s.told[key] = trail
+		s.outcomes[key] = history
 		s.mu.Unlock()
 		time.Sleep(30 * time.Millisecond)
 	}
@@ -175,14 +176,14 @@
 	case errors.As(err, &refused):
 		return string(refused.Body.Ending)
 	case err != nil || status == 0:
-		return "unknown" // no answer came
+		return "unknown" // no response
 	}
 	return "done"
 }
 
-// declare writes one resource over and over and looks whether what was
-// accepted is in force at each ready box within 3 s.
-func (s *Own) declare(ctx, work context.Context) {
+// checkApplied updates one resource repeatedly and checks that each accepted revision is in
+// force at every ready box within 3 s.
+func (s *Own) checkApplied(ctx, work context.Context) {
 	const inForce = 3 * time.Second
 	admins := client.New(s.Admins, s.Admin)
 	for n := 0; work.Err() == nil; n++ {
@@ -199,15 +200,14 @@
 		time.Sleep(inForce)
 		for _, admin := range s.Admins {
 			if at, ok := s.revision(ctx, admin); ok && at < done.Revision {
-				s.broken(&s.tally.Behind, "%s is at revision %d, 3 s after %d was accepted", admin, at, done.Revision)
+				s.violation(&s.result.Behind, "%s is at revision %d, 3 s after %d was accepted", admin, at, done.Revision)
 			}
 		}
 	}
 }
 
-// watch looks that no ready box ever goes back to an older revision, restarts
-// included.
-func (s *Own) watch(work context.Context) {
+// checkMonotonic checks that no ready box returns to an older revision, even after a restart.
+func (s *Own) checkMonotonic(work context.Context) {
 	highest := map[string]int{}
 	for work.Err() == nil {
 		for _, admin := range s.Admins {
@@ -216,7 +216,7 @@
 				continue
 			}
 			if at < highest[admin] {
-				s.broken(&s.tally.Reverted, "%s went back from revision %d to %d", admin, highest[admin], at)
+				s.violation(&s.result.Reverted, "%s went back from revision %d to %d", admin, highest[admin], at)
 			}
 			highest[admin] = max(highest[admin], at)
 		}
@@ -224,31 +224,32 @@
 	}
 }
 
-// revision returns the configuration in force at a box that says it is ready.
+// revision returns the configuration revision in force at a box, and false if the box isn't
+// ready.
 func (s *Own) revision(ctx context.Context, admin string) (int, bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	one := client.New([]string{admin}, s.Admin)
-	defer one.Close()
+	box := client.New([]string{admin}, s.Admin)
+	defer box.Close()
 	var list wire.ResourceList
-	if one.Call(ctx, http.MethodGet, "/readyz", nil, nil) != nil {
+	if box.Call(ctx, http.MethodGet, "/readyz", nil, nil) != nil {
 		return 0, false
 	}
-	err := one.Call(ctx, http.MethodGet, "/v1/resources/Hall", nil, &list)
+	err := box.Call(ctx, http.MethodGet, "/v1/resources/Hall", nil, &list)
 	return list.Revision, err == nil
 }
 
-// checkHistory holds what callers were told against what the service ran.
+// checkHistory compares the outcomes that callers received with what the service ran.
 func (s *Own) checkHistory() {
 	resp, err := http.Get(s.History)
 	if err != nil {
-		s.broken(&s.tally.Lost, "no history: %v", err)
+		s.violation(&s.result.Lost, "reading the service's history: %v", err)
 		return
 	}
 	defer resp.Body.Close()
 	var ran []service.Ran
 	if err := json.NewDecoder(resp.Body).Decode(&ran); err != nil {
-		s.broken(&s.tally.Lost, "no history: %v", err)
+		s.violation(&s.result.Lost, "decoding the service's history: %v", err)
 		return
 	}
 	times := map[string]int{}
@@ -260,17 +261,17 @@
 	}
 	for key, n := range times {
 		if n > 1 {
-			s.broken(&s.tally.Twice, "%s ran %d times", key, n)
+			s.violation(&s.result.Twice, "%s ran %d times", key, n)
 		}
-		// not_run speaks of the one sending. Only where no sending of the key
-		// ended open, or without an answer, must the service never have seen it.
-		if trail := s.told[key]; !strings.Contains(trail, "done") && !strings.Contains(trail, "unknown") && !strings.Contains(trail, "failed") {
-			s.broken(&s.tally.Wrong, "%s was told %sand ran", key, trail)
+		// not_run refers to a single attempt. The service must never have seen the key only
+		// if no attempt with it was done, failed or had an unknown outcome.
+		if history := s.outcomes[key]; !strings.Contains(history, "done") && !strings.Contains(history, "unknown") && !strings.Contains(history, "failed") {
+			s.violation(&s.result.Wrong, "%s ran despite the outcomes %s", key, history)
 		}
 	}
-	for key, trail := range s.told {
-		if strings.HasSuffix(trail, "done ") && times[key] == 0 {
-			s.broken(&s.tally.Wrong, "%s was told done and never ran", key)
+	for key, history := range s.outcomes {
+		if strings.HasSuffix(history, "done ") && times[key] == 0 {
+			s.violation(&s.result.Wrong, "%s was reported done but never ran", key)
 		}
 	}
 }
--- a/soak/site/box.go
+++ b/soak/site/box.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// startTries bounds how often a box is started on other ports: one that was
-	// free may be taken before the box opens it.
+	// startTries bounds starts on new ports: a free port may be taken by another process
+	// before the box opens it.
 	startTries = 5
-	// startTime bounds a start on a busy machine.
+	// startTime bounds one start on a busy machine.
 	startTime = 20 * time.Second
 	readyTime = 500 * time.Millisecond
 )
 
-// Box is one process of the daemon, with its links to the store and to callers.
+// Box is a process of the daemon with its links to the store and to callers.
 type Box struct {
 	Name  string
 	Store *faultproxy.Proxy // link to the store
 	Link  *faultproxy.Proxy // link to callers
 
-	// Lock is held by what strikes the process, so that one thing does at a time.
+	// Lock serialises the faults injected into the process.
 	Lock sync.Mutex
 
-	mu     sync.Mutex
-	struck []checker.Span // when its process was ended, stopped or held
+	mu          sync.Mutex
+	disruptions []checker.Span // when the process was down, stopping or paused
 
 	options Options
 	hall    string
@@ -57,7 +57,7 @@
 	return b, err
 }
 
-// freePorts returns addresses that were free a moment ago.
+// freePorts returns loopback addresses that nothing listens on.
 func freePorts() (ports [4]string, err error) {
 	for i := range ports {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +70,7 @@
 	return ports, nil
 }
 
-// StartError says that a box's process did not start.
+// StartError reports that a box's process did not start.
 type StartError struct{ Box string }
 
 // Error implements error.
@@ -109,7 +109,7 @@
 	}
 	b.ended = make(chan struct{})
 	go func(c *exec.Cmd, ended chan struct{}) {
-		_ = c.Wait() // how it ended is in its log
+		_ = c.Wait() // the exit is in its log
 		_ = log.Close()
 		close(ended)
 	}(b.command, b.ended)
@@ -123,29 +123,29 @@
 	return false
 }
 
-// Signal sends a signal to the process that this box has started.
+// Signal sends a signal to the box's process.
 func (b *Box) Signal(s syscall.Signal) {
-	_ = b.command.Process.Signal(s) // one that has ended needs none
+	_ = b.command.Process.Signal(s) // fails only if the process has ended
 }
 
-// RecordDisruption notes that the process was ended, stopped or held from a time until now.
+// RecordDisruption records that the process was disrupted from a time until now.
 func (b *Box) RecordDisruption(from time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.struck = append(b.struck, checker.Span{From: from, Until: time.Now()})
+	b.disruptions = append(b.disruptions, checker.Span{From: from, Until: time.Now()})
 }
 
-// Disruptions returns when the process was ended, stopped or held.
+// Disruptions returns when the process was down, stopping or paused.
 func (b *Box) Disruptions() []checker.Span {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.struck
+	return b.disruptions
 }
 
 // Ended is closed once the process has ended.
 func (b *Box) Ended() <-chan struct{} { return b.ended }
 
-// Ready tells whether the box calls itself ready.
+// Ready reports whether the box's readiness endpoint returns 200.
 func (b *Box) Ready() bool {
 	client := http.Client{Timeout: readyTime}
 	resp, err := client.Get("http://" + b.ports[3] + "/")
@@ -166,7 +166,7 @@
 	b.Link.Close()
 }
 
-// String returns where the box's log is.
+// String returns the box's name and the path of its log.
 func (b *Box) String() string {
 	return fmt.Sprintf("%s (%s)", b.Name, filepath.Join(b.options.Dir, b.Name+".log"))
 }
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -1,6 +1,6 @@
-// Package site is a whole installation on loopback for the soak: the store and
-// the workers are stand-ins, the boxes are processes of the real daemon, and
-// each link between them can be broken.
+// Package site runs a complete installation on loopback for the soak: the store and
+// the workers are stand-ins, the boxes are processes of the real daemon, and each
+// link between them goes through a fault proxy.
 package site
 
 import (
@@ -19,33 +19,33 @@
 	"petrelstep/standin/worker"
 )
 
-// Figures of the workers.
+// Parameters of the workers and the site.
 const (
-	// Events are in each stream.
+	// Events is the number of events in each stream.
 	Events = 60
-	// pace of events: a stream takes 1.2 s.
+	// pace is the interval between events: a stream takes 1.2 s.
 	pace = 20 * time.Millisecond
-	// Notice is how long a worker that leaves serves on.
+	// Notice is how long a leaving worker continues to serve.
 	Notice = 1700 * time.Millisecond
-	// KeyAge bounds how long a key is served after it was taken away.
+	// KeyAge bounds how long a key is accepted after its revocation.
 	KeyAge = 5 * time.Second
 	host   = "site.example"
-	// PoisonBody is the body of the request under which each worker ends that runs it.
+	// PoisonBody is the body of the request that crashes every worker that runs it.
 	PoisonBody = "each worker ends that runs this"
 )
 
 var halls = []string{"leith", "gorgie", "sighthill", "musselburgh"}
 
-// Options set up a site.
+// Options configure a site.
 type Options struct {
-	Daemon  string // program of the boxes
-	Dir     string // for settings and logs
+	Daemon  string // path of the daemon's binary
+	Dir     string // holds settings and logs
 	Boxes   int
 	Engines int
 	Plain   int // workers of the plain service
 }
 
-// Worker is one lifetime of a stand-in worker, behind its link.
+// Worker is one incarnation of a stand-in worker, behind its link.
 type Worker struct {
 	*worker.Worker
 	ID      string
@@ -53,45 +53,45 @@
 	Hall    string
 	Link    *faultproxy.Proxy
 	server  *http.Server
-	ended   sync.Once // by a strike, or by what it runs
+	endOnce sync.Once // ended by a fault, or by a poison request
 
-	mu     sync.Mutex
-	broken []checker.Span // when its link was
+	mu         sync.Mutex
+	linkBroken []checker.Span
 }
 
-// WhileBroken breaks the worker's link, and notes that for as long as it takes.
+// WhileBroken calls do, which breaks the worker's link, and records the time it takes.
 func (w *Worker) WhileBroken(do func()) {
 	from := time.Now()
 	do()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.broken = append(w.broken, checker.Span{From: from, Until: time.Now()})
+	w.linkBroken = append(w.linkBroken, checker.Span{From: from, Until: time.Now()})
 }
 
-// Site is safe for use by several goroutines.
+// Site is a running installation. It is safe for use by several goroutines.
 type Site struct {
 	Platform *platform.Platform
 	Boxes    []*Box
 
 	store *http.Server
 
-	mu      sync.Mutex
-	workers map[string]*Worker // those that live
-	all     []*Worker          // of each id the last
-	past    []*Worker          // incarnations before
-	version int
-	keys    map[string]string    // organisation by key
-	old     map[string]string    // key taken away last, by organisation
-	revoked map[string]time.Time // when a key was taken away
-	born    int
+	mu          sync.Mutex
+	workers     map[string]*Worker // live workers by id
+	current     []*Worker          // latest incarnation of each id, oldest id first
+	past        []*Worker          // earlier incarnations
+	version     int
+	keys        map[string]string    // organisation by key
+	lastRevoked map[string]string    // key revoked last, by organisation
+	revoked     map[string]time.Time // revocation time by key
+	nextID      int
 
-	endedUnder time.Time // when a worker last ended under a request
+	lastPoisonCrash time.Time
 }
 
 // New starts a site; Close ends it.
 func New(o Options) (*Site, error) {
 	s := &Site{
-		Platform: platform.New(platform.Options{}), workers: map[string]*Worker{}, keys: map[string]string{}, old: map[string]string{},
+		Platform: platform.New(platform.Options{}), workers: map[string]*Worker{}, keys: map[string]string{}, lastRevoked: map[string]string{},
 		revoked: map[string]time.Time{},
 	}
 	address, server, err := serve(s.Platform.Handler())
@@ -102,7 +102,7 @@
 	for i, organisation := range []string{"council", "firm"} {
 		s.keys[fmt.Sprint("key", i)] = organisation
 	}
-	s.declare()
+	s.writeManifest()
 	for range o.Engines {
 		if err := s.Join("llm"); err != nil {
 			return s, err
@@ -128,7 +128,7 @@
 	return s, nil
 }
 
-// Close ends all processes and servers that the site has started.
+// Close ends all processes and servers of the site.
 func (s *Site) Close() {
 	for _, b := range s.Boxes {
 		b.close()
@@ -151,7 +151,7 @@
 	return listener.Addr().String(), server, nil
 }
 
-// prefix of a kind's paths; the stand-in worker streams below /stream/.
+// prefix returns the path prefix of a kind; the stand-in worker streams below /stream/.
 func prefix(kind checker.Kind) string {
 	if kind.Streams() {
 		return "stream/" + string(kind)
@@ -166,8 +166,8 @@
 	}
 }
 
-// declare writes the next version of the manifest.
-func (s *Site) declare() {
+// writeManifest publishes the next version of the manifest.
+func (s *Site) writeManifest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version += 2
@@ -183,27 +183,27 @@
 	})
 }
 
-// Revoke takes an organisation's key away and gives it another.
+// Revoke replaces an organisation's key by a new one.
 func (s *Site) Revoke(organisation string) {
 	s.mu.Lock()
-	s.born++
-	var gone string
+	s.nextID++
+	var revoked string
 	for key, of := range s.keys {
 		if of == organisation {
-			gone = key
+			revoked = key
 		}
 	}
-	delete(s.keys, gone)
-	s.old[organisation] = gone
-	s.keys[fmt.Sprint("key-", s.born)] = organisation
+	delete(s.keys, revoked)
+	s.lastRevoked[organisation] = revoked
+	s.keys[fmt.Sprint("key-", s.nextID)] = organisation
 	s.mu.Unlock()
-	s.declare()
+	s.writeManifest()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.revoked[gone] = time.Now() // counted from when the store has it
+	s.revoked[revoked] = time.Now() // counted from the write to the store
 }
 
-// Key returns an organisation's key in force.
+// Key returns an organisation's valid key.
 func (s *Site) Key(organisation string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,60 +215,59 @@
 	return ""
 }
 
-// OldKey returns the key of an organisation that was taken away last; empty if
-// none was.
+// OldKey returns the organisation's last revoked key, or "" if there is none.
 func (s *Site) OldKey(organisation string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.old[organisation]
+	return s.lastRevoked[organisation]
 }
 
-// Revoked returns when a key was taken away; zero if it was not.
+// Revoked returns when a key was revoked, or the zero time if it is valid.
 func (s *Site) Revoked(key string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revoked[key]
 }
 
-// Join starts a new worker of a service.
+// Join starts and announces a new worker of a service.
 func (s *Site) Join(service string) error {
 	s.mu.Lock()
-	s.born++
-	w := &Worker{ID: fmt.Sprint(service, "-", s.born), Service: service, Hall: halls[s.born%len(halls)]}
+	s.nextID++
+	w := &Worker{ID: fmt.Sprint(service, "-", s.nextID), Service: service, Hall: halls[s.nextID%len(halls)]}
 	s.mu.Unlock()
 	if err := w.start(); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	s.workers[w.ID] = w
-	s.all = append(s.all, w)
+	s.current = append(s.current, w)
 	s.mu.Unlock()
-	s.endsOn(w)
-	s.say(w, false)
+	s.crashOnPoison(w)
+	s.announce(w, false)
 	return nil
 }
 
-// LastPoisonCrash returns when a worker last ended under a request.
+// LastPoisonCrash returns when a poison request last crashed a worker.
 func (s *Site) LastPoisonCrash() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endedUnder
+	return s.lastPoisonCrash
 }
 
-// endsOn lets a worker crash that runs the request for which it does.
-func (s *Site) endsOn(w *Worker) {
+// crashOnPoison makes a worker crash when it runs a poison request.
+func (s *Site) crashOnPoison(w *Worker) {
 	w.CrashOn(PoisonBody, func() {
 		s.mu.Lock()
-		s.endedUnder = time.Now()
+		s.lastPoisonCrash = time.Now()
 		s.mu.Unlock()
-		if s.lives(w) {
-			go func() { _ = s.Crash(w) }() // a worker that cannot be replaced shows as requests that are not served
+		if s.isLive(w) {
+			go func() { _ = s.Crash(w) }() // if the replacement fails to start, requests go unserved and the run fails
 		}
 		w.end()
 	})
 }
 
-// start opens a worker's address, behind its link.
+// start opens a worker's address and its link.
 func (w *Worker) start() error {
 	w.Worker = worker.New(w.ID, Events, pace)
 	address, server, err := serve(w.Handler())
@@ -280,37 +279,37 @@
 	return err
 }
 
-func (s *Site) say(w *Worker, leaving bool) {
+func (s *Site) announce(w *Worker, leaving bool) {
 	s.Platform.Announce(platform.Worker{
 		ID: w.ID, Service: w.Service, Address: w.Link.Address(), Hall: w.Hall, Leaving: leaving, StartedAt: w.StartedAt(),
 	})
 }
 
-// Restart ends a worker without a word, behind a link that is silent or not, and
-// starts it again under its id.
+// Restart ends a worker without announcement and starts it again under the same id. With
+// silent, its open connections stall instead of being closed.
 func (s *Site) Restart(w *Worker, silent bool) error {
-	fresh := &Worker{ID: w.ID, Service: w.Service, Hall: w.Hall}
-	if err := fresh.start(); err != nil {
+	next := &Worker{ID: w.ID, Service: w.Service, Hall: w.Hall}
+	if err := next.start(); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	at := slices.Index(s.all, w)
-	lives := at >= 0 && s.workers[w.ID] == w
-	if lives {
-		s.workers[w.ID], s.all[at] = fresh, fresh
+	index := slices.Index(s.current, w)
+	live := index >= 0 && s.workers[w.ID] == w
+	if live {
+		s.workers[w.ID], s.current[index] = next, next
 		s.past = append(s.past, w)
 	}
 	s.mu.Unlock()
-	if !lives { // it was taken away meanwhile
-		fresh.end()
+	if !live { // removed in the meantime
+		next.end()
 		return nil
 	}
-	s.endsOn(fresh)
+	s.crashOnPoison(next)
 	if silent {
 		w.Link.Mute()
 	}
 	_ = w.server.Close()
-	s.say(fresh, false)
+	s.announce(next, false)
 	if silent {
 		time.Sleep(Notice)
 	}
@@ -318,9 +317,9 @@
 	return nil
 }
 
-// CorruptRows lets another writer put entries among those of workers for a while, one of
-// them over a live worker's own.
-func (s *Site) CorruptRows(w *Worker, last time.Duration) {
+// CorruptRows puts invalid rows among those of the workers for a while, one of them over a
+// live worker's own.
+func (s *Site) CorruptRows(w *Worker, duration time.Duration) {
 	rows := map[string]string{
 		"foreign-1": "\xff\x00", "foreign-2": `{"service":7}`, "foreign-3": `{"service":"llm","address":"nowhere","zone":"leith","slots":-1,"state":"ready"}`,
 		"foreign-4": `{"service":"llm","address":"127.0.0.1:9","zone":"leith","slots":4,"state":"resting"}`, w.ID: "{",
@@ -328,43 +327,43 @@
 	for id, value := range rows {
 		s.Platform.PutRow(id, []byte(value))
 	}
-	time.Sleep(last)
+	time.Sleep(duration)
 	for id := range rows {
 		if id != w.ID {
 			s.Platform.Withdraw(id)
 		}
 	}
-	if s.lives(w) {
-		s.say(w, false)
+	if s.isLive(w) {
+		s.announce(w, false)
 	}
 }
 
-// lives tells whether a worker's incarnation serves, and does not leave.
-func (s *Site) lives(w *Worker) bool {
+// isLive reports whether w is the current incarnation of its worker and isn't leaving.
+func (s *Site) isLive(w *Worker) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.workers[w.ID] == w
 }
 
-// DropRow lets a live worker's row go for a while, as one that is cut off from the
-// store loses it.
-func (s *Site) DropRow(w *Worker, last time.Duration) {
+// DropRow removes a live worker's row for a while, as if the worker had lost its
+// connection to the store.
+func (s *Site) DropRow(w *Worker, duration time.Duration) {
 	s.Platform.Withdraw(w.ID)
-	time.Sleep(last)
-	if s.lives(w) {
-		s.say(w, false)
+	time.Sleep(duration)
+	if s.isLive(w) {
+		s.announce(w, false)
 	}
 }
 
 // Halls returns the names of all halls.
 func Halls() []string { return halls }
 
-// Live returns the live workers of a service, the oldest first.
+// Live returns the live workers of a service, oldest first.
 func (s *Site) Live(service string) []*Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*Worker
-	for _, w := range s.all {
+	for _, w := range s.current {
 		if w.Service == service && s.workers[w.ID] == w {
 			list = append(list, w)
 		}
@@ -372,7 +371,8 @@
 	return list
 }
 
-// Pick returns a live worker of a service, by a number; nil if there is none.
+// Pick returns the live worker of a service at index n, modulo their number; nil if there
+// is none.
 func (s *Site) Pick(service string, n int) *Worker {
 	list := s.Live(service)
 	if len(list) == 0 {
@@ -381,18 +381,18 @@
 	return list[n%len(list)]
 }
 
-// Leave takes a worker away after its notice, once another has joined. One that
-// says nothing only loses its row.
-func (s *Site) Leave(w *Worker, says bool) error {
+// Leave starts a replacement, then ends a worker after its notice. A worker that doesn't
+// announce that it is leaving only loses its row.
+func (s *Site) Leave(w *Worker, announced bool) error {
 	if err := s.Join(w.Service); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	delete(s.workers, w.ID)
 	s.mu.Unlock()
-	if says {
+	if announced {
 		w.Worker.Leave()
-		s.say(w, true)
+		s.announce(w, true)
 	} else {
 		s.Platform.Withdraw(w.ID)
 	}
@@ -402,8 +402,8 @@
 	return nil
 }
 
-// LeaveByAnswers takes a worker away that says so in its answers only, once another has
-// joined.
+// LeaveByAnswers starts a replacement, then ends a worker that announces its leaving in its
+// responses only.
 func (s *Site) LeaveByAnswers(w *Worker, notice time.Duration) error {
 	if err := s.Join(w.Service); err != nil {
 		return err
@@ -418,7 +418,8 @@
 	return nil
 }
 
-// Crash ends a worker without a word; its row goes some heartbeats later.
+// Crash ends a worker without announcement and starts a replacement; the row is removed
+// some heartbeats later.
 func (s *Site) Crash(w *Worker) error {
 	s.mu.Lock()
 	delete(s.workers, w.ID)
@@ -433,55 +434,55 @@
 }
 
 func (w *Worker) end() {
-	w.ended.Do(func() {
+	w.endOnce.Do(func() {
 		_ = w.server.Close()
 		w.Link.Close()
 	})
 }
 
-// Executions returns all that workers ran.
+// Executions returns all requests that workers have executed.
 func (s *Site) Executions() []checker.Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ran []checker.Execution
-	for _, w := range slices.Concat(s.past, s.all) {
+	var executions []checker.Execution
+	for _, w := range slices.Concat(s.past, s.current) {
 		for _, r := range w.Runs() {
-			ran = append(ran, checker.Execution{Worker: w.ID, Incarnation: w.StartedAt(), Hall: w.Hall, Run: r})
+			executions = append(executions, checker.Execution{Worker: w.ID, Incarnation: w.StartedAt(), Hall: w.Hall, Run: r})
 		}
 	}
-	return ran
+	return executions
 }
 
-// Arrivals returns all requests that reached workers, and when the workers' links were
+// Arrivals returns all requests that reached workers, and when each worker's link was
 // broken.
-func (s *Site) Arrivals() (arrived []checker.Arrival, broken map[string][]checker.Span) {
+func (s *Site) Arrivals() (arrivals []checker.Arrival, broken map[string][]checker.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	broken = map[string][]checker.Span{}
-	for _, w := range slices.Concat(s.past, s.all) {
+	for _, w := range slices.Concat(s.past, s.current) {
 		for _, a := range w.Arrivals() {
-			arrived = append(arrived, checker.Arrival{Worker: w.ID, Incarnation: w.StartedAt(), Arrival: a})
+			arrivals = append(arrivals, checker.Arrival{Worker: w.ID, Incarnation: w.StartedAt(), Arrival: a})
 		}
 		w.mu.Lock()
-		broken[w.ID] = append(broken[w.ID], w.broken...)
+		broken[w.ID] = append(broken[w.ID], w.linkBroken...)
 		w.mu.Unlock()
 	}
-	return arrived, broken
+	return arrivals, broken
 }
 
-// Disruptions returns when each box's process was ended, stopped or held.
+// Disruptions returns the spans in which each box's process was down, stopping or paused.
 func (s *Site) Disruptions() map[string][]checker.Span {
-	struck := map[string][]checker.Span{}
+	spans := map[string][]checker.Span{}
 	for _, b := range s.Boxes {
-		struck[b.Name] = b.Disruptions()
+		spans[b.Name] = b.Disruptions()
 	}
-	return struck
+	return spans
 }
 
-// Target returns a request's path by its kind and a number.
+// Target returns the path of the nth target of a kind.
 func Target(kind checker.Kind, n int) string { return fmt.Sprintf("/%s/%d", prefix(kind), n) }
 
-// Host is that of all routes.
+// Host returns the host name of all routes.
 func Host() string { return host }
 
 // settings writes a box's settings file and returns its path.
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak keeps callers at work on a whole site of real processes while it
-// is struck, and checks what they were told against what was run.
+// Package soak runs load against a site of real processes while injecting faults,
+// and checks the callers' responses against the requests that the workers executed.
 package soak
 
 import (
@@ -18,58 +18,58 @@
 const (
 	// readyTime bounds waits for boxes on a busy machine.
 	readyTime = 60 * time.Second
-	// keySlack is for the way of a request through the links and a busy machine.
-	keySlack = 500 * time.Millisecond
-	// hallTime is how long an evacuated hall may get runs in calm: two calls to the
-	// store, a hub's word, a busy machine.
-	hallTime = 3 * time.Second
-	look     = 100 * time.Millisecond
-	// endsMost is how many workers may end under one request, whatever else is struck:
-	// three before it is known, three more tries, and one for each time that what a box
-	// has not told yet is lost with it.
-	endsMost = 12
+	// revocationSlack allows for link delays and scheduling on a busy machine.
+	revocationSlack = 500 * time.Millisecond
+	// evacuationTime is how long an evacuated hall may still get runs while no fault is
+	// active: two calls to the store, a hub's report, and scheduling delays.
+	evacuationTime = 3 * time.Second
+	pollInterval   = 100 * time.Millisecond
+	// maxPoisonCrashes bounds the workers that the poison request may crash, whatever other
+	// faults occur: three before it is recognised, three retries, and one for each crash
+	// that a box has not reported before it is lost itself.
+	maxPoisonCrashes = 12
 )
 
-// Options of a run.
+// Options configure a run.
 type Options struct {
 	Site          site.Options
 	Seed          uint64
 	Callers       int
-	Bursts        bool          // callers press plain services at times
-	Poison        bool          // one comes with a request under which workers end
-	RateLimits    bool          // workers name limits
-	Announcements bool          // workers leave by their answers, and ask for rest
-	Duration      time.Duration // of the strikes
-	Out           io.Writer     // is told of each strike
+	Bursts        bool          // callers overload plain services at times
+	Poison        bool          // one caller sends a request that crashes its worker
+	RateLimits    bool          // workers announce rate limits
+	Announcements bool          // workers announce leaving and backoffs in their responses
+	Duration      time.Duration // of fault injection
+	Out           io.Writer     // receives a line for each fault
 }
 
-// NotReadyError says that a box did not become ready.
+// NotReadyError reports that a box did not become ready.
 type NotReadyError struct{ Box string }
 
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Box + " is not ready" }
 
-// NotServedError says that requests are not served after all trouble has ended.
+// NotServedError reports that a kind of request is not served after all faults have ended.
 type NotServedError struct{ Kind checker.Kind }
 
 // Error implements error.
 func (e *NotServedError) Error() string {
-	return "no " + string(e.Kind) + " is served after the trouble"
+	return "no " + string(e.Kind) + " request is served after the faults ended"
 }
 
-// Result is what came of a run.
+// Result holds the counts and violations of a run.
 type Result struct {
 	Requests, Served, Refused, Interrupted int
 	Runs, Moved                            int
-	Stops                                  int // planned, with nothing else wrong
-	Evacuations                            int // likewise
-	PoisonCrashes                          int // of workers, under the request that ends them
-	Limited                                int // requests at workers that named limits
-	Announced                              int // words of workers that leave or ask for rest
+	Stops                                  int // planned, with no other fault active
+	Evacuations                            int // with no other fault active
+	PoisonCrashes                          int // of workers, by the poison request
+	Limited                                int // requests at workers that announced limits
+	Announced                              int // announcements of leaving or backoff
 	Violations                             []checker.Violation
 }
 
-// String returns the closing line.
+// String returns the summary line.
 func (t Result) String() string {
 	return fmt.Sprintf("SOAK requests=%d served=%d refused=%d broken_off=%d runs=%d moved=%d calm_stops=%d calm_evacuations=%d ends=%d limited=%d heard=%d promises_broken=%d",
 		t.Requests, t.Served, t.Refused, t.Interrupted, t.Runs, t.Moved, t.Stops, t.Evacuations, t.PoisonCrashes, t.Limited, t.Announced, len(t.Violations))
@@ -81,8 +81,8 @@
 // New returns a run.
 func New(o Options) *Soak { return &Soak{o} }
 
-// Run starts a site, strikes it under load, lets it come to rest, and checks.
-// An error says that the run itself failed.
+// Run starts a site, injects faults under load, waits for recovery, and checks the
+// guarantees. An error means that the run itself failed.
 func (s *Soak) Run(ctx context.Context) (Result, error) {
 	at, err := site.New(s.Site)
 	if at != nil {
@@ -91,70 +91,70 @@
 	if err != nil {
 		return Result{}, err
 	}
-	if err := ready(at); err != nil {
+	if err := awaitReady(at); err != nil {
 		return Result{}, err
 	}
-	callers, strikes := loadgen.New(at, s.Seed, s.Bursts, s.Poison), faults.New(at, s.Seed, s.Out)
+	callers, injector := loadgen.New(at, s.Seed, s.Bursts, s.Poison), faults.New(at, s.Seed, s.Out)
 	working, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		callers.Run(working, s.Callers)
 	}()
-	striking, cancel := context.WithTimeout(ctx, s.Duration)
+	injecting, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
-	needs := make(chan []checker.LimitPeriod, 1)
-	go func() { needs <- s.needs(striking, strikes) }()
-	words := make(chan error, 1)
-	go func() { words <- s.words(striking, strikes) }()
-	err = strikes.Run(striking)
-	named := <-needs
+	periods := make(chan []checker.LimitPeriod, 1)
+	go func() { periods <- s.runLimits(injecting, injector) }()
+	announced := make(chan error, 1)
+	go func() { announced <- s.runAnnouncements(injecting, injector) }()
+	err = injector.Run(injecting)
+	announcedLimits := <-periods
 	if err == nil {
-		err = <-words
+		err = <-announced
 	}
 	if err == nil {
-		err = s.recovered(at, callers)
+		err = s.awaitRecovery(at, callers)
 	}
 	stop()
 	<-done
 	attempts, ran := callers.Attempts(), at.Executions()
-	t := s.check(attempts, ran, strikes)
-	broken, counted := checker.New(site.Events, 0, 0).CheckLimits(attempts, ran, named, at.Disruptions())
-	t.Limited, t.Violations = counted, append(t.Violations, broken...)
+	t := s.check(attempts, ran, injector)
+	violations, counted := checker.New(site.Events, 0, 0).CheckLimits(attempts, ran, announcedLimits, at.Disruptions())
+	t.Limited, t.Violations = counted, append(t.Violations, violations...)
 	arrived, links := at.Arrivals()
-	broken, t.Announced = checker.New(site.Events, 0, 0).CheckAnnouncements(attempts, arrived, at.Disruptions(), links)
-	t.Violations = append(t.Violations, broken...)
+	violations, t.Announced = checker.New(site.Events, 0, 0).CheckAnnouncements(attempts, arrived, at.Disruptions(), links)
+	t.Violations = append(t.Violations, violations...)
 	return t, err
 }
 
-// words lets workers leave by their answers and ask for rest, if they are to.
-func (s *Soak) words(ctx context.Context, strikes *faults.Injector) error {
+// runAnnouncements has workers announce leaving and backoffs, if enabled.
+func (s *Soak) runAnnouncements(ctx context.Context, injector *faults.Injector) error {
 	if !s.Announcements {
 		return nil
 	}
-	return strikes.RunAnnouncements(ctx)
+	return injector.RunAnnouncements(ctx)
 }
 
-// needs lets workers name limits, if they are to.
-func (s *Soak) needs(ctx context.Context, strikes *faults.Injector) []checker.LimitPeriod {
+// runLimits has workers announce rate limits, if enabled.
+func (s *Soak) runLimits(ctx context.Context, injector *faults.Injector) []checker.LimitPeriod {
 	if !s.RateLimits {
 		return nil
 	}
-	return strikes.RunLimits(ctx)
+	return injector.RunLimits(ctx)
 }
 
-func ready(at *site.Site) error {
+func awaitReady(at *site.Site) error {
 	for _, b := range at.Boxes {
-		if !until(b.Ready) {
+		if !pollUntil(b.Ready) {
 			return &NotReadyError{b.String()}
 		}
 	}
 	return nil
 }
 
-// recovered waits until all boxes are ready and each kind is served again.
-func (s *Soak) recovered(at *site.Site, callers *loadgen.Generator) error {
-	if err := ready(at); err != nil {
+// awaitRecovery waits until all boxes are ready and each kind of request is served again.
+func (s *Soak) awaitRecovery(at *site.Site, callers *loadgen.Generator) error {
+	if err := awaitReady(at); err != nil {
 		return err
 	}
 	began := time.Now()
@@ -167,15 +167,15 @@
 			}
 			return false
 		}
-		if !until(served) {
+		if !pollUntil(served) {
 			return &NotServedError{kind}
 		}
 	}
 	return nil
 }
 
-func until(f func() bool) bool {
-	for end := time.Now().Add(readyTime); time.Now().Before(end); time.Sleep(look) {
+func pollUntil(f func() bool) bool {
+	for end := time.Now().Add(readyTime); time.Now().Before(end); time.Sleep(pollInterval) {
 		if f() {
 			return true
 		}
@@ -183,8 +183,8 @@
 	return false
 }
 
-func (s *Soak) check(attempts []checker.Attempt, ran []checker.Execution, strikes *faults.Injector) Result {
-	stops, evacuations := strikes.Stops(), strikes.Evacuations()
+func (s *Soak) check(attempts []checker.Attempt, ran []checker.Execution, injector *faults.Injector) Result {
+	stops, evacuations := injector.Stops(), injector.Evacuations()
 	t := Result{Requests: len(attempts), Runs: len(ran), Stops: len(stops), Evacuations: len(evacuations)}
 	for _, a := range attempts {
 		switch {
@@ -204,9 +204,9 @@
 			t.PoisonCrashes++
 		}
 	}
-	t.Violations = checker.New(site.Events, site.KeyAge+keySlack, hallTime).Check(attempts, ran, stops, evacuations)
-	if t.PoisonCrashes > endsMost {
-		t.Violations = append(t.Violations, checker.Violation{Guarantee: checker.Poison, Detail: fmt.Sprint(t.PoisonCrashes, " workers ended under it")})
+	t.Violations = checker.New(site.Events, site.KeyAge+revocationSlack, evacuationTime).Check(attempts, ran, stops, evacuations)
+	if t.PoisonCrashes > maxPoisonCrashes {
+		t.Violations = append(t.Violations, checker.Violation{Guarantee: checker.Poison, Detail: fmt.Sprint(t.PoisonCrashes, " workers crashed by one request")})
 	}
 	return t
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,9 +13,9 @@
 	"petrelstep/soak/site"
 )
 
-// TestSeeds plays short runs of the real daemon. What is checked does not depend
-// on how fast the machine is: no promise is broken, and all is served again in
-// the end. A seed that ever failed stays here, with its cause.
+// TestSeeds runs short soaks of the real daemon. Independently of the machine's speed,
+// no guarantee may be violated and every kind of request must be served at the end.
+// Seeds that have failed stay here.
 func TestSeeds(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -25,36 +25,36 @@
 		t.Fatal(err, string(out))
 	}
 	tests := map[string]struct {
-		seed uint64
-		ends bool // workers end under a request
-		need bool // workers name limits
-		word bool // workers leave by their answers, and ask for rest
-		last time.Duration
+		seed       uint64
+		poison     bool // a request crashes its worker
+		rateLimits bool // workers announce rate limits
+		announce   bool // workers announce leaving and backoffs in their responses
+		duration   time.Duration
 	}{
-		"a first seed":                      {seed: 1, last: 6 * time.Second},
-		"a second seed":                     {seed: 14, last: 6 * time.Second},
-		"a request under which workers end": {seed: 3, ends: true, last: 6 * time.Second},
-		"workers that name limits":          {seed: 5, need: true, last: 12 * time.Second},
-		"workers that leave by their words": {seed: 7, word: true, last: 12 * time.Second},
+		"first seed":                   {seed: 1, duration: 6 * time.Second},
+		"second seed":                  {seed: 14, duration: 6 * time.Second},
+		"request that crashes workers": {seed: 3, poison: true, duration: 6 * time.Second},
+		"workers announce limits":      {seed: 5, rateLimits: true, duration: 12 * time.Second},
+		"workers announce leaving":     {seed: 7, announce: true, duration: 12 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			tally, err := soak.New(soak.Options{
+			result, err := soak.New(soak.Options{
 				Site:          site.Options{Daemon: daemon, Dir: t.TempDir(), Boxes: 3, Engines: 4, Plain: 2},
 				Seed:          tt.seed,
-				Poison:        tt.ends,
-				RateLimits:    tt.need,
-				Announcements: tt.word,
+				Poison:        tt.poison,
+				RateLimits:    tt.rateLimits,
+				Announcements: tt.announce,
 				Callers:       12,
-				Duration:      tt.last,
+				Duration:      tt.duration,
 				Out:           t.Output(),
 			}).Run(context.Background())
 			is.NoErr(err)
-			for _, b := range tally.Violations {
+			for _, b := range result.Violations {
 				t.Error(b)
 			}
-			is.True(tally.Served > 0)
+			is.True(result.Served > 0)
 		})
 	}
 }
