--- a/standin/batch/batch.go
+++ b/standin/batch/batch.go
@@ -1,7 +1,6 @@
-// Package batch is the heart of the stand-in engine: continuous batching in
-// steps with memory counted in tokens, a prefix cache, priorities and
-// preemption by recompute. It takes the time as an argument, so that the same
-// code runs behind HTTP and in virtual time.
+// Package batch simulates the core of a model engine: continuous batching in steps, with
+// memory counted in tokens, a prefix cache, priorities and preemption by recompute. Time is
+// an argument, so that the same code runs behind HTTP and in virtual time.
 package batch
 
 import (
@@ -11,19 +10,19 @@
 	"petrelstep/standin/blocks"
 )
 
-// Params describes the engine that is stood in for.
+// Params describes the simulated engine.
 type Params struct {
 	Capacity       int           // memory, tokens
 	PrefixCapacity int           // prefix cache, tokens
-	MaxBatch       int           // generations that run at once
-	PrefillChunk   int           // prompt tokens worked on in a step
-	StepBase       time.Duration // a step's fixed cost
-	StepPerRun     time.Duration // for each generation in the batch
-	StepPerKToken  time.Duration // for each thousand tokens in memory
-	PrefillPerTok  time.Duration // for each prompt token worked on
+	MaxBatch       int           // concurrent generations
+	PrefillChunk   int           // prompt tokens prefilled per step
+	StepBase       time.Duration // fixed cost of a step
+	StepPerRun     time.Duration // cost per generation in the batch
+	StepPerKToken  time.Duration // cost per thousand tokens in memory
+	PrefillPerTok  time.Duration // cost per prefilled prompt token
 }
 
-// DefaultParams returns the engine of the starting design's trial: 60,000 tokens.
+// DefaultParams returns the parameters of an engine with memory for 60,000 tokens.
 func DefaultParams() Params {
 	return Params{
 		Capacity:       60_000,
@@ -37,14 +36,14 @@
 	}
 }
 
-// Job is one generation asked of the engine. Length is its hidden end.
+// Job is a requested generation.
 type Job struct {
 	Attempt  string
 	Prompt   int      // tokens
 	Blocks   []uint64 // chain hashes of the prompt's prefix blocks
 	Priority int      // higher is served first and preempted last
-	Length   int      // tokens it will have; callers never see it
-	Tag      any      // the harness's own
+	Length   int      // number of tokens it will generate, unknown to callers
+	Tag      any      // for the caller's use
 }
 
 // Run is a generation within the engine.
@@ -54,28 +53,28 @@
 	Tokens      int // generated so far
 	Cached      int // prompt tokens found in the prefix cache
 	Preemptions int
-	prefill     int // tokens still to be worked on before it decodes
+	prefill     int // tokens still to be prefilled before it decodes
 	order       uint64
 	started     bool
 	running     bool
 }
 
-// Started says whether any work was ever done for it.
+// Started reports whether the engine has ever worked on it.
 func (r *Run) Started() bool { return r.started }
 
-func (r *Run) held() int { return r.Prompt + r.Tokens }
+func (r *Run) footprint() int { return r.Prompt + r.Tokens }
 
-// Core is one engine. It is not safe for use by several goroutines.
+// Core is the state of one engine. It is not safe for use by several goroutines.
 type Core struct {
-	params   Params
-	prefixes *blocks.Cache
-	running  []*Run
-	waiting  []*Run // by priority, then arrival
-	runs     map[string]*Run
-	used     int
-	orders   uint64
-	preempts int
-	stepTime time.Duration
+	params    Params
+	prefixes  *blocks.Cache
+	running   []*Run
+	waiting   []*Run // by priority, then arrival
+	runs      map[string]*Run
+	used      int
+	nextOrder uint64
+	preempts  int
+	stepTime  time.Duration
 }
 
 // New returns an idle engine.
@@ -83,16 +82,16 @@
 	return &Core{params: params, prefixes: blocks.New(params.PrefixCapacity), runs: map[string]*Run{}}
 }
 
-// Used returns memory in use, in tokens.
+// Used returns the memory in use, in tokens.
 func (c *Core) Used() int { return c.used }
 
-// Running returns how many generations are in the batch.
+// Running returns the number of generations in the batch.
 func (c *Core) Running() int { return len(c.running) }
 
-// Waiting returns how many wait for room.
+// Waiting returns the number of generations that wait for memory.
 func (c *Core) Waiting() int { return len(c.waiting) }
 
-// Preemptions counts since the start.
+// Preemptions returns the number of preemptions since the start.
 func (c *Core) Preemptions() int { return c.preempts }
 
 // StepTime returns the decayed mean duration of a step.
@@ -101,32 +100,32 @@
 // Cache returns the prefix cache.
 func (c *Core) Cache() *blocks.Cache { return c.prefixes }
 
-// Runs returns what is in the engine, by attempt.
+// Runs returns the generations in the engine, by attempt.
 func (c *Core) Runs() map[string]*Run { return c.runs }
 
-// Submit takes a job. The same attempt again changes nothing.
+// Submit adds a job, or returns the run of the same attempt.
 func (c *Core) Submit(now time.Time, job Job) *Run {
 	if r, ok := c.runs[job.Attempt]; ok {
 		return r
 	}
-	c.orders++
-	r := &Run{Job: job, Arrived: now, order: c.orders}
+	c.nextOrder++
+	r := &Run{Job: job, Arrived: now, order: c.nextOrder}
 	c.runs[job.Attempt] = r
-	c.wait(r)
+	c.enqueue(r)
 	return r
 }
 
-// Cancel takes a generation out; nil if the engine does not hold it.
+// Cancel removes and returns a generation; nil if the engine doesn't have it.
 func (c *Core) Cancel(attempt string) *Run {
 	r, ok := c.runs[attempt]
 	if !ok {
 		return nil
 	}
-	c.drop(r)
+	c.remove(r)
 	return r
 }
 
-// Clear loses everything, as an engine that dies does, and returns what it held.
+// Clear removes and returns all generations, as a crash of the engine would lose them.
 func (c *Core) Clear() []*Run {
 	lost := append(append([]*Run{}, c.running...), c.waiting...)
 	c.running, c.waiting, c.used = nil, nil, 0
@@ -134,17 +133,17 @@
 	return lost
 }
 
-// Step does one step. It calls token for each generation that gets a token
-// at the step's end, and end for each that is whole with it. It returns how
-// long the step takes; zero if there is nothing to do.
+// Step does one step. It calls token for each generation that gets a token at the step's
+// end, and end for each that is complete with it. It returns the step's duration; zero if
+// there is nothing to do.
 func (c *Core) Step(token func(*Run), end func(*Run)) time.Duration {
-	c.makeRoom()
+	c.preemptForSpace()
 	c.admit()
 	if len(c.running) == 0 {
 		return 0
 	}
-	worked := c.prefillSome()
-	took := c.duration(worked)
+	prefilled := c.prefillChunk()
+	took := c.duration(prefilled)
 	c.stepTime += (took - c.stepTime) / 16
 	c.decode(token, end)
 	return took
@@ -158,8 +157,8 @@
 		time.Duration(prefilled)*p.PrefillPerTok
 }
 
-// makeRoom preempts until every running generation can grow by one token.
-func (c *Core) makeRoom() {
+// preemptForSpace preempts until every running generation can grow by one token.
+func (c *Core) preemptForSpace() {
 	for len(c.running) > 1 && c.used+len(c.running) > c.params.Capacity {
 		victim := c.running[0]
 		for _, r := range c.running[1:] {
@@ -169,45 +168,45 @@
 		}
 		c.preempts++
 		victim.Preemptions++
-		c.stop(victim)
-		c.wait(victim)
+		c.removeRunning(victim)
+		c.enqueue(victim)
 	}
 }
 
-// admit lets waiting generations in, in order; the first that does not fit
-// holds up the rest, as engines do to keep their order.
+// admit starts waiting generations in order; the first that doesn't fit blocks the others,
+// as in real engines.
 func (c *Core) admit() {
 	for len(c.waiting) > 0 && len(c.running) < c.params.MaxBatch {
 		r := c.waiting[0]
-		if len(c.running) > 0 && c.used+r.held()+len(c.running)+1 > c.params.Capacity*99/100 {
+		if len(c.running) > 0 && c.used+r.footprint()+len(c.running)+1 > c.params.Capacity*99/100 {
 			return
 		}
 		c.waiting = c.waiting[1:]
 		r.Cached = min(c.prefixes.Match(r.Blocks), r.Prompt)
-		r.prefill = r.held() - r.Cached
+		r.prefill = r.footprint() - r.Cached
 		r.started, r.running = true, true
-		c.used += r.held()
+		c.used += r.footprint()
 		c.running = append(c.running, r)
 	}
 }
 
-func (c *Core) prefillSome() int {
-	left := c.params.PrefillChunk
+func (c *Core) prefillChunk() int {
+	remaining := c.params.PrefillChunk
 	for _, r := range c.running {
 		if r.prefill == 0 {
 			continue
 		}
-		n := min(left, r.prefill)
+		n := min(remaining, r.prefill)
 		r.prefill -= n
-		left -= n
+		remaining -= n
 		if r.prefill == 0 {
 			c.prefixes.Store(r.Blocks)
 		}
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
 	}
-	return c.params.PrefillChunk - left
+	return c.params.PrefillChunk - remaining
 }
 
 func (c *Core) decode(token func(*Run), end func(*Run)) {
@@ -224,14 +223,14 @@
 			kept = append(kept, r)
 			continue
 		}
-		c.used -= r.held()
+		c.used -= r.footprint()
 		delete(c.runs, r.Attempt)
 		end(r)
 	}
 	c.running = kept
 }
 
-func (c *Core) wait(r *Run) {
+func (c *Core) enqueue(r *Run) {
 	r.running = false
 	i := sort.Search(len(c.waiting), func(i int) bool {
 		w := c.waiting[i]
@@ -242,15 +241,15 @@
 	c.waiting[i] = r
 }
 
-func (c *Core) stop(r *Run) {
-	c.used -= r.held()
+func (c *Core) removeRunning(r *Run) {
+	c.used -= r.footprint()
 	c.running = without(c.running, r)
 }
 
-func (c *Core) drop(r *Run) {
+func (c *Core) remove(r *Run) {
 	delete(c.runs, r.Attempt)
 	if r.running {
-		c.stop(r)
+		c.removeRunning(r)
 		return
 	}
 	c.waiting = without(c.waiting, r)
--- a/standin/batch/batch_test.go
+++ b/standin/batch/batch_test.go
@@ -12,7 +12,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// run steps an engine until it is idle, and returns the order of the ends.
+// run steps an engine until it is idle, and returns the attempts in the order of their ends
+// and their numbers of tokens.
 func run(c *batch.Core) (ends []string, tokens map[string]int) {
 	tokens = map[string]int{}
 	token := func(r *batch.Run) { tokens[r.Attempt]++ }
@@ -37,12 +38,12 @@
 		ends        []string
 		preemptions bool
 	}{
-		"one":                 {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 50}}, ends: []string{"a"}},
-		"together":            {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 50}, {Attempt: "b", Prompt: 100, Length: 20}}, ends: []string{"b", "a"}},
-		"no room waits":       {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 800, Length: 50}, {Attempt: "b", Prompt: 500, Length: 1}}, ends: []string{"a", "b"}},
-		"priority first":      {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 800, Length: 9}, {Attempt: "b", Prompt: 800, Length: 9}, {Attempt: "c", Prompt: 800, Length: 9, Priority: 5}}, ends: []string{"c", "a", "b"}},
-		"overflow preempts":   {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 600}, {Attempt: "b", Prompt: 100, Length: 600}}, ends: []string{"a", "b"}, preemptions: true},
-		"lowest is preempted": {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 600}, {Attempt: "b", Prompt: 100, Length: 600, Priority: 1}}, ends: []string{"b", "a"}, preemptions: true},
+		"one generation":               {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 50}}, ends: []string{"a"}},
+		"concurrent generations":       {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 50}, {Attempt: "b", Prompt: 100, Length: 20}}, ends: []string{"b", "a"}},
+		"waits for memory":             {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 800, Length: 50}, {Attempt: "b", Prompt: 500, Length: 1}}, ends: []string{"a", "b"}},
+		"higher priority first":        {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 800, Length: 9}, {Attempt: "b", Prompt: 800, Length: 9}, {Attempt: "c", Prompt: 800, Length: 9, Priority: 5}}, ends: []string{"c", "a", "b"}},
+		"memory overflow preempts":     {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 600}, {Attempt: "b", Prompt: 100, Length: 600}}, ends: []string{"a", "b"}, preemptions: true},
+		"lowest priority is preempted": {capacity: 1000, jobs: []batch.Job{{Attempt: "a", Prompt: 100, Length: 600}, {Attempt: "b", Prompt: 100, Length: 600, Priority: 1}}, ends: []string{"b", "a"}, preemptions: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +75,7 @@
 	is.Equal(c.Used(), 0)
 }
 
-func TestPrefixSavesWork(t *testing.T) {
+func TestCachedPrefixSkipsPrefill(t *testing.T) {
 	is := is.New(t)
 	c := batch.New(batch.DefaultParams())
 	blocks := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
--- a/standin/blocks/blocks.go
+++ b/standin/blocks/blocks.go
@@ -1,5 +1,5 @@
-// Package blocks is the stand-in engine's prefix cache: chains of blocks kept
-// in limited memory, the least recently used given up first.
+// Package blocks is the stand-in engine's prefix cache: chains of blocks in limited memory
+// with LRU eviction.
 package blocks
 
 import "container/list"
@@ -7,35 +7,36 @@
 // Size is the number of prompt tokens in a block.
 const Size = 64
 
-// keptEvents bounds the log of changes; what falls off is a gap for readers.
-const keptEvents = 512
+// maxEvents bounds the log of changes; readers of older events see a gap.
+const maxEvents = 512
 
-// Event is a change of the cache.
+// Event is a block that was stored or evicted.
 type Event struct {
 	Seq    int
 	Stored bool
 	Block  uint64
 }
 
-// Cache holds blocks by the hash of the chain that they end.
+// Cache holds blocks, each identified by the hash of the chain up to it.
 type Cache struct {
 	capacity int // blocks
 	recent   *list.List
-	places   map[uint64]*list.Element
+	elements map[uint64]*list.Element
 	events   []Event
 	seq      int
 }
 
-// New returns an empty cache for so many tokens.
+// New returns an empty cache for the given number of tokens.
 func New(tokens int) *Cache {
-	return &Cache{capacity: tokens / Size, recent: list.New(), places: map[uint64]*list.Element{}}
+	return &Cache{capacity: tokens / Size, recent: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-// Match returns how many tokens of the chain are cached, and marks them used.
+// Match returns the number of leading tokens of the chain that are cached, and marks their
+// blocks as used.
 func (c *Cache) Match(chain []uint64) int {
 	n := 0
 	for _, b := range chain {
-		e, ok := c.places[b]
+		e, ok := c.elements[b]
 		if !ok {
 			break
 		}
@@ -45,20 +46,20 @@
 	return n * Size
 }
 
-// Store keeps a chain, giving up the least recently used blocks.
+// Store adds a chain and evicts the least recently used blocks.
 func (c *Cache) Store(chain []uint64) {
 	for _, b := range chain {
-		if e, ok := c.places[b]; ok {
+		if e, ok := c.elements[b]; ok {
 			c.recent.MoveToFront(e)
 			continue
 		}
-		c.places[b] = c.recent.PushFront(b)
-		c.note(b, true)
+		c.elements[b] = c.recent.PushFront(b)
+		c.record(b, true)
 	}
 	for c.recent.Len() > c.capacity {
 		b := c.recent.Remove(c.recent.Back()).(uint64)
-		delete(c.places, b)
-		c.note(b, false)
+		delete(c.elements, b)
+		c.record(b, false)
 	}
 }
 
@@ -72,10 +73,10 @@
 	return nil
 }
 
-func (c *Cache) note(block uint64, stored bool) {
+func (c *Cache) record(block uint64, stored bool) {
 	c.seq++
 	c.events = append(c.events, Event{Seq: c.seq, Stored: stored, Block: block})
-	if len(c.events) > keptEvents {
-		c.events = c.events[len(c.events)-keptEvents:]
+	if len(c.events) > maxEvents {
+		c.events = c.events[len(c.events)-maxEvents:]
 	}
 }
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller is the stand-in for a caller of the users' platform: it sends
-// single requests by the published protocol, over connections that it keeps.
+// Package caller is the stand-in for a caller of the users' platform: it sends single
+// requests by the published protocol over persistent connections.
 package caller
 
 import (
@@ -11,28 +11,29 @@
 	"time"
 )
 
-// Request is what a caller asks.
+// Request is a caller's request.
 type Request struct {
 	ID     string
 	Host   string
 	Target string
-	Body   string // none makes it a read
+	Body   string // empty for a GET request
 	Key    string
-	Wait   time.Duration
-	Tokens string        // of the prompt and, at most, of the answer: "900,240"
+	Wait   time.Duration // sent as the deadline
+	Tokens string        // prompt tokens and maximum response tokens: "900,240"
 	Pause  time.Duration // before the body is read
 }
 
-// Answer is what a caller is told. Without any, its status is 0.
+// Answer is the response to a request. Its status is 0 if there was none.
 type Answer struct {
 	Status     int
-	Sealed     bool // by the worker that made it
+	Sealed     bool // has a worker's seal
 	Body       string
-	Complete   bool          // it ended as a whole answer does
-	RetryAfter time.Duration // 0 where it names none
+	Complete   bool          // the body ended normally
+	RetryAfter time.Duration // 0 without a Retry-After header
 }
 
-// Caller keeps its connections; it is safe for use by several goroutines.
+// Caller sends requests over connections that it keeps open. It is safe for use by several
+// goroutines.
 type Caller struct{ transport *http.Transport }
 
 // New returns a caller without connections.
@@ -41,7 +42,7 @@
 // Close drops idle connections.
 func (c *Caller) Close() { c.transport.CloseIdleConnections() }
 
-// Send sends a request to an address, once, and reads its answer to the end.
+// Send sends a request to an address, without retries, and reads the whole response.
 func (c *Caller) Send(ctx context.Context, address string, r Request) Answer {
 	method := http.MethodGet
 	if r.Body != "" {
@@ -52,7 +53,7 @@
 		return Answer{}
 	}
 	req.Host = r.Host
-	req.GetBody = nil // the transport repeats nothing by itself
+	req.GetBody = nil // the transport must not retry
 	for name, value := range map[string]string{
 		"Request-Id": r.ID, "Api-Key": r.Key, "Deadline-Ms": strconv.FormatInt(r.Wait.Milliseconds(), 10), "Token-Count": r.Tokens,
 	} {
--- a/standin/cluster/cluster.go
+++ b/standin/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs a whole small set in one process, for tests: the stand-in
-// platform, engines and service, and boxes with all their parts, each on
-// loopback addresses of its own.
+// Package cluster runs a small cluster in one process, for tests: the stand-in platform,
+// engines and service, and boxes with all their components, each on its own loopback
+// addresses.
 package cluster
 
 import (
@@ -29,33 +29,33 @@
 	"petrelstep/wire"
 )
 
-// Keys of the set's organisations.
+// API keys of the cluster's organisations.
 const (
 	CallerKey   = "caller-key"
 	OtherKey    = "other-caller-key"
 	OperatorKey = "operator-key"
 )
 
-// Options say what to run.
+// Options configure a cluster.
 type Options struct {
 	Boxes   int
-	Engines []engine.Options // the hall of engine i is that of box i
-	Change  func(*wire.Settings)
-	Proxies bool      // engines are reached through relays that can be cut
-	Log     io.Writer // of the boxes; nil for none
+	Engines []engine.Options     // the hall of engine i is that of box i
+	Change  func(*wire.Settings) // modifies each box's settings; may be nil
+	Proxies bool                 // engines are reached through fault proxies
+	Log     io.Writer            // receives the boxes' logs; nil for none
 }
 
-// Box is one running box.
+// Box is a running box.
 type Box struct {
 	Settings wire.Settings
 	Daemon   *daemon.Daemon
 	cancel   context.CancelFunc
 	done     chan error
-	over     bool
-	up       <-chan struct{} // closed once its addresses are open
+	ended    bool
+	started  <-chan struct{} // closed once its addresses are open
 }
 
-// Cluster is what runs.
+// Cluster holds the running boxes and stand-ins.
 type Cluster struct {
 	Platform *platform.Platform
 	Engines  []*engine.Engine
@@ -68,17 +68,17 @@
 	engines  sync.WaitGroup
 }
 
-// NotReadyError says that the set did not come up.
+// NotReadyError reports that the cluster did not become ready.
 type NotReadyError struct{ What string }
 
 // Error implements error.
-func (e *NotReadyError) Error() string { return "set: " + e.What }
+func (e *NotReadyError) Error() string { return "cluster: " + e.What }
 
-// readyTime bounds the wait for the set to come up.
+// readyTime bounds the wait for the cluster to become ready.
 const readyTime = 20 * time.Second
 
-// New starts a set, declares its resources and waits until all boxes have
-// them and know their engines.
+// New starts a cluster, declares its resources and waits until all boxes have them and know
+// their engines.
 func New(options Options) (*Cluster, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Cluster{Platform: platform.New(platform.Options{}), Service: service.New(), options: options, stop: stop}
@@ -92,7 +92,7 @@
 		s.engines.Go(func() { e.Run(ctx) })
 		server := httptest.NewServer(e.Handler())
 		s.servers = append(s.servers, server)
-		address, err := s.reach(addressOf(server))
+		address, err := s.reachableAddress(addressOf(server))
 		if err != nil {
 			s.Close()
 			return nil, err
@@ -106,15 +106,15 @@
 			return nil, err
 		}
 	}
-	if err := s.declare(upstreams); err != nil {
+	if err := s.applyResources(upstreams); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// reach returns the address by which boxes reach an engine.
-func (s *Cluster) reach(address string) (string, error) {
+// reachableAddress returns the address by which boxes reach an engine, a proxy's if enabled.
+func (s *Cluster) reachableAddress(address string) (string, error) {
 	if !s.options.Proxies {
 		return address, nil
 	}
@@ -134,7 +134,7 @@
 func Resource(kind wire.ResourceKind, name string, spec any) wire.Resource {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // only wire types and maps come here
+		panic(err) // spec is always a wire type or a map
 	}
 	return wire.Resource{Kind: kind, Name: name, Spec: raw}
 }
@@ -148,7 +148,7 @@
 	return Resource(wire.ResourceKindUpstream, name, spec)
 }
 
-func (s *Cluster) declare(upstreams []wire.Resource) error {
+func (s *Cluster) applyResources(upstreams []wire.Resource) error {
 	all := []wire.Resource{
 		Resource(wire.ResourceKindModel, "m", map[string]any{"max_tokens": 16384}),
 		Resource(wire.ResourceKindModel, "unserved", map[string]any{}),
@@ -172,7 +172,8 @@
 	return s.await(func() bool { return s.settled(len(s.options.Engines)) }, "not settled")
 }
 
-// settled tells whether every box has the newest configuration and serves.
+// settled reports whether every box serves, has the newest configuration and knows at least
+// the given number of engines.
 func (s *Cluster) settled(engines int) bool {
 	newest := 0
 	for _, b := range s.Boxes {
@@ -211,8 +212,8 @@
 	return &NotReadyError{What: what}
 }
 
-// Await waits until something is so; false if it never comes.
-func (s *Cluster) Await(so func() bool) bool { return s.await(so, "") == nil }
+// Await waits until condition holds; it returns false if that takes longer than readyTime.
+func (s *Cluster) Await(condition func() bool) bool { return s.await(condition, "") == nil }
 
 // Put declares a resource at a box.
 func (s *Cluster) Put(box int, r wire.Resource) (wire.Resource, error) {
@@ -224,12 +225,12 @@
 	return done, err
 }
 
-// Admin returns an operator's client of a box.
+// Admin returns an operator's client for a box.
 func (s *Cluster) Admin(b *Box) *client.Client {
 	return client.New([]string{"http://" + b.Settings.Listen.Admin}, OperatorKey)
 }
 
-// Callers returns a caller's client of all boxes that run.
+// Callers returns a caller's client for all boxes.
 func (s *Cluster) Callers(key string) *client.Client {
 	var boxes []string
 	for _, b := range s.Boxes {
@@ -238,11 +239,11 @@
 	return client.New(boxes, key)
 }
 
-// startTries bounds how often a box is started on other addresses: one that
-// was free may be taken before the box listens on it.
+// startTries bounds starts on new addresses: a free one may be taken by another process
+// before the box listens on it.
 const startTries = 5
 
-// StartBox starts a box, or starts one anew that was killed or stopped.
+// StartBox starts a box, or restarts one that was killed or stopped.
 func (s *Cluster) StartBox(i int) error {
 	var last error
 	for range startTries {
@@ -251,7 +252,7 @@
 			return err
 		}
 		if last = s.awaitBox(b); last == nil {
-			s.keep(i, b)
+			s.setBox(i, b)
 			return nil
 		}
 		b.cancel()
@@ -259,7 +260,7 @@
 	return last
 }
 
-func (s *Cluster) keep(i int, b *Box) {
+func (s *Cluster) setBox(i int, b *Box) {
 	if i < len(s.Boxes) {
 		s.Boxes[i] = b
 		return
@@ -267,19 +268,19 @@
 	s.Boxes = append(s.Boxes, b)
 }
 
-// awaitBox waits until a box answers, or has ended.
+// awaitBox waits until a box is healthy or has ended.
 func (s *Cluster) awaitBox(b *Box) error {
 	var ended error
 	err := s.await(func() bool {
 		select {
 		case ended = <-b.done:
 			return true
-		case <-b.up:
-			return answers(b.Settings.Listen.Admin)
+		case <-b.started:
+			return isHealthy(b.Settings.Listen.Admin)
 		default:
 			return false
 		}
-	}, b.Settings.Box+" does not answer")
+	}, b.Settings.Box+" is not healthy")
 	if ended != nil {
 		return ended
 	}
@@ -306,7 +307,7 @@
 		cancel()
 		return nil, err
 	}
-	b := &Box{Settings: c.Settings, Daemon: d, cancel: cancel, done: make(chan error, 1), up: up.Done()}
+	b := &Box{Settings: c.Settings, Daemon: d, cancel: cancel, done: make(chan error, 1), started: up.Done()}
 	go func() { b.done <- d.Run(ctx) }()
 	return b, nil
 }
@@ -314,7 +315,7 @@
 func (s *Cluster) settings(i int) (config.Config, error) {
 	raw, err := json.Marshal(map[string]any{
 		"box": fmt.Sprint("box", i), "hall": hallOf(i, s.options.Boxes),
-		"listen":      map[string]string{"callers": free(), "admin": free(), "peers": free()},
+		"listen":      map[string]string{"callers": freeAddress(), "admin": freeAddress(), "peers": freeAddress()},
 		"platform":    map[string]any{"address": addressOf(s.servers[0])},
 		"request_key": "a-key-of-tests-that-all-boxes-share-0001", "operator_key_hash": front.HashKey(OperatorKey),
 		"limits": map[string]any{"comeback_ms": 300, "body_bytes": 4096}, "drain_ms": 20000,
@@ -329,41 +330,41 @@
 	return c, err
 }
 
-// free returns a loopback address that nothing listens on right now.
-func free() string {
+// freeAddress returns a loopback address that nothing listens on.
+func freeAddress() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		panic(err) // no loopback, no tests
+		panic(err) // tests need a loopback interface
 	}
 	defer l.Close()
 	return l.Addr().String()
 }
 
-func answers(address string) bool {
+func isHealthy(address string) bool {
 	c := client.New([]string{"http://" + address}, OperatorKey)
 	defer c.Close()
 	return c.Call(context.Background(), http.MethodGet, "/healthz", nil, nil) == nil
 }
 
-// Kill ends a box at once, as a loss of its machine does.
+// Kill ends a box without draining, as the loss of its machine would.
 func (s *Cluster) Kill(i int) {
 	s.Boxes[i].cancel()
 	<-s.Boxes[i].done
-	s.Boxes[i].over = true
+	s.Boxes[i].ended = true
 }
 
-// Stop begins the planned stop of a box and waits for its end.
+// Stop drains a box and waits for its end.
 func (s *Cluster) Stop(i int) error {
 	s.Boxes[i].Daemon.Drain()
-	s.Boxes[i].over = true
+	s.Boxes[i].ended = true
 	return <-s.Boxes[i].done
 }
 
-// Close ends all.
+// Close ends all boxes and stand-ins.
 func (s *Cluster) Close() {
 	for _, b := range s.Boxes {
 		b.cancel()
-		if !b.over {
+		if !b.ended {
 			<-b.done
 		}
 	}
--- a/standin/cluster/cluster_test.go
+++ b/standin/cluster/cluster_test.go
@@ -12,8 +12,8 @@
 	"petrelstep/wire"
 )
 
-// TestTakenPort gives a box's operator address to a server that answers all:
-// the box is started on other addresses, and the set is not taken in by it.
+// TestTakenPort checks that a box is restarted on other addresses if another server, which
+// returns 200 to all requests, has taken its operator address.
 func TestTakenPort(t *testing.T) {
 	is := is.New(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the stand-in model engine behind HTTP. It runs package
-// batch in real time and keeps generations for a while after their readers
-// are gone, so that streams can be taken up again.
+// Package engine is the stand-in model engine behind HTTP. It runs package batch in real
+// time and retains generations for a while after their readers have disconnected, so that
+// streams can be resumed.
 package engine
 
 import (
@@ -18,25 +18,25 @@
 	"petrelstep/wire"
 )
 
-// Options set up one stand-in engine.
+// Options configure a stand-in engine.
 type Options struct {
 	Name       string
 	Model      string // loaded at the start; empty for none
-	Platform   string // address of the weight store; empty to load at once
-	Fenced     bool   // checks the fence of orders
+	Platform   string // address of the weight store; empty to load without it
+	Fenced     bool   // rejects orders with an older fence
 	Seed       uint64
-	Speed      float64       // steps are so many times faster
+	Speed      float64       // factor by which steps are faster
 	ReportLag  time.Duration // age of load reports
 	DraftWords float64       // median length of drafts
-	Length     int           // of every draft, where a test needs it sure; 0 draws it
+	Length     int           // fixed length of every draft, for tests; 0 draws it
 	Params     batch.Params
 }
 
-// keepEnded is how long a generation can be taken up after its end.
-const keepEnded = 2 * time.Minute
+// endedRetention is how long a generation can be resumed after its end.
+const endedRetention = 2 * time.Minute
 
-// mostLength bounds a hidden length.
-const mostLength = 16_384
+// maxLength bounds the drawn length of a draft.
+const maxLength = 16_384
 
 type generation struct {
 	run       *batch.Run
@@ -44,10 +44,10 @@
 	count     int
 	why       wire.EngineEndWhy
 	ended     time.Time
-	published chan struct{} // closed and made anew with each token
+	published chan struct{} // closed and replaced with each token
 }
 
-// Engine is safe for use by several goroutines.
+// Engine is a stand-in engine. It is safe for use by several goroutines.
 type Engine struct {
 	mu          sync.Mutex
 	options     Options
@@ -59,13 +59,13 @@
 	leaving     bool
 	reclaimed   bool
 	dead        bool
-	frozen      chan struct{} // nil while it runs
+	frozen      chan struct{} // closed to end a freeze; nil if not frozen
 	history     []Started
-	refused     int // jobs not taken
-	loading     context.CancelFunc
+	refused     int // rejected jobs
+	cancelLoad  context.CancelFunc
 }
 
-// Started is an entry of the history of what the engine ran, for tests.
+// Started is an entry of the engine's history of generations and orders, for tests.
 type Started struct {
 	Attempt string
 	Prompt  string
@@ -73,7 +73,7 @@
 	At      time.Time
 }
 
-// New returns an engine; Run makes it work.
+// New returns an engine; Run runs it.
 func New(options Options) *Engine {
 	if options.Speed == 0 {
 		options.Speed = 1
@@ -101,11 +101,11 @@
 	return e
 }
 
-// Run does the engine's steps until ctx ends.
+// Run executes the engine's steps until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	go e.reportLoop(ctx)
 	for ctx.Err() == nil {
-		if !e.thawed(ctx) {
+		if !e.awaitThaw(ctx) {
 			return
 		}
 		took, publish := e.step()
@@ -144,7 +144,7 @@
 		return
 	}
 	for _, r := range ended {
-		e.end(r.Tag.(*generation), wire.EngineEndWhyDone)
+		e.finish(r.Tag.(*generation), wire.EngineEndWhyDone)
 	}
 	for _, r := range out {
 		g := r.Tag.(*generation)
@@ -155,7 +155,7 @@
 	}
 }
 
-func (e *Engine) end(g *generation, why wire.EngineEndWhy) {
+func (e *Engine) finish(g *generation, why wire.EngineEndWhy) {
 	g.why = why
 	g.ended = time.Now()
 	g.wakeReaders()
@@ -166,7 +166,8 @@
 	g.published = make(chan struct{})
 }
 
-// submit starts a generation, or finds the one of the same attempt.
+// submit starts a generation, or returns the one of the same attempt. It returns false if
+// the engine rejects the job.
 func (e *Engine) submit(job wire.EngineJob) (*generation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -177,7 +178,7 @@
 	if g, ok := e.generations[job.Attempt]; ok {
 		return g, true
 	}
-	e.forget()
+	e.forgetEnded()
 	words := len(strings.Fields(job.Prompt))
 	g := &generation{prompt: words, published: make(chan struct{})}
 	g.run = e.core.Submit(time.Now(), batch.Job{
@@ -190,18 +191,18 @@
 	})
 	e.generations[job.Attempt] = g
 	e.history = append(e.history, Started{Attempt: job.Attempt, Prompt: job.Prompt, At: time.Now()})
-	e.nudge()
+	e.wakeUp()
 	return g, true
 }
 
-func (e *Engine) nudge() {
+func (e *Engine) wakeUp() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// hiddenLength draws the length from the attempt: no caller can know it.
+// hiddenLength draws a generation's length from its attempt, so that callers can't know it.
 func (e *Engine) hiddenLength(job wire.EngineJob) int {
 	rng := rand.New(rand.NewPCG(xxhash.Sum64String(job.Attempt), e.options.Seed))
 	switch job.Class {
@@ -213,19 +214,19 @@
 	if e.options.Length > 0 {
 		return e.options.Length
 	}
-	return min(int(e.options.DraftWords*math.Exp(0.8*rng.NormFloat64()))+16, mostLength)
+	return min(int(e.options.DraftWords*math.Exp(0.8*rng.NormFloat64()))+16, maxLength)
 }
 
-func (e *Engine) forget() {
+func (e *Engine) forgetEnded() {
 	for id, g := range e.generations {
-		if g.why != "" && time.Since(g.ended) > keepEnded {
+		if g.why != "" && time.Since(g.ended) > endedRetention {
 			delete(e.generations, id)
 		}
 	}
 }
 
-// cancel takes a generation out and says whether it ever started. A cancel
-// of an attempt not seen yet makes sure that it never will start.
+// cancel cancels a generation and reports whether it ever started. Cancelling an unknown
+// attempt prevents it from starting later.
 func (e *Engine) cancel(attempt string) wire.CancelAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -243,7 +244,7 @@
 	}
 	e.core.Cancel(attempt)
 	if g.why == "" {
-		e.end(g, wire.EngineEndWhyCancelled)
+		e.finish(g, wire.EngineEndWhyCancelled)
 	}
 	if !g.run.Started() {
 		return wire.CancelAnswer{State: wire.CancelAnswerStateNeverStarted}
@@ -251,7 +252,7 @@
 	return wire.CancelAnswer{State: wire.CancelAnswerStateCancelled, Count: g.count}
 }
 
-// reportLoop takes load reports; readers get them late.
+// reportLoop records load reports, which readers get with a delay of ReportLag.
 func (e *Engine) reportLoop(ctx context.Context) {
 	const every = 100 * time.Millisecond
 	for sleep(ctx, every) {
@@ -292,14 +293,14 @@
 	}
 }
 
-// Running returns how many generations run or wait.
+// Running returns the number of generations that run or wait.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.core.Running() + e.core.Waiting()
 }
 
-// Refused returns how many jobs were not taken.
+// Refused returns the number of rejected jobs.
 func (e *Engine) Refused() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -7,8 +7,8 @@
 	"petrelstep/wire"
 )
 
-// Fault puts a fault into the engine: kill, reclaim, freeze, or none to end a
-// freeze. A killed engine starts anew, empty, after the fault's delay.
+// Fault injects a fault into the engine: kill, reclaim, freeze, or none to end a freeze. A
+// killed engine restarts empty after the fault's delay.
 func (e *Engine) Fault(f wire.Fault) {
 	delay := time.Duration(f.DelayMs) * time.Millisecond
 	switch f.Mode {
@@ -25,14 +25,14 @@
 	}
 }
 
-// Leave makes the engine finish what it has and take nothing new.
+// Leave makes the engine finish its generations and accept no new ones.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// reclaim makes the engine take no more orders: it is the platform's now.
+// reclaim makes the engine reject orders, because the platform has taken it back.
 func (e *Engine) reclaim() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -46,7 +46,7 @@
 	e.core.Clear()
 	for _, g := range e.generations {
 		if g.why == "" {
-			e.end(g, wire.EngineEndWhyLost)
+			e.finish(g, wire.EngineEndWhyLost)
 		}
 	}
 	e.generations = map[string]*generation{}
@@ -59,7 +59,7 @@
 	e.dead, e.leaving, e.reclaimed = false, false, false
 	e.load.Incarnation = max(e.load.Incarnation+1, int(time.Now().UnixMilli()))
 	e.reports = nil
-	e.nudge()
+	e.wakeUp()
 }
 
 func (e *Engine) freeze(last time.Duration) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// thawed waits while the engine is frozen; false if ctx ended first.
-func (e *Engine) thawed(ctx context.Context) bool {
+// awaitThaw waits while the engine is frozen; it returns false if ctx ended first.
+func (e *Engine) awaitThaw(ctx context.Context) bool {
 	e.mu.Lock()
 	frozen := e.frozen
 	e.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// order carries out an operator's wish; the load takes its time.
+// order executes an operator's order; weights load in the background.
 func (e *Engine) order(o wire.EngineOrder) wire.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,14 +111,14 @@
 	e.leaving = o.Leave
 	e.load.Role = string(o.Role)
 	e.load.Adapters = append([]string{}, o.Adapters...)
-	if o.Model == e.load.Model && o.Version == e.load.Version && (e.load.Ready || e.loading != nil) {
+	if o.Model == e.load.Model && o.Version == e.load.Version && (e.load.Ready || e.cancelLoad != nil) {
 		return wire.OrderAnswer{Accepted: true, Fence: e.load.Fence}
 	}
-	if e.loading != nil {
-		e.loading()
+	if e.cancelLoad != nil {
+		e.cancelLoad()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	e.loading = cancel
+	e.cancelLoad = cancel
 	e.load.Ready, e.load.Model, e.load.Version = false, o.Model, o.Version
 	if o.Model != "" {
 		go e.loadWeights(ctx, o)
@@ -134,6 +134,6 @@
 	defer e.mu.Unlock()
 	if ctx.Err() == nil && e.load.Model == o.Model && e.load.Version == o.Version {
 		e.load.Ready = true
-		e.loading = nil
+		e.cancelLoad = nil
 	}
 }
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -27,17 +27,18 @@
 	r.HandleFunc("/orders", e.serveOrder).Methods(http.MethodPost)
 	r.HandleFunc("/faults", e.serveFault).Methods(http.MethodPost)
 	r.HandleFunc("/history", e.serveHistory).Methods(http.MethodGet)
-	return e.gate(r)
+	return e.requireAlive(r)
 }
 
-// gate lets nothing through while the engine is dead or frozen.
-func (e *Engine) gate(next http.Handler) http.Handler {
+// requireAlive delays calls while the engine is frozen and aborts them while it is dead,
+// except those for faults and the history.
+func (e *Engine) requireAlive(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/faults" || r.URL.Path == "/history" {
 			next.ServeHTTP(w, r)
 			return
 		}
-		if !e.thawed(r.Context()) {
+		if !e.awaitThaw(r.Context()) {
 			return
 		}
 		e.mu.Lock()
@@ -58,7 +59,7 @@
 	}
 	g, ok := e.submit(job)
 	if !ok {
-		// The status says that nothing was started.
+		// 503 means that nothing was started.
 		http.Error(w, "not taken", http.StatusServiceUnavailable)
 		return
 	}
@@ -109,7 +110,7 @@
 			return
 		case <-published:
 		}
-		if !e.thawed(r.Context()) {
+		if !e.awaitThaw(r.Context()) {
 			return
 		}
 	}
@@ -146,7 +147,7 @@
 	events := wire.CacheEvents{Incarnation: e.load.Incarnation, Events: []wire.CacheEvent{}}
 	for _, c := range e.core.Cache().Since(after) {
 		if c.Seq%7 == 0 {
-			continue // engines lose some
+			continue // simulates lost events
 		}
 		events.Events = append(events.Events, wire.CacheEvent{
 			Seq: c.Seq, Stored: c.Stored, Blocks: []string{strconv.FormatUint(c.Block, 16)},
@@ -176,7 +177,8 @@
 
 func (e *Engine) serveHistory(w http.ResponseWriter, _ *http.Request) { answer(w, e.History()) }
 
-// takeWeights waits for the platform's weight store to let the read through.
+// takeWeights waits until the platform's weight store permits the read; it returns false if
+// ctx ended first.
 func takeWeights(ctx context.Context, platform, model string) bool {
 	body := mustJSON(wire.WeightsTake{Model: model})
 	for {
@@ -212,7 +214,7 @@
 func mustJSON(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // only types of this program come here
+		panic(err) // v is always a type of this program
 	}
 	return b
 }
--- a/standin/faultproxy/faultproxy.go
+++ b/standin/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a small TCP relay for tests and the soak: it can cut all
-// connections at once and refuse new ones for a while, hold bytes back one way
-// or both, or delay them, as a broken link does.
+// Package faultproxy is a TCP proxy that simulates a faulty link for tests and the soak:
+// it can cut all connections and refuse new ones for a while, and hold bytes back or
+// delay them in one or both directions.
 package faultproxy
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Way is a direction of bytes through a relay.
+// Way is a direction through the proxy.
 type Way int
 
-// The ways; Both stands for either.
+// The directions.
 const (
 	ToTarget Way = iota
 	FromTarget
@@ -21,176 +21,176 @@
 
 const bufferSize = 16 << 10
 
-// hold is how long bytes of one way are held back.
+// hold says how bytes of one direction are held back.
 type hold struct {
-	until time.Time     // nothing passes before
-	delay time.Duration // that each read is late by
-	ends  time.Time     // of the delay
+	heldUntil  time.Time     // no bytes pass before
+	delay      time.Duration // of each read until delayUntil
+	delayUntil time.Time
 }
 
-// Proxy passes bytes between its own address and a target.
+// Proxy forwards bytes between its own address and a target.
 type Proxy struct {
-	target   string
-	listener net.Listener
-	mu       sync.Mutex
-	open     map[net.Conn]bool // true where it has fallen silent
-	until    time.Time         // until when new connections are refused
-	holds    [2]hold           // by way
-	closed   chan struct{}
-	all      sync.WaitGroup
+	target      string
+	listener    net.Listener
+	mu          sync.Mutex
+	connections map[net.Conn]bool // true if muted
+	refuseUntil time.Time         // new connections are refused before
+	holds       [2]hold           // by direction
+	closed      chan struct{}
+	all         sync.WaitGroup
 }
 
-// New returns a relay to a target, IP:port, on a loopback address of its own.
+// New starts a proxy to a target, IP:port, on a loopback address of its own.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Proxy{target: target, listener: listener, open: map[net.Conn]bool{}, closed: make(chan struct{})}
-	r.all.Go(r.serve)
-	return r, nil
+	p := &Proxy{target: target, listener: listener, connections: map[net.Conn]bool{}, closed: make(chan struct{})}
+	p.all.Go(p.serve)
+	return p, nil
 }
 
-// Address returns the relay's own address.
-func (r *Proxy) Address() string { return r.listener.Addr().String() }
+// Address returns the proxy's own address.
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Retarget sends connections that come from now on to another target.
-func (r *Proxy) Retarget(target string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.target = target
+// Retarget sends new connections to another target.
+func (p *Proxy) Retarget(target string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.target = target
 }
 
-// Cut breaks all connections and refuses new ones for a while.
-func (r *Proxy) Cut(last time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.until = time.Now().Add(last)
-	for c := range r.open {
+// Cut closes all connections and refuses new ones for a while.
+func (p *Proxy) Cut(duration time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.refuseUntil = time.Now().Add(duration)
+	for c := range p.connections {
 		_ = c.Close()
 	}
 }
 
 // Silence holds bytes back for a while; connections stay open.
-func (r *Proxy) Silence(way Way, last time.Duration) {
-	r.hold(way, func(h *hold) { h.until = time.Now().Add(last) })
+func (p *Proxy) Silence(way Way, duration time.Duration) {
+	p.hold(way, func(h *hold) { h.heldUntil = time.Now().Add(duration) })
 }
 
-// Mute lets all connections of today fall silent for good, without an end: what
-// comes on them is lost. New ones work.
-func (r *Proxy) Mute() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for c := range r.open {
-		r.open[c] = true
+// Mute discards all further bytes on the open connections, without closing them. New
+// connections work.
+func (p *Proxy) Mute() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.connections {
+		p.connections[c] = true
 	}
 }
 
-// Delay makes bytes late for a while.
-func (r *Proxy) Delay(way Way, by, last time.Duration) {
-	r.hold(way, func(h *hold) { h.delay, h.ends = by, time.Now().Add(last) })
+// Delay delays bytes for a while.
+func (p *Proxy) Delay(way Way, by, duration time.Duration) {
+	p.hold(way, func(h *hold) { h.delay, h.delayUntil = by, time.Now().Add(duration) })
 }
 
-func (r *Proxy) hold(way Way, set func(*hold)) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i := range r.holds {
+func (p *Proxy) hold(way Way, set func(*hold)) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i := range p.holds {
 		if way == Both || Way(i) == way {
-			set(&r.holds[i])
+			set(&p.holds[i])
 		}
 	}
 }
 
-// Close ends the relay.
-func (r *Proxy) Close() {
-	_ = r.listener.Close()
-	close(r.closed)
-	r.Cut(time.Hour)
-	r.all.Wait()
+// Close ends the proxy.
+func (p *Proxy) Close() {
+	_ = p.listener.Close()
+	close(p.closed)
+	p.Cut(time.Hour)
+	p.all.Wait()
 }
 
-func (r *Proxy) serve() {
+func (p *Proxy) serve() {
 	for {
-		in, err := r.listener.Accept()
+		in, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		r.mu.Lock()
-		target := r.target
-		r.mu.Unlock()
+		p.mu.Lock()
+		target := p.target
+		p.mu.Unlock()
 		out, err := net.Dial("tcp", target)
-		if err != nil || !r.keep(in, out) {
+		if err != nil || !p.register(in, out) {
 			_ = in.Close()
 			if out != nil {
 				_ = out.Close()
 			}
 			continue
 		}
-		r.all.Go(func() { r.pass(in, out, ToTarget) })
-		r.all.Go(func() { r.pass(out, in, FromTarget) })
+		p.all.Go(func() { p.forward(in, out, ToTarget) })
+		p.all.Go(func() { p.forward(out, in, FromTarget) })
 	}
 }
 
-func (r *Proxy) keep(conns ...net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if time.Now().Before(r.until) {
+func (p *Proxy) register(conns ...net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if time.Now().Before(p.refuseUntil) {
 		return false
 	}
 	for _, c := range conns {
-		r.open[c] = false
+		p.connections[c] = false
 	}
 	return true
 }
 
-// pass copies one way; when it ends, both ends are closed.
-func (r *Proxy) pass(from, to net.Conn, way Way) {
+// forward copies bytes of one direction until an error, then closes both connections.
+func (p *Proxy) forward(from, to net.Conn, way Way) {
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && r.wait(way) && !r.muted(from) {
+		if n > 0 && p.wait(way) && !p.muted(from) {
 			_, err = to.Write(buf[:n])
 		}
 		if err != nil {
-			break // io.EOF, or a cut, which is no error here
+			break // io.EOF, or a connection cut on purpose
 		}
 	}
-	if r.muted(from) {
-		<-r.closed // the other end hears of no end either
+	if p.muted(from) {
+		<-p.closed // keep the other connection open too
 	}
 	_ = from.Close()
 	_ = to.Close()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.open, from)
-	delete(r.open, to)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.connections, from)
+	delete(p.connections, to)
 }
 
-func (r *Proxy) muted(c net.Conn) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.open[c]
+func (p *Proxy) muted(c net.Conn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.connections[c]
 }
 
-// wait holds bytes of one way back; it reports false once the relay is closed.
-func (r *Proxy) wait(way Way) bool {
+// wait holds bytes of one direction back; it returns false once the proxy is closed.
+func (p *Proxy) wait(way Way) bool {
 	for {
-		r.mu.Lock()
-		h := r.holds[way]
-		r.mu.Unlock()
-		late := time.Until(h.until)
-		if late <= 0 && time.Now().Before(h.ends) {
-			late = h.delay
+		p.mu.Lock()
+		h := p.holds[way]
+		p.mu.Unlock()
+		delay := time.Until(h.heldUntil)
+		if delay <= 0 && time.Now().Before(h.delayUntil) {
+			delay = h.delay
 		}
-		if late <= 0 {
+		if delay <= 0 {
 			return true
 		}
 		select {
-		case <-time.After(late):
-		case <-r.closed:
+		case <-time.After(delay):
+		case <-p.closed:
 			return false
 		}
-		if h.until.Before(time.Now()) {
+		if h.heldUntil.Before(time.Now()) {
 			return true
 		}
 	}
--- a/standin/heapsize/heapsize.go
+++ b/standin/heapsize/heapsize.go
@@ -1,9 +1,9 @@
-// Package heapsize measures how much memory a state takes, for benchmarks.
+// Package heapsize measures the heap in use, for benchmarks.
 package heapsize
 
 import "runtime"
 
-// Used returns the bytes in use after a collection.
+// Used returns the heap bytes in use after a garbage collection.
 func Used() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/standin/platform/direct.go
+++ b/standin/platform/direct.go
@@ -8,30 +8,30 @@
 	"petrelstep/wire"
 )
 
-// Direct is the table without a network, for tests in virtual time. Faults
-// strike it as they strike the table behind HTTP.
+// Direct gives access to the table without a network, for tests in virtual time. Faults
+// affect it as they affect the table behind HTTP.
 type Direct struct{ platform *Platform }
 
-// Direct returns the table without a network.
+// Direct returns access to the table without a network.
 func (p *Platform) Direct() *Direct { return &Direct{platform: p} }
 
-// DownError is the cause of a call that a fault struck.
+// DownError is the cause of a call's failure by an injected fault.
 type DownError struct{}
 
 // Error implements error.
-func (*DownError) Error() string { return "struck by a fault" }
+func (*DownError) Error() string { return "injected fault" }
 
-// Get reads one row.
+// Get returns one row.
 func (d *Direct) Get(ctx context.Context, key string) (wire.Row, error) {
-	if err := d.struck(ctx, func() {}); err != nil {
+	if err := d.applyFault(ctx, func() {}); err != nil {
 		return wire.Row{}, err
 	}
 	return d.platform.Get(key), nil
 }
 
-// Scan reads the rows whose keys begin with prefix and lie after a key.
+// Scan returns the rows whose keys begin with prefix and lie after a key.
 func (d *Direct) Scan(ctx context.Context, prefix, after string) ([]wire.Row, error) {
-	if err := d.struck(ctx, func() {}); err != nil {
+	if err := d.applyFault(ctx, func() {}); err != nil {
 		return nil, err
 	}
 	return d.platform.Scan(prefix, after), nil
@@ -40,23 +40,23 @@
 // Transact applies the writes if all checks hold.
 func (d *Direct) Transact(ctx context.Context, tx wire.Transaction) (wire.TransactionAnswer, error) {
 	effect := func() { d.platform.Transact(tx) }
-	if err := d.struckBy(ctx, TableWrites, effect); err != nil {
+	if err := d.applyComponentFault(ctx, TableWrites, effect); err != nil {
 		return wire.TransactionAnswer{}, err
 	}
-	if err := d.struck(ctx, effect); err != nil {
+	if err := d.applyFault(ctx, effect); err != nil {
 		return wire.TransactionAnswer{}, err
 	}
 	return d.platform.Transact(tx), nil
 }
 
-// struck lets a fault strike a call; effect is what the call does when only
-// its reply is lost.
-func (d *Direct) struck(ctx context.Context, effect func()) error {
-	return d.struckBy(ctx, Table, effect)
+// applyFault applies the table's fault to a call; effect is the call's effect, which takes
+// place if only its reply is lost.
+func (d *Direct) applyFault(ctx context.Context, effect func()) error {
+	return d.applyComponentFault(ctx, Table, effect)
 }
 
-func (d *Direct) struckBy(ctx context.Context, part string, effect func()) error {
-	mode, delay := d.platform.struck(part)
+func (d *Direct) applyComponentFault(ctx context.Context, component string, effect func()) error {
+	mode, delay := d.platform.nextFault(component)
 	switch mode {
 	case wire.FaultModeDown:
 		return &store.Error{Call: Table, NoEffect: true, Err: &DownError{}}
--- a/standin/platform/http.go
+++ b/standin/platform/http.go
@@ -17,17 +17,17 @@
 	r.HandleFunc("/api/rows-tx", p.serveTx).Methods(http.MethodPost)
 	r.HandleFunc("/api/rows-get", p.serveGet).Methods(http.MethodGet)
 	r.HandleFunc("/api/rows-feed", p.serveFeed).Methods(http.MethodGet)
-	r.Handle("/objects/{name:.*}", p.struckBy(Objects, p.serveObject)).Methods(http.MethodGet, http.MethodPut)
-	r.Handle("/weights/take", p.struckBy(Weights, p.serveWeights)).Methods(http.MethodPost)
+	r.Handle("/objects/{name:.*}", p.withFault(Objects, p.serveObject)).Methods(http.MethodGet, http.MethodPut)
+	r.Handle("/weights/take", p.withFault(Weights, p.serveWeights)).Methods(http.MethodPost)
 	r.HandleFunc("/faults", p.serveFault).Methods(http.MethodPost)
 	return r
 }
 
-// struckBy lets the part's fault strike a call: before it for down, after it
-// for a lost reply.
-func (p *Platform) struckBy(part string, serve http.HandlerFunc) http.Handler {
+// withFault applies a component's fault to a call: before it for down, after it for a lost
+// reply.
+func (p *Platform) withFault(component string, serve http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		mode, delay := p.struck(part)
+		mode, delay := p.nextFault(component)
 		switch mode {
 		case wire.FaultModeDown:
 			http.Error(w, "out of service", http.StatusServiceUnavailable)
@@ -42,7 +42,7 @@
 	})
 }
 
-// discard takes an answer that nobody gets.
+// discard discards a response.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header         { return d.header }
--- a/standin/platform/operator.go
+++ b/standin/platform/operator.go
@@ -17,15 +17,15 @@
 	Attempts   int
 }
 
-// Manifest is what the operator declares. Services are "llm", whose workers are
-// engines, and any others that routes name.
+// Manifest is the operator's configuration. Its services are "llm", whose workers are
+// engines, and all others that routes refer to.
 type Manifest struct {
 	Version int
 	Routes  []Route
 	Keys    map[string][]string // by organisation
 }
 
-// Declare writes a manifest as the operator does.
+// Declare writes a manifest as the operator would.
 func (p *Platform) Declare(m Manifest) {
 	routes := []map[string]any{}
 	services := []map[string]any{{"name": "llm", "engine": map[string]any{"slots": 24, "kv_capacity_tokens": 30000, "moves": true, "stride": 4}}}
@@ -56,17 +56,17 @@
 	})
 }
 
-// Worker is a worker's own row.
+// Worker holds the fields of a worker's row.
 type Worker struct {
 	ID        string
 	Service   string
 	Address   string
 	Hall      string
 	Leaving   bool
-	StartedAt int64 // Unix milliseconds of its start; 0 for a worker that says nothing of it
+	StartedAt int64 // Unix milliseconds; 0 for a worker that doesn't announce its start time
 }
 
-// Announce writes a worker's row as the worker does.
+// Announce writes a worker's row as the worker would.
 func (p *Platform) Announce(w Worker) {
 	state := "ready"
 	if w.Leaving {
@@ -84,15 +84,15 @@
 // Withdraw removes a worker's row.
 func (p *Platform) Withdraw(id string) { p.Remove(store.Row{Table: "servers", Key: id}) }
 
-// PutRow writes a row among those of workers as another writer does.
+// PutRow writes a raw row to the workers' table, as another writer would.
 func (p *Platform) PutRow(id string, value []byte) {
 	p.Put(store.Row{Table: "servers", Key: id, Value: value})
 }
 
-// Evacuate says that a hall's workers are to get nothing new, as the operator does.
+// Evacuate writes the operator's order that a hall's workers get no new requests.
 func (p *Platform) Evacuate(hall string) { p.put("op", "evacuate/"+hall, map[string]any{}) }
 
-// CancelEvacuation takes an evacuation back.
+// CancelEvacuation removes that order.
 func (p *Platform) CancelEvacuation(hall string) {
 	p.Remove(store.Row{Table: "op", Key: "evacuate/" + hall})
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,8 +1,7 @@
-// Package platform is the stand-in for the platform's services: the metadata
-// store's published calls (rows, transactions, the feed of changes), with a
-// list of boxes in it that lags, an object store and a rate-limited weight
-// store. Each can be told to be down, slow, to lose the reply of a write that
-// took effect, to hand out an older state, or to forget its history.
+// Package platform is the stand-in for the platform's services: the metadata store's
+// published calls (rows, transactions, the feed of changes) with a delayed list of boxes,
+// an object store, and a rate-limited weight store. Faults make them be down or slow, lose
+// the reply to a write that took effect, return an older state, or drop the history.
 package platform
 
 import (
@@ -18,7 +17,7 @@
 	"petrelstep/wire"
 )
 
-// Parts that faults can strike.
+// Components that faults can be injected into.
 const (
 	Table       = "table"
 	TableWrites = "table_writes" // transactions only
@@ -27,25 +26,26 @@
 	Weights     = "weights"
 )
 
-// Options set up the stand-in.
+// Options configure the stand-in.
 type Options struct {
-	MemberLag       time.Duration
-	WeightsPerSec   float64 // reads let through a second; 0 is no limit
-	WritesPerSecond float64 // transactions let through a second; 0 is no limit
+	MemberLag       time.Duration // age of the list of boxes
+	WeightsPerSec   float64       // reads allowed per second; 0 for no limit
+	WritesPerSecond float64       // transactions allowed per second; 0 for no limit
 }
 
 type fault struct {
-	mode    wire.FaultMode
-	delay   time.Duration
-	left    int
-	limited bool
+	mode      wire.FaultMode
+	delay     time.Duration
+	remaining int
+	limited   bool
 }
 
-// Platform is safe for use by several goroutines.
+// Platform holds the state and the faults of all services. It is safe for use by several
+// goroutines.
 type Platform struct {
 	mu      sync.Mutex
 	rows    *rowSet
-	old     *rowSet // what the fault "old" hands out
+	oldRows *rowSet // returned to readers under the fault "old"
 	objects map[string][]byte
 	members []memberChange
 	faults  map[string]*fault
@@ -57,9 +57,9 @@
 }
 
 type memberChange struct {
-	at     time.Time
-	member wire.Member
-	gone   bool
+	at      time.Time
+	member  wire.Member
+	removed bool
 }
 
 // New returns an empty platform.
@@ -81,45 +81,45 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Fault puts a fault into a part, for so many calls or until told otherwise.
+// Fault injects a fault into a component, for a number of calls or until it is replaced.
 func (p *Platform) Fault(f wire.Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[f.Part] = &fault{
-		mode: f.Mode, delay: time.Duration(f.DelayMs) * time.Millisecond, left: f.Count, limited: f.Count > 0,
+		mode: f.Mode, delay: time.Duration(f.DelayMs) * time.Millisecond, remaining: f.Count, limited: f.Count > 0,
 	}
 	if f.Mode == wire.FaultModeOld {
-		p.old = p.rows.clone()
+		p.oldRows = p.rows.clone()
 	}
 }
 
-// HandOut makes the table hand out these rows instead of its own to readers,
-// as a replica far behind does.
+// HandOut makes the table return these rows to readers instead of its own, as a replica
+// that lags behind would.
 func (p *Platform) HandOut(rows map[string]wire.Row) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[Table] = &fault{mode: wire.FaultModeOld}
-	p.old = newRowSet()
+	p.oldRows = newRowSet()
 	for key, r := range rows {
-		p.old.apply(store.Transaction{Put: []store.Row{{Table: table.Name, Key: key, Value: table.Encode(r.Version, r.Value)}}})
+		p.oldRows.apply(store.Transaction{Put: []store.Row{{Table: table.Name, Key: key, Value: table.Encode(r.Version, r.Value)}}})
 	}
 }
 
-// struck returns the fault that strikes a call, and counts it.
-func (p *Platform) struck(part string) (wire.FaultMode, time.Duration) {
+// nextFault returns the fault for the next call to a component, and counts the call.
+func (p *Platform) nextFault(component string) (wire.FaultMode, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f, ok := p.faults[part]
-	if !ok || f.limited && f.left == 0 {
+	f, ok := p.faults[component]
+	if !ok || f.limited && f.remaining == 0 {
 		return wire.FaultModeNone, 0
 	}
 	if f.limited {
-		f.left--
+		f.remaining--
 	}
 	return f.mode, f.delay
 }
 
-// Counts returns how many reads and commits the table served.
+// Counts returns the numbers of reads and commits that the table served.
 func (p *Platform) Counts() (reads, commits int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,13 +162,13 @@
 	return p.table().own(key)
 }
 
-// Scan returns those whose keys begin with prefix and lie after a key.
+// Scan returns petrelstep's own rows whose keys begin with prefix and lie after a key.
 func (p *Platform) Scan(prefix, after string) []wire.Row {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
 	rows := []wire.Row{}
-	for _, r := range p.table().in(store.Range{Table: table.Name, From: prefix}) {
+	for _, r := range p.table().inRange(store.Range{Table: table.Name, From: prefix}) {
 		if strings.HasPrefix(r.Key, prefix) && r.Key > after {
 			rows = append(rows, decoded(r))
 		}
@@ -176,27 +176,27 @@
 	return rows
 }
 
-// table returns the state to hand out; the lock is held.
+// table returns the state for readers; the lock is held.
 func (p *Platform) table() *rowSet {
-	if f, ok := p.faults[Table]; ok && f.mode == wire.FaultModeOld && (!f.limited || f.left > 0) {
-		return p.old
+	if f, ok := p.faults[Table]; ok && f.mode == wire.FaultModeOld && (!f.limited || f.remaining > 0) {
+		return p.oldRows
 	}
 	return p.rows
 }
 
-// Join puts a box on the list, or changes its state there.
+// Join adds a box to the list, or updates its state there.
 func (p *Platform) Join(m wire.Member) { p.change(m, false) }
 
-// Leave takes a box off the list.
+// Leave removes a box from the list.
 func (p *Platform) Leave(m wire.Member) { p.change(m, true) }
 
-func (p *Platform) change(m wire.Member, gone bool) {
+func (p *Platform) change(m wire.Member, removed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.members = append(p.members, memberChange{at: time.Now(), member: m, gone: gone})
+	p.members = append(p.members, memberChange{at: time.Now(), member: m, removed: removed})
 }
 
-// List returns the boxes as they were a while ago.
+// List returns the list of boxes as it was MemberLag ago.
 func (p *Platform) List() wire.MemberList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,7 +205,7 @@
 		if time.Since(c.at) < p.lag {
 			break
 		}
-		if c.gone {
+		if c.removed {
 			delete(boxes, c.member.Box)
 			continue
 		}
@@ -219,7 +219,7 @@
 	return list
 }
 
-// TakeWeights asks to read weights from the rate-limited store.
+// TakeWeights requests permission to read weights from the rate-limited store.
 func (p *Platform) TakeWeights(now time.Time) wire.WeightsAnswer {
 	r := p.weights.ReserveN(now, 1)
 	if wait := r.DelayFrom(now); wait > 0 {
@@ -229,5 +229,5 @@
 	return wire.WeightsAnswer{Granted: true}
 }
 
-// mayWrite tells whether the table's rate lets one more transaction through.
+// mayWrite reports whether the rate limit allows one more transaction.
 func (p *Platform) mayWrite(now time.Time) bool { return p.writes.AllowN(now, 1) }
--- a/standin/platform/rows.go
+++ b/standin/platform/rows.go
@@ -12,14 +12,14 @@
 
 type rowKey struct{ table, part, key string }
 
-// rowSet is the state of the metadata store: rows, their versions from one
-// counter, and the changes that the feed tells of. The lock is the owner's.
+// rowSet is the state of the metadata store: rows, versioned by one counter, and the history
+// of changes for the feed. Its owner does the locking.
 type rowSet struct {
-	rows    map[rowKey]store.Row
-	version int64
-	history []store.Row
-	lost    int64 // changes up to this version are forgotten
-	changed chan struct{}
+	rows           map[rowKey]store.Row
+	version        int64
+	history        []store.Row
+	forgottenUntil int64 // changes up to this version are dropped from the history
+	changed        chan struct{}
 }
 
 func newRowSet() *rowSet {
@@ -27,14 +27,14 @@
 }
 
 func (s *rowSet) clone() *rowSet {
-	return &rowSet{rows: maps.Clone(s.rows), version: s.version, history: slices.Clone(s.history), lost: s.lost, changed: make(chan struct{})}
+	return &rowSet{rows: maps.Clone(s.rows), version: s.version, history: slices.Clone(s.history), forgottenUntil: s.forgottenUntil, changed: make(chan struct{})}
 }
 
 func keyOf(r store.Row) rowKey { return rowKey{r.Table, r.Part, r.Key} }
 
-// holds returns the rows of what a transaction expects, as they are, and
-// whether that holds.
-func (s *rowSet) holds(tx store.Transaction) (now []store.Row, ok bool) {
+// expectationsHold reports whether the rows have the versions that a transaction expects,
+// and returns the current rows.
+func (s *rowSet) expectationsHold(tx store.Transaction) (now []store.Row, ok bool) {
 	ok = true
 	for _, e := range tx.Expect {
 		r := s.rows[rowKey{e.Table, e.Part, e.Key}]
@@ -63,8 +63,8 @@
 	s.changed = make(chan struct{})
 }
 
-// in returns the rows of a range by their keys.
-func (s *rowSet) in(r store.Range) []store.Row {
+// inRange returns the rows of a range, sorted by key.
+func (s *rowSet) inRange(r store.Range) []store.Row {
 	rows := []store.Row{}
 	for k, row := range s.rows {
 		if k.table == r.Table && k.part == r.Part && k.key >= r.From && (r.Until == "" || k.key < r.Until) {
@@ -75,10 +75,10 @@
 	return rows
 }
 
-// since returns the changes of a table after a version, and false if they are
-// forgotten.
+// since returns the changes of a table after a version, and false if they are no longer in
+// the history.
 func (s *rowSet) since(name string, version int64) ([]store.Row, bool) {
-	if version < s.lost {
+	if version < s.forgottenUntil {
 		return nil, false
 	}
 	rows := []store.Row{}
@@ -100,7 +100,7 @@
 func decoded(r store.Row) wire.Row {
 	row, err := table.Decode(r)
 	if err != nil {
-		panic(err) // only this package and the table write such rows
+		panic(err) // only this package and package table write such rows
 	}
 	return row
 }
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -11,7 +11,7 @@
 	"petrelstep/wire"
 )
 
-// rowsAnswer is what calls about rows answer.
+// rowsAnswer is the response to all calls for rows.
 type rowsAnswer struct {
 	Rows    []store.Row `json:"rows"`
 	More    bool        `json:"more"`
@@ -19,33 +19,33 @@
 	NowMs   int64       `json:"now_ms"`
 }
 
-// waitMost bounds how long the feed holds an answer back.
-const waitMost = 30 * time.Second
+// maxFeedWait bounds the long poll of the feed.
+const maxFeedWait = 30 * time.Second
 
-// Put writes rows as the platform's operator and workers do.
+// Put writes rows as the platform's operator and workers would.
 func (p *Platform) Put(rows ...store.Row) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rows.apply(store.Transaction{Put: rows})
 }
 
-// Remove removes rows likewise.
+// Remove removes rows as the platform's operator and workers would.
 func (p *Platform) Remove(rows ...store.Row) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rows.apply(store.Transaction{Remove: rows})
 }
 
-// Forget drops the history of changes, so that feeds have to list anew.
+// Forget drops the history of changes, so that the feed's readers have to list all rows again.
 func (p *Platform) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rows.version++
-	p.rows.lost, p.rows.history = p.rows.version, nil
+	p.rows.forgottenUntil, p.rows.history = p.rows.version, nil
 }
 
-// partOf names the part of the platform that faults strike for a table.
-func partOf(table string) string {
+// faultComponent returns the component whose faults apply to a table.
+func faultComponent(table string) string {
 	if table == members.Name {
 		return Members
 	}
@@ -57,16 +57,16 @@
 	if !decode(w, r, &tx) {
 		return
 	}
-	part := Table
+	component := Table
 	if len(tx.Put)+len(tx.Remove) > 0 {
-		part = partOf(append(tx.Put, tx.Remove...)[0].Table)
+		component = faultComponent(append(tx.Put, tx.Remove...)[0].Table)
 	}
 	serve := func(w http.ResponseWriter, _ *http.Request) { p.transact(w, tx) }
-	if part == Members {
-		p.struckBy(Members, serve).ServeHTTP(w, r)
+	if component == Members {
+		p.withFault(Members, serve).ServeHTTP(w, r)
 		return
 	}
-	p.struckBy(TableWrites, p.struckBy(Table, serve).ServeHTTP).ServeHTTP(w, r)
+	p.withFault(TableWrites, p.withFault(Table, serve).ServeHTTP).ServeHTTP(w, r)
 }
 
 func (p *Platform) transact(w http.ResponseWriter, tx store.Transaction) {
@@ -76,7 +76,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, ok := p.rows.holds(tx)
+	now, ok := p.rows.expectationsHold(tx)
 	if !ok {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(http.StatusPreconditionFailed)
@@ -85,12 +85,12 @@
 	}
 	p.rows.apply(tx)
 	p.commits++
-	p.noteMembers(tx)
+	p.recordMembers(tx)
 	answer(w, rowsAnswer{Rows: []store.Row{}, Version: p.rows.version})
 }
 
-// noteMembers keeps the lagging list; the lock is held.
-func (p *Platform) noteMembers(tx store.Transaction) {
+// recordMembers adds a transaction's changes to the delayed list of boxes; the lock is held.
+func (p *Platform) recordMembers(tx store.Transaction) {
 	for _, r := range tx.Put {
 		var m wire.Member
 		if r.Table == members.Name && json.Unmarshal(r.Value, &m) == nil {
@@ -99,7 +99,7 @@
 	}
 	for _, r := range tx.Remove {
 		if r.Table == members.Name {
-			p.members = append(p.members, memberChange{at: time.Now(), member: wire.Member{Box: r.Key}, gone: true})
+			p.members = append(p.members, memberChange{at: time.Now(), member: wire.Member{Box: r.Key}, removed: true})
 		}
 	}
 }
@@ -107,7 +107,7 @@
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	wanted := store.Range{Table: q.Get("table"), Part: q.Get("part"), From: q.Get("from"), Until: q.Get("target_version")}
-	p.struckBy(partOf(wanted.Table), func(w http.ResponseWriter, _ *http.Request) {
+	p.withFault(faultComponent(wanted.Table), func(w http.ResponseWriter, _ *http.Request) {
 		if wanted.Table == members.Name {
 			answer(w, rowsAnswer{Rows: p.memberRows()})
 			return
@@ -116,7 +116,7 @@
 		defer p.mu.Unlock()
 		p.reads++
 		state := p.table()
-		rows := state.in(wanted)
+		rows := state.inRange(wanted)
 		limit, err := strconv.Atoi(q.Get("limit"))
 		more := err == nil && len(rows) > limit
 		if more {
@@ -145,10 +145,10 @@
 		http.Error(w, "watch_after: not a version", http.StatusBadRequest)
 		return
 	}
-	ms, _ := strconv.Atoi(q.Get("wait_ms")) // none is no wait
-	end := time.NewTimer(min(time.Duration(ms)*time.Millisecond, waitMost))
+	ms, _ := strconv.Atoi(q.Get("wait_ms")) // 0 if missing
+	end := time.NewTimer(min(time.Duration(ms)*time.Millisecond, maxFeedWait))
 	defer end.Stop()
-	p.struckBy(Table, func(w http.ResponseWriter, r *http.Request) { p.feed(w, r, q.Get("table"), after, end.C) }).ServeHTTP(w, r)
+	p.withFault(Table, func(w http.ResponseWriter, r *http.Request) { p.feed(w, r, q.Get("table"), after, end.C) }).ServeHTTP(w, r)
 }
 
 func (p *Platform) feed(w http.ResponseWriter, r *http.Request, name string, after int64, end <-chan time.Time) {
--- a/standin/readylog/readylog.go
+++ b/standin/readylog/readylog.go
@@ -1,6 +1,5 @@
-// Package readylog tells when a box under test has opened its addresses. That
-// something answers there is no sign of it: an address that was found free may
-// have been taken by another server since.
+// Package readylog detects from its log when a box under test has opened its addresses.
+// Connecting to them isn't enough: another server may have taken an address that was free.
 package readylog
 
 import (
@@ -9,10 +8,10 @@
 	"sync"
 )
 
-// event is what a box logs once its addresses are open.
+// event begins the line that a box logs once its addresses are open.
 var event = []byte("event=started ")
 
-// Writer passes a box's log on and watches it. It is safe for use by several
+// Writer forwards a box's log and watches it for the event. It is safe for use by several
 // goroutines.
 type Writer struct {
 	out  io.Writer
@@ -20,10 +19,10 @@
 	once sync.Once
 }
 
-// New returns a log that is passed on to out.
+// New returns a writer that forwards the log to out.
 func New(out io.Writer) *Writer { return &Writer{out: out, done: make(chan struct{})} }
 
-// Write implements io.Writer; a line comes in one call.
+// Write implements io.Writer; each call must contain a whole line.
 func (s *Writer) Write(line []byte) (int, error) {
 	if bytes.Contains(line, event) {
 		s.once.Do(func() { close(s.done) })
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is the stand-in plain service: lookups that may be repeated
-// and commits that may not. It keeps a history of what it ran.
+// Package service is the stand-in for a plain service, with calls that may be repeated and
+// calls that may not. It keeps a history of the calls that it ran.
 package service
 
 import (
@@ -20,14 +20,14 @@
 	Token  string // the attempt token that the box sent
 }
 
-// Service is safe for use by several goroutines.
+// Service runs calls and records them. It is safe for use by several goroutines.
 type Service struct {
-	mu      sync.Mutex
-	ran     []Ran
-	mode    wire.FaultMode
-	delay   time.Duration
-	left    int
-	limited bool
+	mu        sync.Mutex
+	ran       []Ran
+	mode      wire.FaultMode
+	delay     time.Duration
+	remaining int
+	limited   bool
 }
 
 // New returns a service without faults.
@@ -40,13 +40,13 @@
 	return append([]Ran{}, s.ran...)
 }
 
-// Fault puts in a fault: down drops calls before they run, lose_reply drops
-// the answer after, slow delays the run.
+// Fault injects a fault: down drops calls before they run, lose_reply drops the response
+// after the run, slow delays the run.
 func (s *Service) Fault(f wire.Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode, s.delay = f.Mode, time.Duration(f.DelayMs)*time.Millisecond
-	s.left, s.limited = f.Count, f.Count > 0
+	s.remaining, s.limited = f.Count, f.Count > 0
 }
 
 func (s *Service) takeFault() (wire.FaultMode, time.Duration) {
@@ -54,8 +54,8 @@
 	defer s.mu.Unlock()
 	mode := s.mode
 	if s.limited && mode != wire.FaultModeNone {
-		s.left--
-		if s.left <= 0 {
+		s.remaining--
+		if s.remaining <= 0 {
 			s.mode = wire.FaultModeNone
 		}
 	}
@@ -83,7 +83,7 @@
 func (s *Service) run(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the call never came whole, so it is not run
+		return // an incomplete call is not run
 	}
 	mode, delay := s.takeFault()
 	if mode == wire.FaultModeDown {
--- a/standin/text/text.go
+++ b/standin/text/text.go
@@ -1,6 +1,6 @@
-// Package text makes the words that stand-in engines answer with. Each token
-// follows from the attempt and its offset alone, so that whoever reads a
-// stream can tell whether all of it comes from one generation.
+// Package text generates the tokens of stand-in engines. Each token depends only on the
+// attempt and the offset, so that a reader can check that all of a stream comes from one
+// generation.
 package text
 
 import (
@@ -20,8 +20,8 @@
 	return words[h%uint64(len(words))] + strconv.FormatUint(h>>56, 16) + " "
 }
 
-// Hash returns the running hash over the first count tokens of an attempt,
-// hexadecimal, as the last event of a stream carries it.
+// Hash returns the hexadecimal hash of an attempt's first count tokens, as the last event
+// of a stream carries it.
 func Hash(attempt string, count int) string {
 	d := xxhash.New()
 	for i := range count {
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,7 +1,6 @@
-// Package worker is the stand-in for the workers of the users' platform, as
-// far as the published calls go that petrelstep makes: requests with plain and
-// streamed answers, reports, and moves of a run's memory. Each fault that the
-// pages name can be put into the next answers.
+// Package worker is the stand-in for the workers of the users' platform. It implements the
+// published calls that petrelstep makes: requests with plain and streamed responses,
+// reports, and moves of a run's memory. Faults can be injected into its next responses.
 package worker
 
 import (
@@ -17,24 +16,24 @@
 	"github.com/gorilla/mux"
 )
 
-// Fault is what befalls one answer.
+// Fault is a fault of one response.
 type Fault string
 
-// The faults of answers.
+// The faults of responses.
 const (
 	None      Fault = ""
-	Full      Fault = "full"       // 503 with the mark that nothing ran
-	Busy      Fault = "busy"       // 503 without it
-	Failure   Fault = "failure"    // its own 500, which counts as run
-	Reset     Fault = "reset"      // the connection is cut before the answer
-	Cut       Fault = "cut"        // in the middle of the answer
-	Unsealed  Fault = "unsealed"   // a success without a seal
-	Foreign   Fault = "foreign"    // the answer to another request
-	Extra     Fault = "extra"      // bytes after the answer's end
-	Unframed  Fault = "unframed"   // no length; ends with its connection
-	NotHTTP   Fault = "not_http"   // bytes that are no answer
-	Early     Fault = "early"      // refused before the body was read
-	LostReply Fault = "lost_reply" // it ran, and its answer is lost
+	Full      Fault = "full"       // 503 with Not-Executed
+	Busy      Fault = "busy"       // 503 without Not-Executed
+	Failure   Fault = "failure"    // the worker's own 500, which counts as run
+	Reset     Fault = "reset"      // connection closed before the response
+	Cut       Fault = "cut"        // connection closed within the response
+	Unsealed  Fault = "unsealed"   // success without a seal
+	Foreign   Fault = "foreign"    // response to another request
+	Extra     Fault = "extra"      // bytes after the response's end
+	Unframed  Fault = "unframed"   // no Content-Length; ends with the connection
+	NotHTTP   Fault = "not_http"   // not an HTTP response
+	Early     Fault = "early"      // rejected before the body was read
+	LostReply Fault = "lost_reply" // run, but the response is lost
 )
 
 // Run is one request that the worker has begun to work on.
@@ -44,138 +43,138 @@
 	Target       string
 	Body         string
 	Organisation string
-	DeadlineMs   int // ms that it was given
+	DeadlineMs   int // 0 if missing
 	From         string
 	After        string
 	Header       http.Header
 	At           time.Time
 }
 
-// Arrival is one request that has reached the worker, and what the answer said.
+// Arrival is one request that has reached the worker, with the announcements in its response.
 type Arrival struct {
 	ID      string
 	At      time.Time
 	Leaving bool
-	Backoff time.Duration // that was asked for as the request was turned away
+	Backoff time.Duration // announced as the request was rejected
 }
 
-type state struct {
-	events  int           // made so far
-	stop    chan struct{} // closed by the last of a move
+type streamState struct {
+	events  int           // generated so far
+	stop    chan struct{} // closed by the last call of a move
 	stopped bool
 }
 
-// Worker is safe for use by several goroutines.
+// Worker is a stand-in worker. It is safe for use by several goroutines.
 type Worker struct {
-	id     string
-	events int
-	pace   time.Duration
-	born   time.Time
+	id        string
+	events    int
+	pace      time.Duration
+	startedAt time.Time
 
-	mu      sync.Mutex
-	faults  []Fault
-	runs    []Run
-	came    []Arrival
-	streams map[string]*state
-	copies  map[string]int // events made, by handle
-	leaving bool           // its report says so
-	says    bool           // its answers do
-	rests   time.Time      // it turns all away until then
-	noRoom  bool
-	limit   string // that its answers name; empty for none
-	endsOn  string // a body; empty for none
-	end     func()
+	mu              sync.Mutex
+	faults          []Fault
+	runs            []Run
+	arrivals        []Arrival
+	streams         map[string]*streamState
+	copies          map[string]int // events generated, by handle
+	leaving         bool           // announced in reports
+	announceLeaving bool           // announced in responses
+	backoffUntil    time.Time      // all requests are rejected until then
+	refuseCopies    bool
+	limit           string // announced in responses; empty for none
+	crashOn         string // body of a request that crashes it; empty for none
+	crash           func()
 }
 
-// New returns a worker with an id, whose streams have so many events, one each
-// pace. One that starts again under its id is made anew.
+// New returns a worker whose streams have the given number of events at an interval of pace.
+// Each incarnation of an id needs a new worker.
 func New(id string, events int, pace time.Duration) *Worker {
-	return &Worker{id: id, events: events, pace: pace, born: time.Now(), streams: map[string]*state{}, copies: map[string]int{}}
+	return &Worker{id: id, events: events, pace: pace, startedAt: time.Now(), streams: map[string]*streamState{}, copies: map[string]int{}}
 }
 
-// StartedAt returns when it started, in Unix milliseconds.
-func (w *Worker) StartedAt() int64 { return w.born.UnixMilli() }
+// StartedAt returns the start time in Unix milliseconds.
+func (w *Worker) StartedAt() int64 { return w.startedAt.UnixMilli() }
 
-// Next puts faults into the answers that come next.
+// Next injects faults into the next responses, one each.
 func (w *Worker) Next(faults ...Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = append(w.faults, faults...)
 }
 
-// Leave makes its report and all its answers say that it leaves.
+// Leave makes the worker announce leaving in its report and all responses.
 func (w *Worker) Leave() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaving, w.says = true, true
+	w.leaving, w.announceLeaving = true, true
 }
 
-// AnnounceLeaving makes its answers say that it leaves, and nothing else.
+// AnnounceLeaving makes the worker announce leaving in its responses only.
 func (w *Worker) AnnounceLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.says = true
+	w.announceLeaving = true
 }
 
-// Backoff lets it turn all away for a time, and ask for as much rest as is left of it.
+// Backoff makes the worker reject all requests for d, with the remaining time in Retry-After.
 func (w *Worker) Backoff(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rests = time.Now().Add(d)
+	w.backoffUntil = time.Now().Add(d)
 }
 
-// Arrivals returns the requests that have reached it.
+// Arrivals returns the requests that have reached the worker.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Arrival(nil), w.came...)
+	return append([]Arrival(nil), w.arrivals...)
 }
 
-// arrive notes a request, and returns for how long it is to be left alone instead.
-func (w *Worker) arrive(id string) (rest time.Duration) {
+// recordArrival records a request, and returns the remaining backoff if it is to be rejected.
+func (w *Worker) recordArrival(id string) (backoff time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	rest = max(w.rests.Sub(now), 0)
-	w.came = append(w.came, Arrival{ID: id, At: now, Leaving: w.says, Backoff: rest})
-	return rest
+	backoff = max(w.backoffUntil.Sub(now), 0)
+	w.arrivals = append(w.arrivals, Arrival{ID: id, At: now, Leaving: w.announceLeaving, Backoff: backoff})
+	return backoff
 }
 
-// RefuseCopies makes it refuse copies.
+// RefuseCopies makes the worker reject copies of runs for lack of memory.
 func (w *Worker) RefuseCopies() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.noRoom = true
+	w.refuseCopies = true
 }
 
-// SetLimit lets its answers name a limit, as it stands; empty for none.
+// SetLimit sets the limit announced in responses, sent unchanged; empty for none.
 func (w *Worker) SetLimit(limit string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limit = limit
 }
 
-// speak puts what the worker says of itself into an answer's head.
-func (w *Worker) speak(out http.ResponseWriter) {
+// writeAnnouncements sets the response headers that announce the limit and leaving.
+func (w *Worker) writeAnnouncements(out http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.limit != "" {
 		out.Header().Set("Server-Limit", w.limit)
 	}
-	if w.says {
+	if w.announceLeaving {
 		out.Header().Set("Server-Leaving", "1")
 	}
 }
 
-// CrashOn lets the worker call end, which is to end it without a word, once it has begun
-// to run a request with a body.
-func (w *Worker) CrashOn(body string, end func()) {
+// CrashOn makes the worker call crash, which has to end it, once it has begun to run a request
+// with the given body.
+func (w *Worker) CrashOn(body string, crash func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.endsOn, w.end = body, end
+	w.crashOn, w.crash = body, crash
 }
 
-// Runs returns what it has worked on.
+// Runs returns the requests that the worker has begun to work on.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,7 +196,7 @@
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.speak(out)
+	w.writeAnnouncements(out)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	state, left := "ready", 0
@@ -213,35 +212,35 @@
 }
 
 func (w *Worker) serveMove(out http.ResponseWriter, r *http.Request) {
-	var ask struct {
+	var call struct {
 		ID   string `json:"id"`
 		Last bool   `json:"last"`
 	}
-	if json.NewDecoder(r.Body).Decode(&ask) != nil {
+	if json.NewDecoder(r.Body).Decode(&call) != nil {
 		http.Error(out, "no JSON", http.StatusBadRequest)
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s, ok := w.streams[ask.ID]
+	s, ok := w.streams[call.ID]
 	switch {
 	case !ok:
 		http.Error(out, "no such run", http.StatusNotFound)
-	case w.noRoom:
+	case w.refuseCopies:
 		http.Error(out, "no room", http.StatusServiceUnavailable)
 	default:
-		if ask.Last && !s.stopped {
+		if call.Last && !s.stopped {
 			s.stopped = true
 			close(s.stop)
 		}
-		handle := "copy-" + ask.ID
+		handle := "copy-" + call.ID
 		w.copies[handle] = s.events
 		writeJSON(out, map[string]any{"session": handle, "made": s.events})
 	}
 }
 
-// fault takes the fault of the next answer.
-func (w *Worker) fault() Fault {
+// takeFault removes and returns the fault of the next response.
+func (w *Worker) takeFault() Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.faults) == 0 {
@@ -259,14 +258,14 @@
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.speak(out)
-	if rest := w.arrive(id); rest > 0 {
-		out.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', 3, 64))
+	w.writeAnnouncements(out)
+	if backoff := w.recordArrival(id); backoff > 0 {
+		out.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', 3, 64))
 		out.Header().Set("Not-Executed", "1")
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	fault := w.fault()
+	fault := w.takeFault()
 	if fault == Full || fault == Early {
 		out.Header().Set("Not-Executed", "1")
 		out.WriteHeader(http.StatusServiceUnavailable)
@@ -276,35 +275,35 @@
 	if err != nil {
 		return
 	}
-	left, _ := strconv.Atoi(r.Header.Get("Deadline-Ms")) // 0 shows that there was none
+	deadline, _ := strconv.Atoi(r.Header.Get("Deadline-Ms")) // 0 if missing
 	w.mu.Lock()
 	w.runs = append(w.runs, Run{
-		ID: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Organisation: r.Header.Get("Tenant"), DeadlineMs: left,
+		ID: id, Method: r.Method, Target: r.RequestURI, Body: string(body), Organisation: r.Header.Get("Tenant"), DeadlineMs: deadline,
 		From: r.Header.Get("Kv-From"), After: r.Header.Get("Last-Event-Id"), Header: r.Header.Clone(),
 		At: time.Now(),
 	})
-	ends := w.endsOn != "" && string(body) == w.endsOn
+	crashes := w.crashOn != "" && string(body) == w.crashOn
 	w.mu.Unlock()
-	if ends {
+	if crashes {
 		time.Sleep(w.pace)
-		w.end()
+		w.crash()
 		panic(http.ErrAbortHandler)
 	}
 	if strings.HasPrefix(r.URL.Path, "/stream/") {
 		w.stream(out, r, id, fault)
 		return
 	}
-	time.Sleep(w.pace) // it works on a whole answer as long as on an event
+	time.Sleep(w.pace) // a plain response takes as long as one event
 	w.whole(out, id, fault)
 }
 
-// whole answers with a body that names the request and the worker.
+// whole sends a plain response that names the request and the worker.
 func (w *Worker) whole(out http.ResponseWriter, id string, fault Fault) {
 	body := "answer to " + id + " by " + w.id
 	head := "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nResponse-Seal: seal-" + w.id + "\r\n"
-	for _, word := range []string{"Server-Limit", "Server-Leaving"} { // in all its answers
-		if said := out.Header().Get(word); said != "" {
-			head += word + ": " + said + "\r\n"
+	for _, name := range []string{"Server-Limit", "Server-Leaving"} { // set by writeAnnouncements
+		if value := out.Header().Get(name); value != "" {
+			head += name + ": " + value + "\r\n"
 		}
 	}
 	length := fmt.Sprintf("Content-Length: %d\r\n\r\n", len(body))
@@ -323,20 +322,20 @@
 	case Reset, LostReply:
 		panic(http.ErrAbortHandler)
 	case Cut:
-		raw(out, head+length+body[:5])
+		writeRaw(out, head+length+body[:5])
 	case Foreign:
-		raw(out, "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: seal\r\n"+length+body)
+		writeRaw(out, "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: seal\r\n"+length+body)
 	case Extra:
-		raw(out, head+length+body+"HTTP/1.1 200 OK\r\nRequest-Id: "+id+"\r\nContent-Length: 5\r\n\r\nextra")
+		writeRaw(out, head+length+body+"HTTP/1.1 200 OK\r\nRequest-Id: "+id+"\r\nContent-Length: 5\r\n\r\nextra")
 	case Unframed:
-		raw(out, head+"Connection: close\r\n\r\n"+body)
+		writeRaw(out, head+"Connection: close\r\n\r\n"+body)
 	case NotHTTP:
-		raw(out, "\x00\x01 what is this\r\n\r\n")
+		writeRaw(out, "\x00\x01 what is this\r\n\r\n")
 	}
 }
 
-// raw writes bytes as they are and closes the connection.
-func raw(out http.ResponseWriter, text string) {
+// writeRaw writes raw bytes to the connection and closes it.
+func writeRaw(out http.ResponseWriter, text string) {
 	conn, _, err := http.NewResponseController(out).Hijack()
 	if err != nil {
 		return
@@ -345,7 +344,7 @@
 	_ = conn.Close()
 }
 
-// stream makes events until all are made or the run is stopped by a move.
+// stream sends events until all are sent or a move stops the run.
 func (w *Worker) stream(out http.ResponseWriter, r *http.Request, id string, fault Fault) {
 	if fault == Reset {
 		panic(http.ErrAbortHandler)
@@ -354,7 +353,7 @@
 	if after, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = after + 1
 	}
-	s := &state{events: first, stop: make(chan struct{})}
+	s := &streamState{events: first, stop: make(chan struct{})}
 	w.mu.Lock()
 	w.streams[id] = s
 	w.mu.Unlock()
@@ -369,7 +368,7 @@
 	for i := first; i < w.events; i++ {
 		select {
 		case <-s.stop:
-			panic(http.ErrAbortHandler) // the stream closes without its end
+			panic(http.ErrAbortHandler) // closes the stream without its end
 		case <-r.Context().Done():
 			return
 		case <-time.After(w.pace):
