--- a/experiment/box.go
+++ b/experiment/box.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	waitMost    = 10 * time.Minute
-	topPriority = 9
-	digestLag   = 500 * time.Millisecond
-	digestLoss  = 0.1
-	// leastSilence is that of reports which come every half second.
-	leastSilence = 3 * time.Second
+	maxWait          = 10 * time.Minute
+	topPriority      = 9
+	announcementLag  = 500 * time.Millisecond
+	announcementLoss = 0.1
+	// minSilence is the value for engines that report every 500 ms.
+	minSilence = 3 * time.Second
 )
 
-// box is one petrelstepd in virtual time: the real decision code, and only
-// what a box would know.
+// box is one petrelstepd in virtual time: the real decision code with only the state that a
+// box would know.
 type box struct {
-	w       *world
-	id      int
-	alive   bool
-	loads   *engineload.Tracker
-	placer  *placement.Placer
-	lengths home.Lengths
-	health  *health.Health
-	home    *home.Home
-	budget  *retry.Budget
-	flying  map[string]*request // dispatched
-	waiting map[string]*request // for a grant
-	avoid   map[string]string   // engine that a request was turned away from
+	w          *world
+	id         int
+	alive      bool
+	loads      *engineload.Tracker
+	placer     *placement.Placer
+	lengths    home.Lengths
+	health     *health.Health
+	home       *home.Home
+	budget     *retry.Budget
+	dispatched map[string]*request // by request id
+	waiting    map[string]*request // for a grant, by request id
+	avoid      map[string]string   // engine that rejected or lost a request, by request id
 }
 
-// oracleLengths reads the length that the oracle put into the class.
+// oracleLengths gives the oracle policy the true length, which it puts into the class.
 type oracleLengths struct{}
 
 func (oracleLengths) Curve(k outputlen.Key) *survival.Curve {
@@ -54,23 +54,23 @@
 func newBox(w *world, id int) *box {
 	b := &box{
 		w: w, id: id, alive: true,
-		loads:   engineload.New(),
-		placer:  placement.New(w.policy.method, rand.New(rand.NewPCG(uint64(id), w.rng.Uint64()))),
-		lengths: outputlen.New(),
-		health:  health.New(),
-		budget:  retry.New(),
-		flying:  map[string]*request{},
-		waiting: map[string]*request{},
-		avoid:   map[string]string{},
+		loads:      engineload.New(),
+		placer:     placement.New(w.policy.method, rand.New(rand.NewPCG(uint64(id), w.rng.Uint64()))),
+		lengths:    outputlen.New(),
+		health:     health.New(),
+		budget:     retry.New(),
+		dispatched: map[string]*request{},
+		waiting:    map[string]*request{},
+		avoid:      map[string]string{},
 	}
 	if w.policy.oracle {
 		b.lengths = oracleLengths{}
 	}
-	b.clearHome()
+	b.resetHome()
 	return b
 }
 
-func (b *box) clearHome() {
+func (b *box) resetHome() {
 	b.home = home.New(b.w.policy.params(), b.lengths, b.health)
 	names := make([]string, engineCount)
 	for i := range names {
@@ -78,20 +78,20 @@
 	}
 	b.home.SetEngines(names)
 	if len(b.w.boxes) == boxCount {
-		b.shareRoom()
+		b.updateShare()
 	}
 }
 
 func (b *box) start() {
-	if b.w.policy.sharing == noGrants {
+	if b.w.policy.sharing == withoutGrants {
 		return
 	}
-	b.w.every(admitEach, b.admit)
-	b.w.every(progressEach, b.progress)
+	b.w.every(admitInterval, b.admit)
+	b.w.every(progressInterval, b.progress)
 }
 
-// homeBox returns the box that grants for this one: the first in the order
-// that it can reach.
+// homeBox returns the box that grants for this one: the first box in order that it can
+// reach.
 func (b *box) homeBox() *box {
 	if b.w.policy.sharing != homeBox {
 		return b
@@ -111,7 +111,7 @@
 		return
 	}
 	b.loads.Report(b.w.now, load)
-	b.health.MarkSeen(b.w.now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, leastSilence)
+	b.health.MarkSeen(b.w.now, load.Engine, load.Incarnation, time.Duration(load.StepUs)*time.Microsecond, minSilence)
 	if load.Leaving {
 		b.health.MarkLeaving(load.Engine, load.Incarnation)
 	}
@@ -128,19 +128,19 @@
 	return outputlen.Key{Organisation: strconv.Itoa(q.organisation), Model: modelName, Class: c}
 }
 
-// take serves a request: straight to an engine, or by way of a grant.
-func (b *box) take(q *request) {
+// accept serves a request: it dispatches it to an engine directly or requests a grant.
+func (b *box) accept(q *request) {
 	q.box = b
-	if b.w.policy.sharing == noGrants {
+	if b.w.policy.sharing == withoutGrants {
 		b.place(q, 0)
 		return
 	}
 	expected := b.lengths.Curve(b.key(q)).Mean() + float64(q.prompt)
-	if expected <= float64(b.w.policy.short) {
+	if expected <= float64(b.w.policy.maxUngranted) {
 		b.place(q, topPriority)
 		return
 	}
-	b.ask(q)
+	b.requestGrant(q)
 }
 
 func (b *box) place(q *request, priority int) {
@@ -154,7 +154,7 @@
 	}
 	i := b.placer.Pick(views)
 	if i < 0 {
-		b.w.after(time.Second, func() { b.retake(q) })
+		b.w.after(time.Second, func() { b.retryPlacement(q) })
 		return
 	}
 	b.health.RecordDispatch(b.w.now, views[i].Engine)
@@ -162,40 +162,40 @@
 	b.w.dispatch(b, q, views[i].Engine, priority)
 }
 
-func (b *box) retake(q *request) {
-	if b.alive && !q.over {
-		b.take(q)
+func (b *box) retryPlacement(q *request) {
+	if b.alive && !q.finished {
+		b.accept(q)
 	}
 }
 
-func (b *box) ask(q *request) {
+func (b *box) requestGrant(q *request) {
 	b.waiting[q.id] = q
 	to := b.homeBox()
-	q.asked = to
+	q.grantor = to
 	if to != b {
-		b.w.message(askBytes)
+		b.w.message(grantRequestBytes)
 	}
-	b.w.after(b.linkTo(to), func() {
-		if q.over || q.asked != to || !to.alive || q.granted {
+	b.w.after(b.latencyTo(to), func() {
+		if q.finished || q.grantor != to || !to.alive || q.granted {
 			return
 		}
-		if err := to.home.Offer(b.w.now, b.askOf(q)); err != nil {
+		if err := to.home.Offer(b.w.now, b.grantRequest(q)); err != nil {
 			delete(b.waiting, q.id)
-			b.w.fail(q, "wait_too_long")
+			b.w.reject(q, "wait_too_long")
 			return
 		}
 		to.admit()
 	})
 }
 
-func (b *box) linkTo(to *box) time.Duration {
+func (b *box) latencyTo(to *box) time.Duration {
 	if to == b {
 		return 0
 	}
-	return link
+	return linkLatency
 }
 
-func (b *box) askOf(q *request) wire.Ask {
+func (b *box) grantRequest(q *request) wire.Ask {
 	k := b.key(q)
 	prefix := make([]int, len(q.chain))
 	for i, c := range q.chain {
@@ -203,93 +203,93 @@
 	}
 	return wire.Ask{
 		Attempt: q.attempt(), Box: strconv.Itoa(b.id), Organisation: k.Organisation, Model: modelName, Class: k.Class,
-		Prompt: q.prompt, MaxTokens: mostOutput, Weight: 1, Prefix: prefix, WaitMs: int(waitMost.Milliseconds()),
+		Prompt: q.prompt, MaxTokens: maxOutputTokens, Weight: 1, Prefix: prefix, WaitMs: int(maxWait.Milliseconds()),
 		Avoid: []string{b.avoid[q.id]},
 	}
 }
 
-// admit runs a home box's round of grants.
+// admit runs one round of grants if this box is the home box.
 func (b *box) admit() {
 	if !b.isHome() {
 		return
 	}
 	b.home.Sweep(b.w.now)
-	late, _ := b.home.Expired(b.w.now)
-	for _, ask := range late {
-		if q := b.w.byAttempt(ask.Attempt); q != nil {
-			b.w.fail(q, "deadline")
+	expired, _ := b.home.Expired(b.w.now)
+	for _, ask := range expired {
+		if q := b.w.requestByAttempt(ask.Attempt); q != nil {
+			b.w.reject(q, "deadline")
 			delete(q.box.waiting, q.id)
 		}
 	}
 	for _, g := range b.home.Admit(b.w.now) {
-		q := b.w.byAttempt(g.Ask.Attempt)
-		if q == nil || q.asked != b {
+		q := b.w.requestByAttempt(g.Ask.Attempt)
+		if q == nil || q.grantor != b {
 			continue
 		}
 		if q.box != b {
 			b.w.message(grantBytes)
 		}
-		b.w.after(b.linkTo(q.box), func() { q.box.got(q, b, g.Engine) })
+		b.w.after(b.latencyTo(q.box), func() { q.box.receiveGrant(q, b, g.Engine) })
 	}
 }
 
-// got takes a grant; one that comes from a home box since left is settled as
-// never used.
-func (b *box) got(q *request, from *box, engine string) {
-	if !b.alive || q.over || q.asked != from || q.granted || !b.w.reachable(b, from) {
+// receiveGrant dispatches a granted request. A grant from a box that is no longer the
+// request's home box is settled as unused.
+func (b *box) receiveGrant(q *request, from *box, engine string) {
+	if !b.alive || q.finished || q.grantor != from || q.granted || !b.w.reachable(b, from) {
 		from.home.Settle(b.w.now, wire.SettleItem{Attempt: q.attempt(), Ended: true, Cut: true})
 		return
 	}
 	delete(b.waiting, q.id)
 	q.granted = true
-	q.introduced = from
+	q.describedTo = from
 	b.loads.Dispatched(b.w.now, engine, q.prompt)
 	b.announce(engine, q.prompt)
 	b.w.dispatch(b, q, engine, 0)
 }
 
-// announce tells the other boxes of a dispatch, late and not always.
+// announce sends a dispatch to the other boxes, with delay and losses.
 func (b *box) announce(engine string, tokens int) {
-	if b.w.policy.sharing != digests {
+	if b.w.policy.sharing != announcements {
 		return
 	}
 	for _, other := range b.w.boxes {
-		if other == b || b.w.rng.Float64() < digestLoss {
+		if other == b || b.w.rng.Float64() < announcementLoss {
 			continue
 		}
 		at := b.w.now
-		b.w.message(digestBytes)
-		b.w.after(digestLag, func() { other.home.RecordAnnouncement(at, engine, tokens) })
+		b.w.message(announcementBytes)
+		b.w.after(announcementLag, func() { other.home.RecordAnnouncement(at, engine, tokens) })
 	}
 }
 
-// again sends a request that is certain not to have run elsewhere.
-func (b *box) again(q *request, reason, not string) {
-	if q.over || !b.alive {
+// retry dispatches a request again that certainly has not run, avoiding an engine.
+func (b *box) retry(q *request, reason, avoid string) {
+	if q.finished || !b.alive {
 		return
 	}
 	b.settle(q, true, true)
-	delete(b.flying, q.id)
+	delete(b.dispatched, q.id)
 	if !b.budget.Spend() {
-		b.w.fail(q, "retry_budget")
+		b.w.reject(q, "retry_budget")
 		return
 	}
 	b.w.rec.result.Retried[reason]++
 	q.tries++
-	q.granted, q.asked, q.run = false, nil, nil
-	b.avoid[q.id] = not
-	b.take(q)
+	q.granted, q.grantor, q.run = false, nil, nil
+	b.avoid[q.id] = avoid
+	b.accept(q)
 }
 
-func (b *box) ended(q *request, cut bool) {
+func (b *box) finish(q *request, cut bool) {
 	k := b.key(q)
 	if !q.granted || b.w.policy.sharing != homeBox || !b.isHome() {
-		// A home box learns from what is settled; others from their own.
+		// A home box learns from settled items, other boxes from their own generations.
 		b.lengths.Progress(k, 0, q.tokens)
 		b.lengths.End(k, q.tokens, cut)
 	}
 	b.settle(q, true, cut)
-	delete(b.flying, q.id)
+	delete(b.dispatched, q.id)
 	delete(b.avoid, q.id)
 	if !cut {
 		b.budget.Succeeded()
@@ -301,8 +301,8 @@
 		return
 	}
 	items := 0
-	for _, q := range sortedRequests(b.flying) {
-		if q.granted && !q.over {
+	for _, q := range sortedRequests(b.dispatched) {
+		if q.granted && !q.finished {
 			b.settle(q, false, false)
 			items++
 		}
@@ -312,24 +312,24 @@
 	}
 }
 
-// settle tells the home box how a granted generation goes on; a new home box
-// is told all of it.
+// settle reports the progress of a granted generation to the home box; a new home box gets
+// its full description.
 func (b *box) settle(q *request, ended, cut bool) {
 	if !q.granted {
 		return
 	}
 	to := b.homeBox()
 	item := wire.SettleItem{Attempt: q.attempt(), Tokens: q.tokens, Ended: ended, Cut: cut}
-	if q.introduced != to {
+	if q.describedTo != to {
 		k := b.key(q)
 		item.Engine, item.Organisation, item.Model, item.Class = q.engine.name, k.Organisation, modelName, k.Class
-		item.Prompt, item.MaxTokens = q.prompt, mostOutput
-		q.introduced = to
+		item.Prompt, item.MaxTokens = q.prompt, maxOutputTokens
+		q.describedTo = to
 	}
 	if ended && to != b {
 		b.w.message(endBytes)
 	}
-	b.w.after(b.linkTo(to), func() {
+	b.w.after(b.latencyTo(to), func() {
 		if !to.alive {
 			return
 		}
@@ -340,29 +340,29 @@
 	})
 }
 
-// takeUp goes on with a stream whose box is gone.
-func (b *box) takeUp(q *request) {
-	if q.over {
+// resume continues a stream whose box has failed.
+func (b *box) resume(q *request) {
+	if q.finished {
 		return
 	}
 	b.w.rec.result.Retried["resume"]++
 	q.box = b
-	b.flying[q.id] = q
+	b.dispatched[q.id] = q
 }
 
-// reaskFrom asks anew for what waits at a home box that is gone, cut off, or
-// no longer the first in the order.
-func (b *box) reaskFrom(gone *box) {
+// requestGrantsAgain repeats the grant requests that wait at a home box that has failed, is
+// unreachable, or is no longer the first in order.
+func (b *box) requestGrantsAgain(lost *box) {
 	if !b.alive || b.w.policy.sharing != homeBox {
 		return
 	}
 	if b != b.homeBox() {
-		b.clearHome()
+		b.resetHome()
 	}
 	for _, q := range sortedRequests(b.waiting) {
-		if q.asked == gone || q.asked != b.homeBox() {
-			b.ask(q)
+		if q.grantor == lost || q.grantor != b.homeBox() {
+			b.requestGrant(q)
 		}
 	}
-	b.progress() // a new home box is told at once of what is in flight
+	b.progress() // reports the dispatched requests to a new home box at once
 }
--- a/experiment/events.go
+++ b/experiment/events.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// events is a queue of what happens when, in virtual time. Equal times keep
-// the order in which they were put in, so that every run is the same.
+// events is a queue of events in virtual time. Events of equal time run in the order of
+// insertion, so that runs are deterministic.
 type events struct {
 	heap eventHeap
 	seq  uint64
--- a/experiment/faults.go
+++ b/experiment/faults.go
@@ -6,30 +6,30 @@
 	"petrelstep/standin/batch"
 )
 
-func (w *world) strike(f fault) {
+func (w *world) inject(f fault) {
 	switch f.kind {
 	case reclaimEngine:
-		e := w.engines[f.who]
+		e := w.engines[f.target]
 		e.leaving = true
-		w.after(f.last, func() { w.killEngine(e) })
+		w.after(f.duration, func() { w.killEngine(e) })
 	case killEngine:
-		w.killEngine(w.engines[f.who])
+		w.killEngine(w.engines[f.target])
 	case killBox:
-		w.killBox(w.boxes[f.who])
-		w.after(f.last, func() { w.startBox(f.who) })
+		w.killBox(w.boxes[f.target])
+		w.after(f.duration, func() { w.startBox(f.target) })
 	case freezeReports:
 		w.frozen = true
-		w.after(f.last, func() { w.frozen = false })
-	case partBoxes:
-		w.part(f.who)
-		w.after(f.last, func() { w.part(0) })
+		w.after(f.duration, func() { w.frozen = false })
+	case partitionBoxes:
+		w.partition(f.target)
+		w.after(f.duration, func() { w.partition(0) })
 	}
 }
 
 func (w *world) killEngine(e *engine) {
 	e.down = true
 	lost := e.core.Clear()
-	w.after(breakTime, func() {
+	w.after(disconnectTime, func() {
 		for _, r := range lost {
 			w.engineLost(r, e)
 		}
@@ -42,36 +42,36 @@
 
 func (w *world) engineLost(r *batch.Run, e *engine) {
 	q := r.Tag.(*request)
-	if q.run != r || q.over {
+	if q.run != r || q.finished {
 		return
 	}
 	if q.tokens > 0 {
-		// A second generation may not be spliced on: the caller is told at once.
-		q.box.ended(q, true)
-		w.fail(q, "generation_lost")
+		// The stream can't continue with another generation, so the request fails.
+		q.box.finish(q, true)
+		w.reject(q, "generation_lost")
 		return
 	}
-	q.box.again(q, "engine_lost", e.name)
+	q.box.retry(q, "engine_lost", e.name)
 }
 
-// killBox ends a box; its callers come back at others.
+// killBox ends a box; its callers reconnect to other boxes.
 func (w *world) killBox(b *box) {
 	b.alive = false
-	for _, q := range sortedRequests(b.flying) {
+	for _, q := range sortedRequests(b.dispatched) {
 		next := w.anotherBox(b)
-		w.after(takeUpTime, func() { next.takeUp(q) })
+		w.after(reconnectTime, func() { next.resume(q) })
 	}
 	for _, q := range sortedRequests(b.waiting) {
 		next := w.anotherBox(b)
-		w.after(takeUpTime, func() {
+		w.after(reconnectTime, func() {
 			w.rec.result.Retried["box_lost"]++
-			next.take(q)
+			next.accept(q)
 		})
 	}
-	b.flying, b.waiting = map[string]*request{}, map[string]*request{}
-	w.after(breakTime, func() {
+	b.dispatched, b.waiting = map[string]*request{}, map[string]*request{}
+	w.after(disconnectTime, func() {
 		for _, other := range w.boxes {
-			other.reaskFrom(b)
+			other.requestGrantsAgain(b)
 		}
 	})
 }
@@ -81,27 +81,27 @@
 	w.boxes[id].start()
 }
 
-// part cuts the boxes below k from the others; 0 heals the cut.
-func (w *world) part(k int) {
-	w.parted = k
+// partition disconnects the boxes below k from the others; 0 ends the partition.
+func (w *world) partition(k int) {
+	w.partitioned = k
 	for _, b := range w.boxes {
-		b.shareRoom()
+		b.updateShare()
 	}
 	for _, b := range w.boxes {
 		for _, other := range w.boxes {
 			if !w.reachable(b, other) {
-				w.after(suspectTime, func() { b.reaskFrom(other) })
+				w.after(suspectTime, func() { b.requestGrantsAgain(other) })
 			}
 		}
 		if k == 0 {
-			b.reaskFrom(b)
+			b.requestGrantsAgain(b)
 		}
 	}
 }
 
-// shareRoom gives a home box the part of the free memory that the boxes it
-// reaches are of all that the list names.
-func (b *box) shareRoom() {
+// updateShare sets a home box's share of the free memory to the fraction of all boxes that
+// it can reach.
+func (b *box) updateShare() {
 	if b.w.policy.sharing != homeBox {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 func (w *world) reachable(a, b *box) bool {
-	return a.alive && b.alive && (w.parted == 0 || (a.id < w.parted) == (b.id < w.parted))
+	return a.alive && b.alive && (w.partitioned == 0 || (a.id < w.partitioned) == (b.id < w.partitioned))
 }
 
 func sortedRequests(m map[string]*request) []*request {
--- a/experiment/policy.go
+++ b/experiment/policy.go
@@ -11,33 +11,33 @@
 type sharing int
 
 const (
-	noGrants sharing = iota // straight to an engine: the baselines
-	homeBox                 // one box grants for all
-	headroom                // each box spends its part
-	digests                 // each box alone, two looks, told late of the others
+	withoutGrants sharing = iota // direct dispatch to an engine: the baselines
+	homeBox                      // one box grants for all
+	headroom                     // each box grants from a fixed share
+	announcements                // each box grants alone with two choices and delayed announcements of the others
 )
 
 type policy struct {
-	name       string
-	method     placement.Method
-	sharing    sharing
-	deviations float64
-	adaptive   bool
-	gapBound   time.Duration
-	short      int // expected prompt and answer up to which a call passes
-	oracle     bool
+	name         string
+	method       placement.Method
+	sharing      sharing
+	deviations   float64
+	adaptive     bool
+	gapBound     time.Duration
+	maxUngranted int // expected prompt and output tokens up to which no grant is needed
+	oracle       bool
 }
 
 const (
-	usualDeviations = 1.6
-	usualGapBound   = 45 * time.Millisecond
-	usualShort      = 1024
+	defaultDeviations   = 1.6
+	defaultGapBound     = 45 * time.Millisecond
+	defaultMaxUngranted = 1024
 )
 
-func ours(name string, s sharing) policy {
+func forecastPolicy(name string, s sharing) policy {
 	return policy{
-		name: name, method: placement.Forecast, sharing: s, deviations: usualDeviations,
-		adaptive: true, gapBound: usualGapBound, short: usualShort,
+		name: name, method: placement.Forecast, sharing: s, deviations: defaultDeviations,
+		adaptive: true, gapBound: defaultGapBound, maxUngranted: defaultMaxUngranted,
 	}
 }
 
@@ -46,7 +46,8 @@
 	return p
 }
 
-// Policies names all of them, baselines first, ours and the limit last.
+// Policies returns the names of all policies: the baselines first, then petrelstep's variants,
+// and the oracle as the upper limit last.
 func Policies() []string {
 	return []string{
 		"round_robin", "least_requests", "two_choices", "least_memory",
@@ -54,7 +55,7 @@
 	}
 }
 
-// Baselines names those that ours is held against.
+// Baselines returns the names of the policies that petrelstep's are compared with.
 func Baselines() []string { return Policies()[:4] }
 
 var policies = map[string]policy{
@@ -62,10 +63,10 @@
 	"least_requests":      {name: "least_requests", method: placement.LeastRequests},
 	"two_choices":         {name: "two_choices", method: placement.TwoChoices},
 	"least_memory":        {name: "least_memory", method: placement.LeastMemory},
-	"headroom_share":      ours("headroom_share", headroom),
-	"digests_two_choices": ours("digests_two_choices", digests),
-	"forecast":            ours("forecast", homeBox),
-	"oracle":              ours("oracle", homeBox).with(func(p *policy) { p.oracle = true; p.adaptive = false; p.deviations = 1 }),
+	"headroom_share":      forecastPolicy("headroom_share", headroom),
+	"digests_two_choices": forecastPolicy("digests_two_choices", announcements),
+	"forecast":            forecastPolicy("forecast", homeBox),
+	"oracle":              forecastPolicy("oracle", homeBox).with(func(p *policy) { p.oracle = true; p.adaptive = false; p.deviations = 1 }),
 }
 
 func (p policy) params() home.Params {
@@ -75,17 +76,17 @@
 	if p.sharing == headroom {
 		params.Share = 1.0 / boxCount
 	}
-	if p.sharing == digests {
+	if p.sharing == announcements {
 		params.Choices = 2
 	}
 	return params
 }
 
-func (p policy) reportEvery() time.Duration {
+func (p policy) reportInterval() time.Duration {
 	if p.oracle {
-		return admitEach
+		return admitInterval
 	}
-	return reportEvery
+	return defaultReportInterval
 }
 
 func (p policy) lag(home bool) time.Duration {
--- a/experiment/result.go
+++ b/experiment/result.go
@@ -7,58 +7,58 @@
 )
 
 const (
-	// firstBound and gapBound are the bounds beyond which waiting is stall.
-	firstBound = 440 * time.Millisecond
-	gapBound   = 200 * time.Millisecond
+	// Waiting beyond firstTokenBound or gapBound counts as stall.
+	firstTokenBound = 440 * time.Millisecond
+	gapBound        = 200 * time.Millisecond
 
-	histogramMost   = int64(20 * time.Minute / time.Microsecond)
+	histogramMax    = int64(20 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Result is what one run measured.
+// Result holds the measurements of one run.
 type Result struct {
 	Policy      string
 	Requests    int
 	Done        int
-	Tokens      int // of generations that were whole at the end
+	Tokens      int // of completed generations
 	Preemptions int
-	StallMid    float64 // seconds a request
-	StallAll    float64 // seconds a request, the wait for the first token included
-	ShortFirst  float64 // p99 of short calls' first token, seconds
+	StallMid    float64 // seconds per request
+	StallAll    float64 // seconds per request, including the wait for the first token
+	ShortFirst  float64 // p99 of the time to first token of checks and lookups, seconds
 	Gap99       float64 // seconds
 	Gap999      float64 // seconds
-	Fairness    float64 // Jain's index over organisations' served part
+	Fairness    float64 // Jain's index over the organisations' served fractions
 	Refused     map[string]int
 	Retried     map[string]int
-	Messages    int // between boxes, for control
-	Bytes       int // of them, estimated from their encoding
+	Messages    int // control messages between boxes
+	Bytes       int // of control messages, estimated from their encoding
 }
 
 type recorder struct {
-	gaps, shorts *hdrhistogram.Histogram
-	result       Result
-	stallMid     time.Duration
-	stallFirst   time.Duration
-	wanted       [organisations]float64
-	served       [organisations]float64
+	gaps, shortFirst *hdrhistogram.Histogram
+	result           Result
+	stallMid         time.Duration
+	stallFirst       time.Duration
+	wanted           [organisations]float64
+	served           [organisations]float64
 }
 
 func newRecorder(policy string) *recorder {
 	return &recorder{
-		gaps:   hdrhistogram.New(1, histogramMost, histogramDigits),
-		shorts: hdrhistogram.New(1, histogramMost, histogramDigits),
-		result: Result{Policy: policy, Refused: map[string]int{}, Retried: map[string]int{}},
+		gaps:       hdrhistogram.New(1, histogramMax, histogramDigits),
+		shortFirst: hdrhistogram.New(1, histogramMax, histogramDigits),
+		result:     Result{Policy: policy, Refused: map[string]int{}, Retried: map[string]int{}},
 	}
 }
 
-func (r *recorder) first(q *request, wait time.Duration) {
-	r.stallFirst += max(wait-firstBound, 0)
+func (r *recorder) recordFirstToken(q *request, wait time.Duration) {
+	r.stallFirst += max(wait-firstTokenBound, 0)
 	if q.class != draft {
-		_ = r.shorts.RecordValue(wait.Microseconds())
+		_ = r.shortFirst.RecordValue(wait.Microseconds())
 	}
 }
 
-func (r *recorder) gap(d time.Duration) {
+func (r *recorder) recordGap(d time.Duration) {
 	_ = r.gaps.RecordValue(d.Microseconds())
 	if d > gapBound {
 		r.stallMid += d - gapBound
@@ -71,15 +71,16 @@
 	n := float64(max(requests, 1))
 	res.StallMid = r.stallMid.Seconds() / n
 	res.StallAll = (r.stallMid + r.stallFirst).Seconds() / n
-	res.ShortFirst = micros(r.shorts.ValueAtQuantile(99))
-	res.Gap99 = micros(r.gaps.ValueAtQuantile(99))
-	res.Gap999 = micros(r.gaps.ValueAtQuantile(99.9))
-	res.Fairness = r.jain()
+	res.ShortFirst = seconds(r.shortFirst.ValueAtQuantile(99))
+	res.Gap99 = seconds(r.gaps.ValueAtQuantile(99))
+	res.Gap999 = seconds(r.gaps.ValueAtQuantile(99.9))
+	res.Fairness = r.jainIndex()
 	return res
 }
 
-// jain returns Jain's index of the part of its tokens that each organisation got.
-func (r *recorder) jain() float64 {
+// jainIndex returns Jain's fairness index over the fraction of its tokens that each
+// organisation got.
+func (r *recorder) jainIndex() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	for i, wanted := range r.wanted {
 		if wanted == 0 {
@@ -96,4 +97,4 @@
 	return sum * sum / (n * squares)
 }
 
-func micros(v int64) float64 { return float64(v) / 1e6 }
+func seconds(v int64) float64 { return float64(v) / 1e6 }
--- a/experiment/workload.go
+++ b/experiment/workload.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// class is what a request is for; the decisions see it as the caller's word.
+// class is the kind of a request, as declared by its caller.
 type class string
 
 const (
@@ -18,8 +18,7 @@
 
 const organisations = 10
 
-// arrival is one request of a workload. length is hidden from all decisions
-// but the oracle's.
+// arrival is one request of a workload. Only the oracle's decisions know the length.
 type arrival struct {
 	at           time.Duration
 	organisation int
@@ -32,23 +31,23 @@
 
 // mix describes one user's requests.
 type mix struct {
-	checks, lookups float64 // parts of all requests; the rest are drafts
+	checks, lookups float64 // fractions of all requests; the others are drafts
 	promptBase      int     // tokens of a draft's shared template
-	prompt          float64 // median of the rest of a draft's prompt
-	length          float64 // median of a draft
-	spread          float64 // sigma of its logarithm
+	prompt          float64 // median tokens of a draft's prompt beyond the template
+	length          float64 // median output tokens of a draft
+	sigma           float64 // standard deviation of the length's logarithm
 }
 
 var (
-	lothian    = mix{checks: 0.5, lookups: 0.2, promptBase: 512, prompt: 600, length: 1600, spread: 1.0}
-	tunniplaan = mix{checks: 0.45, lookups: 0.35, promptBase: 1024, prompt: 900, length: 2600, spread: 0.9}
+	lothian    = mix{checks: 0.5, lookups: 0.2, promptBase: 512, prompt: 600, length: 1600, sigma: 1.0}
+	tunniplaan = mix{checks: 0.45, lookups: 0.35, promptBase: 1024, prompt: 900, length: 2600, sigma: 0.9}
 )
 
 const (
-	longestDraft = 16_384
-	// mostOutput is the limit that every caller sets: it says nothing of lengths.
-	mostOutput = 32_768
-	blockSize  = 64
+	maxDraftLength = 16_384
+	// maxOutputTokens is the limit that every caller sets, so that it reveals no lengths.
+	maxOutputTokens = 32_768
+	blockSize       = 64
 )
 
 // generate draws a workload; the same seed gives the same arrivals.
@@ -60,7 +59,7 @@
 		factors[i] = math.Exp(0.4 * rng.NormFloat64())
 		shares[i] = 1 / math.Pow(float64(i+1), 1.1)
 	}
-	level(factors, shares)
+	normalise(factors, shares)
 	var all []arrival
 	at := 0.0
 	for {
@@ -77,9 +76,9 @@
 	return all
 }
 
-// level makes the mean factor one, so that seeds differ in who sends what and
-// not in how much there is.
-func level(factors, shares []float64) {
+// normalise scales the weighted mean of the factors to one, so that seeds differ in the
+// organisations' shares but not in the total load.
+func normalise(factors, shares []float64) {
 	sum, weight := 0.0, 0.0
 	for i := range factors {
 		sum += factors[i] * shares[i]
@@ -113,7 +112,7 @@
 	if s.shift > 0 && a.at > s.duration/2 {
 		median *= s.shift
 	}
-	a.length = min(max(int(median*math.Exp(m.spread*rng.NormFloat64())), 16), longestDraft)
+	a.length = min(max(int(median*math.Exp(m.sigma*rng.NormFloat64())), 16), maxDraftLength)
 	template := uint64(a.organisation*8 + rng.IntN(3) + 1)
 	for b := range m.promptBase / blockSize {
 		a.chain = append(a.chain, template<<32|uint64(b))
@@ -127,13 +126,14 @@
 	return s.rate
 }
 
-// organisationAt lets one large organisation send nearly all for a while.
-func (s Scenario) organisationAt(at float64, usual int, rng *rand.Rand) int {
+// organisationAt returns the sender of a request: mostly the largest organisation during its
+// burst, the drawn one otherwise.
+func (s Scenario) organisationAt(at float64, drawn int, rng *rand.Rand) int {
 	total := s.duration.Seconds()
 	if s.largeBurst && at > total/3 && at < total/2 && rng.Float64() < 0.8 {
 		return 0
 	}
-	return usual
+	return drawn
 }
 
 func pick(rng *rand.Rand, shares []float64) int {
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -15,34 +15,34 @@
 	engineCount = 10
 	modelName   = "assessor"
 
-	link         = 1500 * time.Microsecond // one way between halls
-	reportEvery  = 500 * time.Millisecond
-	homeLag      = 500 * time.Millisecond // a home box polls its engines itself
-	boxLag       = time.Second            // the others hear of it with heartbeats
-	progressEach = 6 * time.Second
-	admitEach    = 50 * time.Millisecond
-	settleTime   = 120 * time.Second // after the last arrival
-	breakTime    = 20 * time.Millisecond
-	takeUpTime   = 200 * time.Millisecond // a caller comes back at another box
-	suspectTime  = 1500 * time.Millisecond
-	downTime     = 30 * time.Second
+	linkLatency           = 1500 * time.Microsecond // one way, between halls
+	defaultReportInterval = 500 * time.Millisecond
+	homeLag               = 500 * time.Millisecond // a home box polls its engines itself
+	boxLag                = time.Second            // other boxes get the reports with heartbeats
+	progressInterval      = 6 * time.Second
+	admitInterval         = 50 * time.Millisecond
+	settleTime            = 120 * time.Second // after the last arrival
+	disconnectTime        = 20 * time.Millisecond
+	reconnectTime         = 200 * time.Millisecond // until a caller reconnects to another box
+	suspectTime           = 1500 * time.Millisecond
+	downTime              = 30 * time.Second
 )
 
-// request is one caller's, over all its dispatches.
+// request is a caller's request with all its attempts.
 type request struct {
 	arrival
-	id         string
-	tries      int
-	box        *box
-	arrived    time.Time
-	last       time.Time // token
-	tokens     int
-	run        *batch.Run
-	engine     *engine
-	granted    bool
-	asked      *box // home box that holds it in its queue or granted it
-	over       bool
-	introduced *box
+	id          string
+	tries       int
+	box         *box
+	arrived     time.Time
+	last        time.Time // when the last token was generated
+	tokens      int
+	run         *batch.Run
+	engine      *engine
+	granted     bool
+	grantor     *box // home box that queues or has granted it
+	finished    bool
+	describedTo *box // home box that has its full description
 }
 
 func (q *request) attempt() string { return fmt.Sprintf("%s.%d", q.id, q.tries) }
@@ -58,18 +58,18 @@
 	stepping    bool
 }
 
-// world is one run: the boxes' real decision code against stand-in engines.
+// world is the state of one run: boxes with the real decision code, and stand-in engines.
 type world struct {
 	events
-	policy   policy
-	scenario Scenario
-	rng      *rand.Rand
-	rec      *recorder
-	engines  []*engine
-	boxes    []*box
-	requests []*request
-	frozen   bool
-	parted   int // boxes below it cannot reach the others; 0 is whole
+	policy      policy
+	scenario    Scenario
+	rng         *rand.Rand
+	rec         *recorder
+	engines     []*engine
+	boxes       []*box
+	requests    []*request
+	frozen      bool
+	partitioned int // boxes below it cannot reach the others; 0 for no partition
 }
 
 func newWorld(s Scenario, p policy, seed uint64) *world {
@@ -85,8 +85,7 @@
 	return w
 }
 
-// Run measures one policy in one scenario. The same arguments give the same
-// result.
+// Run measures one policy in one scenario. It is deterministic.
 func Run(s Scenario, policyName string, seed uint64) Result {
 	return newWorld(s, policies[policyName], seed).run(seed)
 }
@@ -100,7 +99,7 @@
 		b.start()
 	}
 	for _, f := range s.faults {
-		w.after(f.at, func() { w.strike(f) })
+		w.after(f.at, func() { w.inject(f) })
 	}
 	for i, a := range generate(s, seed) {
 		q := &request{arrival: a, id: fmt.Sprintf("q%d", i)}
@@ -109,7 +108,7 @@
 		w.after(a.at, func() { w.arrive(q) })
 	}
 	w.runUntil(w.now.Add(s.duration + settleTime))
-	return w.finish()
+	return w.result()
 }
 
 func (w *world) arrive(q *request) {
@@ -118,31 +117,31 @@
 	if !b.alive {
 		b = w.anotherBox(b)
 	}
-	b.take(q)
+	b.accept(q)
 }
 
-func (w *world) anotherBox(not *box) *box {
+func (w *world) anotherBox(except *box) *box {
 	for i := 1; i < boxCount; i++ {
-		b := w.boxes[(not.id+i)%boxCount]
+		b := w.boxes[(except.id+i)%boxCount]
 		if b.alive {
 			return b
 		}
 	}
-	return not
+	return except
 }
 
-// dispatch sends a request to an engine; the answer comes a link later.
+// dispatch sends a request to an engine, which gets it after linkLatency.
 func (w *world) dispatch(b *box, q *request, name string, priority int) {
 	e := w.engineNamed(name)
 	q.engine = e
-	b.flying[q.id] = q
-	w.after(link, func() {
-		if q.over {
+	b.dispatched[q.id] = q
+	w.after(linkLatency, func() {
+		if q.finished {
 			return
 		}
 		if e.down || e.leaving {
-			// Refused before it started: certain, so it may go elsewhere.
-			w.after(link, func() { b.again(q, "never_started", name) })
+			// Rejected before it started, so it may safely run elsewhere.
+			w.after(linkLatency, func() { b.retry(q, "never_started", name) })
 			return
 		}
 		q.run = e.core.Submit(w.now, batch.Job{
@@ -185,45 +184,45 @@
 			return
 		}
 		for _, r := range out {
-			e.w.token(r)
+			e.w.recordToken(r)
 		}
 		for _, r := range ended {
-			e.w.ended(r)
+			e.w.finishRun(r)
 		}
 		e.step()
 	})
 }
 
-func (w *world) token(r *batch.Run) {
+func (w *world) recordToken(r *batch.Run) {
 	q := r.Tag.(*request)
-	if q.run != r || q.over {
+	if q.run != r || q.finished {
 		return
 	}
 	if q.tokens == 0 {
-		w.rec.first(q, w.now.Sub(q.arrived))
+		w.rec.recordFirstToken(q, w.now.Sub(q.arrived))
 	} else {
-		w.rec.gap(w.now.Sub(q.last))
+		w.rec.recordGap(w.now.Sub(q.last))
 	}
 	q.tokens++
 	q.last = w.now
 }
 
-func (w *world) ended(r *batch.Run) {
+func (w *world) finishRun(r *batch.Run) {
 	q := r.Tag.(*request)
-	if q.run != r || q.over {
+	if q.run != r || q.finished {
 		return
 	}
 	w.rec.result.Done++
 	w.rec.result.Tokens += q.tokens
 	w.rec.served[q.organisation] += float64(q.tokens)
-	w.after(link, func() { q.box.ended(q, false) })
-	q.over = true
+	w.after(linkLatency, func() { q.box.finish(q, false) })
+	q.finished = true
 }
 
-// report sends the engine's load to the boxes, late.
+// report sends the engine's load to the boxes at intervals, with the policy's delay.
 func (e *engine) report() {
 	w := e.w
-	w.every(w.policy.reportEvery(), func() {
+	w.every(w.policy.reportInterval(), func() {
 		if e.down || w.frozen {
 			return
 		}
@@ -243,39 +242,38 @@
 	}
 }
 
-func (w *world) finish() Result {
+func (w *world) result() Result {
 	for _, e := range w.engines {
 		w.rec.result.Preemptions += e.core.Preemptions()
 	}
 	for _, q := range w.requests {
-		if q.over {
+		if q.finished {
 			continue
 		}
 		if q.tokens == 0 {
-			w.rec.first(q, w.now.Sub(q.arrived))
+			w.rec.recordFirstToken(q, w.now.Sub(q.arrived))
 			continue
 		}
 		if silent := w.now.Sub(q.last); silent > gapBound {
-			w.rec.gap(silent)
+			w.rec.recordGap(silent)
 		}
 	}
 	return w.rec.finish(len(w.requests))
 }
 
-func (w *world) fail(q *request, reason string) {
-	q.over = true
+func (w *world) reject(q *request, reason string) {
+	q.finished = true
 	w.rec.result.Refused[reason]++
 }
 
-// Bytes on the wire of each message between boxes, as measured by
-// BenchmarkMessages in package peer.
+// Encoded size of each message between boxes, from BenchmarkMessages in package peer.
 const (
-	askBytes      = 166
-	grantBytes    = 47
-	endBytes      = 82 // a settle with one item
-	settleBytes   = 52 // a settle without its items
-	progressBytes = 31 // an item of a settle
-	digestBytes   = 82
+	grantRequestBytes = 166
+	grantBytes        = 47
+	endBytes          = 82 // settle message with one item
+	settleBytes       = 52 // settle message without its items
+	progressBytes     = 31 // one item of a settle message
+	announcementBytes = 82
 )
 
 func (w *world) message(bytes int) {
@@ -283,7 +281,7 @@
 	w.rec.result.Bytes += bytes
 }
 
-func (w *world) byAttempt(attempt string) *request {
+func (w *world) requestByAttempt(attempt string) *request {
 	dot := len(attempt) - 2
 	for dot > 0 && attempt[dot] != '.' {
 		dot--
@@ -293,7 +291,7 @@
 		return nil
 	}
 	q := w.requests[i]
-	if q.attempt() != attempt || q.over {
+	if q.attempt() != attempt || q.finished {
 		return nil
 	}
 	return q
