--- a/soak/checker/announcements.go
+++ b/soak/checker/announcements.go
@@ -96,7 +96,7 @@
 			}
 		}
 		if n > maxInBackoff {
-			violations = append(violations, Violation{Rest, r.ID, fmt.Sprintf("%s announced a backoff of %v to %s and got %d requests", r.Worker, r.Backoff, a.Box, n)})
+			violations = append(violations, Violation{Backoff, r.ID, fmt.Sprintf("%s announced a backoff of %v to %s and got %d requests", r.Worker, r.Backoff, a.Box, n)})
 		}
 	}
 	return violations, counted
--- a/soak/checker/checker.go
+++ b/soak/checker/checker.go
@@ -82,7 +82,7 @@
 	Limits      = "LIMIT"   // a worker got more requests than its announced limit
 	Poison      = "ENDS"    // a poison request crashed too many workers
 	Drain       = "DRAIN"   // a worker got requests long after it had announced leaving to the box
-	Rest        = "REST"    // a worker got requests during a backoff that it had announced to the box
+	Backoff     = "REST"    // a worker got requests during a backoff that it had announced to the box
 )
 
 // Violation is one violated guarantee.
