--- a/soak/faults/faults.go
+++ b/soak/faults/faults.go
@@ -185,7 +185,7 @@
 	box      *site.Box
 	service  string
 	number   int
-	way      faultproxy.Way
+	way      faultproxy.Direction
 	duration time.Duration
 	short    time.Duration // duration, bounded for faults that must be short
 	faults   []worker.Fault
@@ -206,7 +206,7 @@
 func (s *Injector) draw() plan {
 	d := drawnFault{
 		box: s.site.Boxes[s.random.IntN(len(s.site.Boxes))], service: []string{"llm", "llm", "plain"}[s.random.IntN(3)],
-		number: s.random.IntN(1000), way: faultproxy.Way(s.random.IntN(3)),
+		number: s.random.IntN(1000), way: faultproxy.Direction(s.random.IntN(3)),
 		duration: 300*time.Millisecond + time.Duration(s.random.Int64N(int64(maxDuration))), faults: s.drawWorkerFaults(),
 	}
 	d.short = min(d.duration, 2*time.Second)
--- a/standin/faultproxy/faultproxy.go
+++ b/standin/faultproxy/faultproxy.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Way is a direction through the proxy.
-type Way int
+// Direction is a direction through the proxy.
+type Direction int
 
 // The directions.
 const (
-	ToTarget Way = iota
+	ToTarget Direction = iota
 	FromTarget
 	Both
 )
@@ -72,7 +72,7 @@
 }
 
 // Silence holds bytes back for a while; connections stay open.
-func (p *Proxy) Silence(way Way, duration time.Duration) {
+func (p *Proxy) Silence(way Direction, duration time.Duration) {
 	p.hold(way, func(h *hold) { h.heldUntil = time.Now().Add(duration) })
 }
 
@@ -87,15 +87,15 @@
 }
 
 // Delay delays bytes for a while.
-func (p *Proxy) Delay(way Way, by, duration time.Duration) {
+func (p *Proxy) Delay(way Direction, by, duration time.Duration) {
 	p.hold(way, func(h *hold) { h.delay, h.delayUntil = by, time.Now().Add(duration) })
 }
 
-func (p *Proxy) hold(way Way, set func(*hold)) {
+func (p *Proxy) hold(way Direction, set func(*hold)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.holds {
-		if way == Both || Way(i) == way {
+		if way == Both || Direction(i) == way {
 			set(&p.holds[i])
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // forward copies bytes of one direction until an error, then closes both connections.
-func (p *Proxy) forward(from, to net.Conn, way Way) {
+func (p *Proxy) forward(from, to net.Conn, way Direction) {
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
@@ -173,7 +173,7 @@
 }
 
 // wait holds bytes of one direction back; it returns false once the proxy is closed.
-func (p *Proxy) wait(way Way) bool {
+func (p *Proxy) wait(way Direction) bool {
 	for {
 		p.mu.Lock()
 		h := p.holds[way]
