--- a/soak/faults/announcements.go
+++ b/soak/faults/announcements.go
@@ -28,7 +28,7 @@
 		case w == nil || ctx.Err() != nil:
 		case leaving:
 			fmt.Fprintf(s.out, "       %s announces leaving\n", w.ID)
-			if err := s.site.LeaveByAnswers(w, leaveNotice); err != nil {
+			if err := s.site.LeaveInResponses(w, leaveNotice); err != nil {
 				return err
 			}
 		default:
--- a/soak/site/site.go
+++ b/soak/site/site.go
@@ -402,9 +402,9 @@
 	return nil
 }
 
-// LeaveByAnswers starts a replacement, then ends a worker that announces its leaving in its
+// LeaveInResponses starts a replacement, then ends a worker that announces its leaving in its
 // responses only.
-func (s *Site) LeaveByAnswers(w *Worker, notice time.Duration) error {
+func (s *Site) LeaveInResponses(w *Worker, notice time.Duration) error {
 	if err := s.Join(w.Service); err != nil {
 		return err
 	}
