--- a/experiment/box.go
+++ b/experiment/box.go
@@ -106,7 +106,7 @@
 
 func (b *box) isHome() bool { return b.alive && b.homeBox() == b }
 
-func (b *box) report(load wire.EngineLoad) {
+func (b *box) updateLoad(load wire.EngineLoad) {
 	if !b.alive {
 		return
 	}
--- a/experiment/world.go
+++ b/experiment/world.go
@@ -35,7 +35,7 @@
 	tries       int
 	box         *box
 	arrived     time.Time
-	last        time.Time // when the last token was generated
+	lastTokenAt time.Time // when the last token was generated
 	tokens      int
 	run         *batch.Run
 	engine      *engine
@@ -201,10 +201,10 @@
 	if q.tokens == 0 {
 		w.rec.recordFirstToken(q, w.now.Sub(q.arrived))
 	} else {
-		w.rec.recordGap(w.now.Sub(q.last))
+		w.rec.recordGap(w.now.Sub(q.lastTokenAt))
 	}
 	q.tokens++
-	q.last = w.now
+	q.lastTokenAt = w.now
 }
 
 func (w *world) finishRun(r *batch.Run) {
@@ -228,7 +228,7 @@
 		}
 		load := e.load()
 		for _, b := range w.boxes {
-			w.after(w.policy.lag(b.isHome()), func() { b.report(load) })
+			w.after(w.policy.lag(b.isHome()), func() { b.updateLoad(load) })
 		}
 	})
 }
@@ -254,7 +254,7 @@
 			w.rec.recordFirstToken(q, w.now.Sub(q.arrived))
 			continue
 		}
-		if silent := w.now.Sub(q.last); silent > gapBound {
+		if silent := w.now.Sub(q.lastTokenAt); silent > gapBound {
 			w.rec.recordGap(silent)
 		}
 	}
--- a/soak/faults/faults.go
+++ b/soak/faults/faults.go
@@ -182,13 +182,13 @@
 
 // drawnFault holds the random parameters of a fault.
 type drawnFault struct {
-	box      *site.Box
-	service  string
-	number   int
-	way      faultproxy.Direction
-	duration time.Duration
-	short    time.Duration // duration, bounded for faults that must be short
-	faults   []worker.Fault
+	box       *site.Box
+	service   string
+	number    int
+	direction faultproxy.Direction
+	duration  time.Duration
+	short     time.Duration // duration, bounded for faults that must be short
+	faults    []worker.Fault
 }
 
 // onDrawnWorker applies do to the drawn worker, if there is one.
@@ -206,7 +206,7 @@
 func (s *Injector) draw() plan {
 	d := drawnFault{
 		box: s.site.Boxes[s.random.IntN(len(s.site.Boxes))], service: []string{"llm", "llm", "plain"}[s.random.IntN(3)],
-		number: s.random.IntN(1000), way: faultproxy.Direction(s.random.IntN(3)),
+		number: s.random.IntN(1000), direction: faultproxy.Direction(s.random.IntN(3)),
 		duration: 300*time.Millisecond + time.Duration(s.random.Int64N(int64(maxDuration))), faults: s.drawWorkerFaults(),
 	}
 	d.short = min(d.duration, 2*time.Second)
@@ -229,7 +229,7 @@
 		{"reset callers of " + b.Name, 0, func(time.Duration) error { b.Link.Cut(0); return nil }},
 		{"mute the connections of " + b.Name + " to the store", 0, func(time.Duration) error { b.Store.Mute(); return nil }},
 		{"cut the store from " + b.Name, d.duration, forDuration(b.Store.Cut)},
-		{fmt.Sprint("silence the store link of ", b.Name, ", direction ", d.way), d.duration, forDuration(func(duration time.Duration) { b.Store.Silence(d.way, duration) })},
+		{fmt.Sprint("silence the store link of ", b.Name, ", direction ", d.direction), d.duration, forDuration(func(duration time.Duration) { b.Store.Silence(d.direction, duration) })},
 	}
 }
 
@@ -267,9 +267,9 @@
 		{"a worker leaves unannounced: " + d.service, site.Notice, s.onDrawnWorker(d, func(w *site.Worker) error { return s.site.Leave(w, false) })},
 		{"a worker crashes: " + d.service, site.Notice, s.onDrawnWorker(d, s.site.Crash)},
 		{"a worker's row is lost: " + d.service, d.short, s.onDrawnWorker(d, func(w *site.Worker) error { s.site.DropRow(w, d.short); return nil })},
-		{fmt.Sprint("silence a worker of ", d.service, ", direction ", d.way), d.short, s.onDrawnWorker(d, func(w *site.Worker) error {
+		{fmt.Sprint("silence a worker of ", d.service, ", direction ", d.direction), d.short, s.onDrawnWorker(d, func(w *site.Worker) error {
 			w.WhileBroken(func() {
-				w.Link.Silence(d.way, d.short)
+				w.Link.Silence(d.direction, d.short)
 				time.Sleep(d.short)
 			})
 			return nil
--- a/soak/loadgen/loadgen.go
+++ b/soak/loadgen/loadgen.go
@@ -94,8 +94,8 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprint("ends-", n)
 		box := l.site.Boxes[random.IntN(len(l.site.Boxes))]
-		waiting, cancel := context.WithTimeout(context.Background(), patience)
-		l.send(waiting, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.PoisonBody}, l.site.Key("council"), 0)
+		requestCtx, cancel := context.WithTimeout(context.Background(), patience)
+		l.send(requestCtx, client, box, checker.Attempt{ID: id, Kind: checker.Check, Organisation: "council", Target: site.Target(checker.Check, targets), Body: site.PoisonBody}, l.site.Key("council"), 0)
 		cancel()
 		time.Sleep(poisonInterval)
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -95,19 +95,19 @@
 		return Result{}, err
 	}
 	callers, injector := loadgen.New(at, s.Seed, s.Bursts, s.Poison), faults.New(at, s.Seed, s.Out)
-	working, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		callers.Run(working, s.Callers)
+		callers.Run(loadCtx, s.Callers)
 	}()
-	injecting, cancel := context.WithTimeout(ctx, s.Duration)
+	faultCtx, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
 	periods := make(chan []checker.LimitPeriod, 1)
-	go func() { periods <- s.runLimits(injecting, injector) }()
+	go func() { periods <- s.runLimits(faultCtx, injector) }()
 	announced := make(chan error, 1)
-	go func() { announced <- s.runAnnouncements(injecting, injector) }()
-	err = injector.Run(injecting)
+	go func() { announced <- s.runAnnouncements(faultCtx, injector) }()
+	err = injector.Run(faultCtx)
 	announcedLimits := <-periods
 	if err == nil {
 		err = <-announced
--- a/standin/faultproxy/faultproxy.go
+++ b/standin/faultproxy/faultproxy.go
@@ -72,8 +72,8 @@
 }
 
 // Silence holds bytes back for a while; connections stay open.
-func (p *Proxy) Silence(way Direction, duration time.Duration) {
-	p.hold(way, func(h *hold) { h.heldUntil = time.Now().Add(duration) })
+func (p *Proxy) Silence(direction Direction, duration time.Duration) {
+	p.hold(direction, func(h *hold) { h.heldUntil = time.Now().Add(duration) })
 }
 
 // Mute discards all further bytes on the open connections, without closing them. New
@@ -87,15 +87,15 @@
 }
 
 // Delay delays bytes for a while.
-func (p *Proxy) Delay(way Direction, by, duration time.Duration) {
-	p.hold(way, func(h *hold) { h.delay, h.delayUntil = by, time.Now().Add(duration) })
+func (p *Proxy) Delay(direction Direction, by, duration time.Duration) {
+	p.hold(direction, func(h *hold) { h.delay, h.delayUntil = by, time.Now().Add(duration) })
 }
 
-func (p *Proxy) hold(way Direction, set func(*hold)) {
+func (p *Proxy) hold(direction Direction, set func(*hold)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range p.holds {
-		if way == Both || Direction(i) == way {
+		if direction == Both || Direction(i) == direction {
 			set(&p.holds[i])
 		}
 	}
@@ -144,11 +144,11 @@
 }
 
 // forward copies bytes of one direction until an error, then closes both connections.
-func (p *Proxy) forward(from, to net.Conn, way Direction) {
+func (p *Proxy) forward(from, to net.Conn, direction Direction) {
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.wait(way) && !p.muted(from) {
+		if n > 0 && p.wait(direction) && !p.muted(from) {
 			_, err = to.Write(buf[:n])
 		}
 		if err != nil {
@@ -173,10 +173,10 @@
 }
 
 // wait holds bytes of one direction back; it returns false once the proxy is closed.
-func (p *Proxy) wait(way Direction) bool {
+func (p *Proxy) wait(direction Direction) bool {
 	for {
 		p.mu.Lock()
-		h := p.holds[way]
+		h := p.holds[direction]
 		p.mu.Unlock()
 		delay := time.Until(h.heldUntil)
 		if delay <= 0 && time.Now().Before(h.delayUntil) {
