--- a/soak/checker/announcements.go
+++ b/soak/checker/announcements.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxAfterLeaving is how long after a box has passed on a response that announces leaving
-	// its requests may still be sent to the worker.
+	// a caller may still send a request that reaches the worker through the box.
 	maxAfterLeaving = 2 * time.Second
 	// backoffGrace is how long after a response that announces a backoff requests of the same
 	// box begin to count, and maxInBackoff how many may reach the worker until its end.
@@ -38,9 +38,9 @@
 	broken    map[string][]Span // links, by worker
 }
 
-// CheckAnnouncements returns a violation for each request that reached a worker although the
-// worker had announced leaving or a backoff to the box that sent it, and the number of
-// announcements checked. A box that was disrupted meanwhile is excused.
+// CheckAnnouncements checks that boxes stop sending requests to workers that have announced
+// leaving or a backoff to them. It returns the violations and the number of announcements
+// checked. A box that was disrupted meanwhile is excused.
 func (c *Checker) CheckAnnouncements(attempts []Attempt, arrivals []Arrival, disrupted, broken map[string][]Span) (violations []Violation, counted int) {
 	h := announcementCheck{attempts: map[string]Attempt{}, arrivals: arrivals, disrupted: disrupted, broken: broken}
 	for _, a := range attempts {
--- a/soak/checker/limits.go
+++ b/soak/checker/limits.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// limitSettleTime is how long after its first announcement a worker's limit binds all boxes.
+	// limitSettleTime is the time from a worker's first announcement until its limit must be
+	// kept.
 	limitSettleTime = 3 * time.Second
 	// limitWindow is the window in which requests are counted. They may reach limitFactor
 	// times the limit plus limitSlack.
@@ -48,15 +49,15 @@
 	for _, r := range ran {
 		runs[r.Worker] = append(runs[r.Worker], r)
 	}
-	for _, n := range periods {
-		if len(n.Limits) == 0 {
+	for _, p := range periods {
+		if len(p.Limits) == 0 {
 			continue
 		}
-		at := n.countedAt(runs[n.Worker], boxes, disrupted)
+		at := p.countedAt(runs[p.Worker], boxes, disrupted)
 		counted += len(at)
 		for i := range at {
-			if got, allowed := countInWindow(at[i:]), n.allowed(at[i]); float64(got) > allowed {
-				violations = append(violations, Violation{Limits, n.Worker, fmt.Sprintf("%d requests in %v, %.1f allowed", got, limitWindow, allowed)})
+			if got, allowed := countInWindow(at[i:]), p.allowed(at[i]); float64(got) > allowed {
+				violations = append(violations, Violation{Limits, p.Worker, fmt.Sprintf("%d requests in %v, %.1f allowed", got, limitWindow, allowed)})
 				break
 			}
 		}
@@ -66,10 +67,10 @@
 
 // allowed returns the bound for a window: that of the highest limit announced in it, or
 // shortly before it, when boxes may not have received the next one yet.
-func (n LimitPeriod) allowed(from time.Time) float64 {
+func (p LimitPeriod) allowed(from time.Time) float64 {
 	highest := 0.0
-	for i, l := range n.Limits {
-		superseded := i+1 < len(n.Limits) && n.Limits[i+1].At.Before(from.Add(-limitSettleTime))
+	for i, l := range p.Limits {
+		superseded := i+1 < len(p.Limits) && p.Limits[i+1].At.Before(from.Add(-limitSettleTime))
 		if !superseded && l.At.Before(from.Add(limitWindow)) {
 			highest = max(highest, l.PerSecond)
 		}
@@ -78,13 +79,13 @@
 }
 
 // countedAt returns the start times of the runs that count against the limit.
-func (n LimitPeriod) countedAt(runs []Execution, boxes map[string]string, disrupted map[string][]Span) (at []time.Time) {
+func (p LimitPeriod) countedAt(runs []Execution, boxes map[string]string, disrupted map[string][]Span) (at []time.Time) {
 	firstSeen := map[string]time.Time{}
 	slices.SortFunc(runs, func(a, b Execution) int { return a.At.Compare(b.At) })
 	for _, r := range runs {
 		box := boxes[r.ID]
-		since := r.At.Sub(n.Limits[0].At)
-		if r.Incarnation != n.Incarnation || since < 0 || r.At.After(n.Until) {
+		since := r.At.Sub(p.Limits[0].At)
+		if r.Incarnation != p.Incarnation || since < 0 || r.At.After(p.Until) {
 			continue
 		}
 		if excused(r.At, disrupted[box]) {
--- a/soak/loadgen/loadgen.go
+++ b/soak/loadgen/loadgen.go
@@ -61,8 +61,8 @@
 }
 
 // New returns a generator for a site. With bursts, callers overload the plain service at
-// times; with poison, one more caller sends requests that crash workers. Neither changes
-// what a seed draws for the other callers.
+// times; with poison, one more caller sends requests that crash workers. Without them, the
+// seeds recorded before these options existed still give the same requests.
 func New(s *site.Site, seed uint64, bursts, poison bool) *Generator {
 	return &Generator{site: s, seed: seed, bursts: bursts, poison: poison}
 }
