--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -31,8 +31,8 @@
 	RetryIdempotent   = "idempotent_call"
 	RetryMoved        = "moved"
 	RetryConcurrent   = "beside"
-	RetryLeft         = "upstream_left" // the upstream left before the request was sent
-	RetryRests        = "upstream_rests"
+	RetryUpstreamLeft = "upstream_left" // the upstream left before the request was sent
+	RetryBackoff      = "upstream_rests"
 )
 
 // Reasons for ending a response whose caller reads too slowly.
@@ -63,7 +63,7 @@
 
 // RetryReasons lists every reason for a retry.
 func RetryReasons() []string {
-	return []string{RetryNeverStarted, RetryEngineLost, RetryResume, RetryHomeGone, RetryIdempotent, RetryMoved, RetryConcurrent, RetryLeft, RetryRests}
+	return []string{RetryNeverStarted, RetryEngineLost, RetryResume, RetryHomeGone, RetryIdempotent, RetryMoved, RetryConcurrent, RetryUpstreamLeft, RetryBackoff}
 }
 
 // SecondTrySkipReasons lists every reason for skipping a second try.
--- a/relay/check.go
+++ b/relay/check.go
@@ -46,9 +46,9 @@
 func unsentReason(err error) string {
 	switch {
 	case errors.As(err, new(*LeavingError)):
-		return metrics.RetryLeft
+		return metrics.RetryUpstreamLeft
 	case errors.As(err, new(*BackoffError)):
-		return metrics.RetryRests
+		return metrics.RetryBackoff
 	}
 	return metrics.RetryNeverStarted
 }
