--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -112,7 +112,7 @@
 // New assembles a box; nothing runs and no port is open before Run. Work that outlives
 // single requests ends with ctx.
 func New(ctx context.Context, c config.Config, log *logrus.Entry, counts *metrics.Metrics) (*Daemon, error) {
-	k, err := tlscerts.New(tlscerts.Files{Certificate: c.TLS.Certificate, Key: c.TLS.Key, Authority: c.TLS.PeerAuthority})
+	certs, err := tlscerts.New(tlscerts.Files{Certificate: c.TLS.Certificate, Key: c.TLS.Key, Authority: c.TLS.PeerAuthority})
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 		log:             log,
 		timer:           timer.New(),
 		metrics:         counts,
-		certs:           k,
+		certs:           certs,
 		resources:       resource.New(),
 		lengths:         outputlen.New(),
 		loads:           engineload.New(),
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -18,7 +18,7 @@
 const (
 	// maxLoadAge is the age up to which a load report is passed on to peers.
 	maxLoadAge  = 1500 * time.Millisecond
-	callTimeout = 2 * time.Second
+	callTimeout = 2 * time.Second // bounds a call to a peer or to the member list
 	// polledSilence and reportedSilence are how long an engine may be silent before it is
 	// suspect. A home box polls its engines every half second; other boxes receive reports
 	// by heartbeats between halls, of which one may be lost.
@@ -81,8 +81,8 @@
 	for _, l := range from.Loads {
 		d.applyLoad(l, reportedSilence)
 	}
-	for _, gone := range from.GoneUpstreams {
-		name, incarnation, _ := strings.Cut(gone, "@")
+	for _, leaving := range from.GoneUpstreams {
+		name, incarnation, _ := strings.Cut(leaving, "@")
 		if n, err := strconv.Atoi(incarnation); err == nil && n > 0 {
 			d.health.MarkLeaving(name, n)
 		}
--- a/tlscerts/tlscerts.go
+++ b/tlscerts/tlscerts.go
@@ -45,46 +45,46 @@
 
 // New loads the files.
 func New(files Files) (*Reloader, error) {
-	k := &Reloader{files: files}
-	return k, k.Reload()
+	r := &Reloader{files: files}
+	return r, r.Reload()
 }
 
 // Reload loads the files again. After an error the old certificates stay in use.
-func (k *Reloader) Reload() error {
-	if k.files.Certificate == "" {
+func (r *Reloader) Reload() error {
+	if r.files.Certificate == "" {
 		return nil
 	}
-	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
+	certificate, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
 	if err != nil {
-		return &Error{File: k.files.Certificate, Err: err}
+		return &Error{File: r.files.Certificate, Err: err}
 	}
 	s := &state{certificate: certificate}
-	if k.files.Authority != "" {
-		raw, err := os.ReadFile(k.files.Authority)
+	if r.files.Authority != "" {
+		raw, err := os.ReadFile(r.files.Authority)
 		if err != nil {
-			return &Error{File: k.files.Authority, Err: err}
+			return &Error{File: r.files.Authority, Err: err}
 		}
 		s.authority = x509.NewCertPool()
 		if !s.authority.AppendCertsFromPEM(raw) {
-			return &Error{File: k.files.Authority, Err: &NoCertificatesError{}}
+			return &Error{File: r.files.Authority, Err: &NoCertificatesError{}}
 		}
 	}
-	k.current.Store(s)
+	r.current.Store(s)
 	return nil
 }
 
 // Callers returns the server configuration for callers and operators, or nil without TLS.
-func (k *Reloader) Callers() *tls.Config {
-	if k.current.Load() == nil {
+func (r *Reloader) Callers() *tls.Config {
+	if r.current.Load() == nil {
 		return nil
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: k.certificate}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: r.certificate}
 }
 
 // PeerServer returns the server configuration for other boxes, or nil without TLS. Both
 // sides must present a certificate of the authority.
-func (k *Reloader) PeerServer() *tls.Config {
-	s := k.current.Load()
+func (r *Reloader) PeerServer() *tls.Config {
+	s := r.current.Load()
 	if s == nil || s.authority == nil {
 		return nil
 	}
@@ -92,8 +92,8 @@
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			return &tls.Config{
-				MinVersion: tls.VersionTLS13, GetCertificate: k.certificate,
-				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: k.current.Load().authority,
+				MinVersion: tls.VersionTLS13, GetCertificate: r.certificate,
+				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: r.current.Load().authority,
 			}, nil
 		},
 	}
@@ -102,23 +102,23 @@
 // PeerClient returns the client configuration for other boxes, or nil without TLS. Boxes
 // are addressed by IP addresses that change, so a box is verified by a certificate of the
 // authority and not by its name.
-func (k *Reloader) PeerClient() *tls.Config {
-	s := k.current.Load()
+func (r *Reloader) PeerClient() *tls.Config {
+	s := r.current.Load()
 	if s == nil || s.authority == nil {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		InsecureSkipVerify: true, // replaced by VerifyConnection below
-		VerifyConnection:   k.verifyBox,
+		VerifyConnection:   r.verifyBox,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &k.current.Load().certificate, nil
+			return &r.current.Load().certificate, nil
 		},
 	}
 }
 
 // verifyBox checks that a server's certificate is signed by the authority.
-func (k *Reloader) verifyBox(c tls.ConnectionState) error {
+func (r *Reloader) verifyBox(c tls.ConnectionState) error {
 	if len(c.PeerCertificates) == 0 {
 		return &NoCertificatesError{}
 	}
@@ -126,10 +126,10 @@
 	for _, cert := range c.PeerCertificates[1:] {
 		intermediates.AddCert(cert)
 	}
-	_, err := c.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: k.current.Load().authority, Intermediates: intermediates})
+	_, err := c.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: r.current.Load().authority, Intermediates: intermediates})
 	return err
 }
 
-func (k *Reloader) certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-	return &k.current.Load().certificate, nil
+func (r *Reloader) certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	return &r.current.Load().certificate, nil
 }
