--- a/commands/load.go
+++ b/commands/load.go
@@ -96,10 +96,10 @@
 	return &collector{report: loadReport{Endings: map[string]int{}, Reasons: map[string]int{}}, first: h(), gaps: h(), stall: h()}
 }
 
-func (t *collector) add(o client.Outcome) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := &t.report
+func (c *collector) add(o client.Outcome) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := &c.report
 	r.Requests++
 	r.Tokens += o.Tokens
 	r.TakenUp += o.Resumed
@@ -115,21 +115,21 @@
 	}
 	// Durations beyond the histogram's range count as its maximum.
 	stall := max(o.First-firstTokenTarget, 0)
-	_ = t.first.RecordValue(min(o.First.Microseconds(), maxMicros))
+	_ = c.first.RecordValue(min(o.First.Microseconds(), maxMicros))
 	for _, g := range o.Gaps {
-		_ = t.gaps.RecordValue(min(g.Microseconds(), maxMicros))
+		_ = c.gaps.RecordValue(min(g.Microseconds(), maxMicros))
 		stall += max(g-gapTarget, 0)
 	}
-	_ = t.stall.RecordValue(min(stall.Microseconds(), maxMicros))
+	_ = c.stall.RecordValue(min(stall.Microseconds(), maxMicros))
 }
 
-func (t *collector) finish(took time.Duration) loadReport {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	r := t.report
+func (c *collector) finish(took time.Duration) loadReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.report
 	r.Seconds = took.Seconds()
 	r.TokensPerSec = float64(r.Tokens) / took.Seconds()
-	r.FirstMs, r.GapMs, r.StallMs = quantilesOf(t.first), quantilesOf(t.gaps), quantilesOf(t.stall)
+	r.FirstMs, r.GapMs, r.StallMs = quantilesOf(c.first), quantilesOf(c.gaps), quantilesOf(c.stall)
 	return r
 }
 
@@ -146,10 +146,10 @@
 	if c.checkModel == "" {
 		c.checkModel = c.model
 	}
-	t := newCollector()
+	results := newCollector()
 	began := time.Now()
-	c.send(ctx, boxes, t)
-	report := t.finish(time.Since(began))
+	c.send(ctx, boxes, results)
+	report := results.finish(time.Since(began))
 	if code := c.print(report, report.table); code != exitDone {
 		return code
 	}
@@ -160,15 +160,15 @@
 }
 
 // send sends requests at the rate, independent of response times, and waits for all.
-func (c *load) send(ctx context.Context, boxes *client.Client, t *collector) {
+func (c *load) send(ctx context.Context, boxes *client.Client, results *collector) {
 	rng := rand.New(rand.NewPCG(c.seed, 0))
-	stop := c.progress(t)
+	stop := c.progress(results)
 	defer stop()
 	var all sync.WaitGroup
 	end := time.Now().Add(c.duration)
 	for n := 0; time.Now().Before(end); n++ {
 		req := c.request(rng, n)
-		all.Go(func() { t.add(boxes.Generate(ctx, n, req, nil)) })
+		all.Go(func() { results.add(boxes.Generate(ctx, n, req, nil)) })
 		time.Sleep(time.Duration(rng.ExpFloat64() / c.rate * float64(time.Second)))
 	}
 	all.Wait()
@@ -190,7 +190,7 @@
 }
 
 // progress updates a line on a terminal until it is stopped.
-func (c *load) progress(t *collector) func() {
+func (c *load) progress(results *collector) func() {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return func() {}
@@ -205,9 +205,9 @@
 				fmt.Fprintln(os.Stderr)
 				return
 			case <-tick.C:
-				t.mu.Lock()
-				fmt.Fprintf(os.Stderr, "\r%d answered, %d tokens", t.report.Requests, t.report.Tokens)
-				t.mu.Unlock()
+				results.mu.Lock()
+				fmt.Fprintf(os.Stderr, "\r%d answered, %d tokens", results.report.Requests, results.report.Tokens)
+				results.mu.Unlock()
 			}
 		}
 	}()
