--- a/commands/load.go
+++ b/commands/load.go
@@ -215,7 +215,7 @@
 }
 
 func (r loadReport) table(w io.Writer) {
-	fmt.Fprintf(w, "requests %d in %.1f s, tokens %d (%.0f a second), resumed %d, wrong %d\n", r.Requests, r.Seconds, r.Tokens, r.TokensPerSec, r.TakenUp, r.Wrong)
+	fmt.Fprintf(w, "requests %d in %.1f s, tokens %d (%.0f a second), taken up %d, wrong %d\n", r.Requests, r.Seconds, r.Tokens, r.TokensPerSec, r.TakenUp, r.Wrong)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "ms\tp50\tp95\tp99\tp99.9\tmax\t")
 	for _, row := range []struct {
--- a/lossreport/write.go
+++ b/lossreport/write.go
@@ -23,12 +23,12 @@
 // Write prints the report as tables.
 func (l *Report) Write(out io.Writer) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "route\trequests\t%s\tstall_s\n", strings.Join(outcomes, "\t"))
+	fmt.Fprintf(t, "route\tasked\t%s\tstall_s\n", strings.Join(outcomes, "\t"))
 	routes := groupBy(l.requests, func(r request) string { return r.route })
 	for _, g := range routes {
 		fmt.Fprintf(t, "%s\t%d%s\t%.3f\n", g.name, len(g.requests), g.counts(), g.stall())
 	}
-	fmt.Fprintf(t, "\nroute\tphase\tp50_ms\tp90_ms\tp99_ms\tp99.9_ms\tmax_ms\n")
+	fmt.Fprintf(t, "\nroute\twhat\tp50_ms\tp90_ms\tp99_ms\tp99.9_ms\tmost_ms\n")
 	for _, g := range routes {
 		g.writeTimes(t)
 	}
@@ -92,7 +92,7 @@
 		name string
 		of   func(request) time.Duration
 	}{
-		{"wait for capacity", func(r request) time.Duration { return r.queueTime }},
+		{"waited for room", func(r request) time.Duration { return r.queueTime }},
 		{"engine, to the first event", func(r request) time.Duration { return r.engineTime }},
 		{"between events, mean", func(r request) time.Duration { return r.eventInterval }},
 		{"longest pause", func(r request) time.Duration { return r.pause }},
@@ -131,7 +131,7 @@
 	list := groupBy(l.requests, of)
 	missed := func(g group) int { return len(g.requests) - g.count(inTime) }
 	slices.SortStableFunc(list, func(a, b group) int { return cmp.Compare(missed(b), missed(a)) })
-	fmt.Fprintf(out, "\n%s\trequests\t%s\n", label, strings.Join(outcomes, "\t"))
+	fmt.Fprintf(out, "\n%s\tasked\t%s\n", label, strings.Join(outcomes, "\t"))
 	for _, g := range list[:min(len(list), maxWorstRows)] {
 		fmt.Fprintf(out, "%s\t%d%s\n", g.name, len(g.requests), g.counts())
 	}
