--- a/admin/admin.go
+++ b/admin/admin.go
@@ -157,7 +157,7 @@
 	if err := a.resource.Decode(raw, &item); err != nil {
 		var m *schemacheck.Mistakes
 		errors.As(err, &m)
-		return refusal.New(refusal.BadRequest, "the resource does not match the schema").WithPlaces(m.Places)
+		return refusal.New(refusal.BadRequest, "the resource is invalid").WithPlaces(m.Places)
 	}
 	vars := mux.Vars(r)
 	if string(item.Kind) != vars["kind"] || item.Name != vars["name"] {
--- a/balance/places/pick.go
+++ b/balance/places/pick.go
@@ -59,7 +59,7 @@
 	at := p.draw(weights)
 	switch {
 	case at < 0 && usedUp:
-		return picker.Choice{}, refusal.New(refusal.UpstreamLimited, "upstreams of "+s.service.Name+" have exhausted their rate limits").WithRetryAfter(minRetryAfter)
+		return picker.Choice{}, refusal.New(refusal.UpstreamLimited, "upstreams of "+s.service.Name+" are at their rate limits").WithRetryAfter(minRetryAfter)
 	case at < 0 && len(list) > 0:
 		return picker.Choice{}, refusal.New(refusal.UpstreamCold, "upstreams of "+s.service.Name+" are cold").WithRetryAfter(coldRetryAfter)
 	case at < 0:
