--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -57,7 +57,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	w := &world{fleet: f, loads: upstreamload.New(), retryAfter: map[string]time.Duration{}}
-	p := picker.New(picker.Parts{Fleet: f, Loads: w.loads, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
+	p := picker.New(picker.Components{Fleet: f, Loads: w.loads, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	w.picker = p
 	w.Admission = admission.New(p, w.loads, prefill.New(), s, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
 	return w
--- a/admission/largefleet_test.go
+++ b/admission/largefleet_test.go
@@ -48,7 +48,7 @@
 		f.Put(time.Now(), fleet.Upstream{ID: fmt.Sprint("e", i), Service: "llm", Hall: fmt.Sprint("hall", i%6), Slots: slots, State: fleet.Open})
 	}
 	t := upstreamload.New()
-	p := picker.New(picker.Parts{Fleet: f, Loads: t, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "hall0", Random: rand.New(rand.NewPCG(1, 1))})
+	p := picker.New(picker.Components{Fleet: f, Loads: t, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "hall0", Random: rand.New(rand.NewPCG(1, 1))})
 	ranking := &countingRanker{Picker: p}
 	a := admission.New(ranking, t, prefill.New(), nil, rand.New(rand.NewPCG(1, 2)), logs.New(io.Discard, "info", "b"))
 	return &largeFleet{Admission: a, ranking: ranking, loads: t, fleet: f}
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -253,7 +253,7 @@
 			sim.speeds[i] = speeds.New(f, noCount{}, logs.New(io.Discard, "info", "b"))
 		}
 		sim.loads = append(sim.loads, upstreamload.New())
-		sim.pickers = append(sim.pickers, picker.New(picker.Parts{
+		sim.pickers = append(sim.pickers, picker.New(picker.Components{
 			Fleet: f, Loads: sim.loads[i], Reliability: reliability.New(), Prefill: prefillTimes, Speeds: sim.speeds[i], Hall: "leith", Random: rand.New(rand.NewPCG(7, uint64(i))),
 		}))
 	}
--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -74,8 +74,8 @@
 	Placed(outcome string, waited time.Duration)
 }
 
-// Parts are the dependencies of Places.
-type Parts struct {
+// Components are the dependencies of Places.
+type Components struct {
 	Ranker  Ranker
 	Failing func(now time.Time, upstream string) float64 // fraction of recent requests that failed
 	Limits  Limits                                       // nil: no upstream has a limit
@@ -89,7 +89,7 @@
 // Places assigns requests to the upstreams of plain services. It is safe for concurrent
 // use.
 type Places struct {
-	Parts
+	Components
 
 	mu       sync.Mutex // guards Random and the fields below
 	services map[string]*service
@@ -97,8 +97,8 @@
 }
 
 // New returns Places with no state.
-func New(parts Parts) *Places {
-	return &Places{Parts: parts, services: map[string]*service{}, others: peerstate.New[demand]()}
+func New(c Components) *Places {
+	return &Places{Components: c, services: map[string]*service{}, others: peerstate.New[demand]()}
 }
 
 // Request is a request that needs an upstream.
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -138,10 +138,10 @@
 	b := &box{fleet: fleet.New(time.Second), tally: upstreamload.New(), reliability: reliability.New()}
 	b.fleet.Replace(time.Now(), list, 1, false)
 	hall := fmt.Sprint("h", seed%3)
-	b.chooser = picker.New(picker.Parts{
+	b.chooser = picker.New(picker.Components{
 		Fleet: b.fleet, Loads: b.tally, Reliability: b.reliability, Prefill: prefill.New(), Hall: hall, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
-	b.places = places.New(places.Parts{
+	b.places = places.New(places.Components{
 		Ranker: b.chooser, Failing: b.reliability.FailureRate, Counter: noCounter{}, Hall: hall, Random: rand.New(rand.NewPCG(seed, 2)),
 		Log: logs.New(io.Discard, "info", "b"),
 	})
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -232,13 +232,13 @@
 	}
 	warm := warmup.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 5)))
 	e.fleet.OnRestart(e.onRestart(warm))
-	chooser := picker.New(picker.Parts{
+	chooser := picker.New(picker.Components{
 		Fleet: e.fleet, Loads: e.loads, Reliability: e.reliability, Prefill: prefillRate, Hall: e.config.Hall, Speeds: e.speeds,
 		Warmup: warm, Allocation: e.coldShare, Limits: e.limiter, Backoff: e.backoff, Regions: s.Regions,
 		Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 1)),
 	})
 	if e.config.Balances(wire.EdgeBalanceElemPlaces) {
-		e.places = places.New(places.Parts{
+		e.places = places.New(places.Components{
 			Ranker: chooser, Failing: e.reliability.FailureRate, Limits: e.limiter, Counter: e.metrics, Hall: e.config.Hall, Log: e.log,
 			Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 4)),
 		})
@@ -251,7 +251,7 @@
 		Runs: e.runs, OutputLengths: outputlen.New(), Prefill: prefillRate, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, StoreSilence: e.fleetStoreSilence, Log: e.log,
 	})
 	e.callers = callers.New(e.relay, e.maxBodySize, e.draining.Load)
-	e.evacuator = evacuate.New(evacuate.Parts{
+	e.evacuator = evacuate.New(evacuate.Components{
 		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.loads,
 		RecordMove: e.metrics.Moved, Log: e.log, IsLeaving: e.fleet.IsLeaving, AcceptsWork: e.fleet.Takes,
 	})
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -107,12 +107,12 @@
 	log   *logrus.Entry
 }
 
-// Save implements quarantine.Keeper.
+// Save implements quarantine.Store.
 func (k *quarantineStore) Save(fp fingerprint.Fingerprint, upstreams []string) {
 	go k.retry(fp, "keep", func(ctx context.Context) error { return k.table.Put(ctx, fp, upstreams) })
 }
 
-// Delete implements quarantine.Keeper.
+// Delete implements quarantine.Store.
 func (k *quarantineStore) Delete(fp fingerprint.Fingerprint) {
 	go k.retry(fp, "drop", func(ctx context.Context) error { return k.table.Remove(ctx, fp) })
 }
--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -86,8 +86,8 @@
 // Services returns a service of the configuration in force.
 type Services func(name string) (route.Service, bool)
 
-// Parts are the dependencies of an Evacuator.
-type Parts struct {
+// Components are the dependencies of an Evacuator.
+type Components struct {
 	Runs        *runs.Runs
 	Chooser     *picker.Picker
 	Mover       Mover
@@ -102,10 +102,10 @@
 
 // Evacuator moves the runs of one box off leaving upstreams. It is safe for concurrent
 // use.
-type Evacuator struct{ Parts }
+type Evacuator struct{ Components }
 
 // New returns an evacuator.
-func New(parts Parts) *Evacuator { return &Evacuator{parts} }
+func New(c Components) *Evacuator { return &Evacuator{c} }
 
 // Evacuate moves this box's runs off a leaving upstream until none is left, the time is
 // over, or the upstream does not leave after all. Requests that have not been answered
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -168,9 +168,9 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	b := &box{runs: runs.New(), tally: upstreamload.New()}
-	chooser := picker.New(picker.Parts{Fleet: f, Loads: b.tally, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
+	chooser := picker.New(picker.Components{Fleet: f, Loads: b.tally, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	service := route.Service{Name: "llm", Engine: &route.Engine{Slots: 48, Memory: 34000, Moves: true, EventTokens: 4}}
-	b.Evacuator = evacuate.New(evacuate.Parts{
+	b.Evacuator = evacuate.New(evacuate.Components{
 		Runs: b.runs, Chooser: chooser, Mover: mover, Turns: t, Tally: b.tally,
 		Services:   func(string) (route.Service, bool) { return service, true },
 		RecordMove: func(string, time.Duration) {}, Log: logs.New(io.Discard, "info", "b"),
--- a/picker/picker.go
+++ b/picker/picker.go
@@ -59,13 +59,13 @@
 
 // Picker is safe for use by several goroutines.
 type Picker struct {
-	Parts
+	Components
 
 	mu sync.Mutex // guards Random
 }
 
-// Parts are the dependencies of a Picker.
-type Parts struct {
+// Components are the dependencies of a Picker.
+type Components struct {
 	Fleet       *fleet.Fleet
 	Loads       *upstreamload.Tracker
 	Reliability *reliability.Reliability
@@ -81,7 +81,7 @@
 }
 
 // New returns a Picker with the given dependencies.
-func New(parts Parts) *Picker { return &Picker{Parts: parts} }
+func New(c Components) *Picker { return &Picker{Components: c} }
 
 // Limits holds the request rates that upstreams announce.
 type Limits interface {
--- a/picker/picker_test.go
+++ b/picker/picker_test.go
@@ -42,7 +42,7 @@
 	}
 	f.Replace(time.Now(), list, 1, false)
 	tracker := upstreamload.New()
-	return picker.New(picker.Parts{Fleet: f, Loads: tracker, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), tracker
+	return picker.New(picker.Components{Fleet: f, Loads: tracker, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), tracker
 }
 
 // inFourHalls returns the halls of n upstreams, every fourth of them in Leith.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -241,7 +241,7 @@
 	w.reliability = reliability.New()
 	w.relay = relay.New(relay.Components{
 		Routes: w.routes, Fleet: w.fleet, UpstreamLoad: w.load, Reliability: w.reliability, Sender: w.sender, OutputLengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
-		Picker: picker.New(picker.Parts{Fleet: w.fleet, Loads: w.load, Reliability: w.reliability, Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
+		Picker: picker.New(picker.Components{Fleet: w.fleet, Loads: w.load, Reliability: w.reliability, Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
 		Full: func() bool { return w.full },
 		Stopping: func() (relay.Stop, bool) {
 			return relay.Stop{Since: grace - w.exitsIn, Remaining: w.exitsIn, MostBoxes: w.mostBoxes}, w.exitsIn > 0
@@ -425,7 +425,7 @@
 
 // sharePlaces enables the sharing of places among boxes.
 func (w *world) sharePlaces() {
-	w.relay.Places = places.New(places.Parts{
+	w.relay.Places = places.New(places.Components{
 		Ranker: w.relay.Picker, Failing: w.reliability.FailureRate, Counter: w.relay.Metrics, Hall: "leith", Random: rand.New(rand.NewPCG(1, 2)), Log: w.relay.Log,
 	})
 }
