--- a/daemon/run.go
+++ b/daemon/run.go
@@ -312,6 +312,6 @@
 	c := d.config
 	timeout, duration := config.Millis(c.OrderTimeoutMs), config.Millis(c.LeaseMs)
 	holder := c.Box + "@" + time.UnixMilli(int64(d.incarnation)).UTC().Format(time.RFC3339Nano)
-	l := lease.New(d.table, hall, holder, duration, timeout).OnSlept(d.timer.Slept)
+	l := lease.New(d.table, hall, holder, duration, timeout).SetSuspendedSince(d.timer.SuspendedSince)
 	reconcile.New(hall, l, d.resources, d.loads, d.engines, timeout, duration, d.log).Run(ctx, d.timer)
 }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -215,8 +215,8 @@
 		Name: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: e.record.Incarnation, State: members.Live,
 		HubEligible: e.record.Strong,
 	})
-	e.routes.OnSlept(e.slept)
-	e.fleet.OnSlept(e.slept)
+	e.routes.SetSuspendedSince(e.suspendedSince)
+	e.fleet.SetSuspendedSince(e.suspendedSince)
 	e.initServing()
 	return e
 }
--- a/edge/suspend.go
+++ b/edge/suspend.go
@@ -14,13 +14,13 @@
 	return e
 }
 
-// slept returns how long the machine was suspended since a time.
-func (e *Edge) slept(since time.Time) time.Duration { return e.timer.Slept(since) }
+// suspendedSince returns how long the machine was suspended since a time.
+func (e *Edge) suspendedSince(since time.Time) time.Duration { return e.timer.SuspendedSince(since) }
 
 // onWake ages the box's state by the time that the machine was suspended, which the
 // monotonic clock doesn't include.
 func (e *Edge) onWake(slept time.Duration) {
-	e.metrics.Slept(slept)
+	e.metrics.Suspended(slept)
 	e.log.WithField("slept_ms", slept.Milliseconds()).Warn("was_suspended")
 	e.members.Older(slept)
 	e.loads.Older(slept)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -92,7 +92,7 @@
 	changes          int
 	history          []checkpoint // recent changes, for historyRetention
 	confirmed        time.Time
-	slept            func(since time.Time) time.Duration // returns how long the machine was suspended; nil for never
+	suspendedSince   func(since time.Time) time.Duration // returns how long the machine was suspended; nil for never
 }
 
 // New returns an empty fleet. After an outage of the store, an upstream that is missing
@@ -346,12 +346,12 @@
 	}
 }
 
-// OnSlept sets the function that returns for how long the machine was suspended. Ages
-// include that time, which the monotonic clock does not count.
-func (f *Fleet) OnSlept(slept func(since time.Time) time.Duration) {
+// SetSuspendedSince sets the function that returns how long the machine was suspended
+// since a time. Ages include that duration, which the monotonic clock does not count.
+func (f *Fleet) SetSuspendedSince(suspended func(since time.Time) time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.slept = slept
+	f.suspendedSince = suspended
 }
 
 // Age returns the time since the fleet was last confirmed; false if it never was.
@@ -359,8 +359,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := now.Sub(f.confirmed)
-	if f.slept != nil {
-		age += f.slept(f.confirmed)
+	if f.suspendedSince != nil {
+		age += f.suspendedSince(f.confirmed)
 	}
 	return age, !f.confirmed.IsZero()
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -34,7 +34,7 @@
 	fence           int
 	until           time.Time                           // end of the own lease, by this box's clock
 	began           time.Time                           // start of the own lease, by this box's clock
-	slept           func(since time.Time) time.Duration // suspended time, nil if unknown
+	suspendedSince  func(since time.Time) time.Duration // suspended time, nil if unknown
 	version         int
 	observedVersion int // version of another holder's row
 	observedAt      time.Time
@@ -46,10 +46,11 @@
 	return &Lease{table: t, key: "lease/" + key, holder: holder, duration: duration, grace: grace}
 }
 
-// OnSlept sets the function that returns for how long the machine was suspended.
-// The monotonic clock leaves this time out, in which the lease may have lapsed.
-func (l *Lease) OnSlept(slept func(since time.Time) time.Duration) *Lease {
-	l.slept = slept
+// SetSuspendedSince sets the function that returns how long the machine was suspended
+// since a time. The monotonic clock leaves that duration out, and the lease may have
+// lapsed meanwhile.
+func (l *Lease) SetSuspendedSince(suspended func(since time.Time) time.Duration) *Lease {
+	l.suspendedSince = suspended
 	return l
 }
 
@@ -59,8 +60,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	left = l.until.Sub(now)
-	if l.slept != nil {
-		left -= l.slept(l.began)
+	if l.suspendedSince != nil {
+		left -= l.suspendedSince(l.began)
 	}
 	if left <= 0 {
 		return 0, 0
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -171,7 +171,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				slept := func(time.Time) time.Duration { return tt.slept }
-				l := lease.New(platform.New(platform.Options{}).Direct(), "leith", "a", duration, timeout).OnSlept(slept)
+				l := lease.New(platform.New(platform.Options{}).Direct(), "leith", "a", duration, timeout).SetSuspendedSince(slept)
 				is.NoErr(l.RenewOrAcquire(context.Background()))
 				time.Sleep(time.Second)
 				_, left := l.Held(time.Now())
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -303,8 +303,8 @@
 	m.brokenAnswers.Add(context.Background(), 1, metric.WithAttributes(attribute.String("finding", string(found))))
 }
 
-// Slept adds time during which the machine was suspended.
-func (m *Metrics) Slept(d time.Duration) { m.suspended.Add(context.Background(), d.Seconds()) }
+// Suspended adds time during which the machine was suspended.
+func (m *Metrics) Suspended(d time.Duration) { m.suspended.Add(context.Background(), d.Seconds()) }
 
 // Quarantined counts a quarantine change of a request during which upstreams died.
 func (m *Metrics) Quarantined(change string) {
--- a/routecache/routecache.go
+++ b/routecache/routecache.go
@@ -15,24 +15,24 @@
 
 // Cache holds the newest known configuration. It is safe for concurrent use.
 type Cache struct {
-	mu        sync.Mutex
-	table     *route.Table
-	confirmed time.Time
-	maxAge    time.Duration
-	slept     func(since time.Time) time.Duration // returns how long the machine was suspended; nil for never
+	mu             sync.Mutex
+	table          *route.Table
+	confirmed      time.Time
+	maxAge         time.Duration
+	suspendedSince func(since time.Time) time.Duration // returns how long the machine was suspended; nil for never
 }
 
 // New returns an empty cache. A configuration that was last confirmed longer than
 // maxAge ago is stale, as a key may have been revoked since.
 func New(maxAge time.Duration) *Cache { return &Cache{maxAge: maxAge} }
 
-// OnSlept sets the function that returns for how long the machine was suspended. Ages
-// include that time, which the monotonic clock does not count, so that keys that were
-// revoked meanwhile are not accepted.
-func (c *Cache) OnSlept(slept func(since time.Time) time.Duration) {
+// SetSuspendedSince sets the function that returns how long the machine was suspended
+// since a time. Ages include that duration, which the monotonic clock does not count, so
+// that keys that were revoked meanwhile are not accepted.
+func (c *Cache) SetSuspendedSince(suspended func(since time.Time) time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slept = slept
+	c.suspendedSince = suspended
 }
 
 // Update replaces the configuration, unless the cached version is as new; it reports
@@ -63,8 +63,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	age = now.Sub(c.confirmed)
-	if c.slept != nil {
-		age += c.slept(c.confirmed)
+	if c.suspendedSince != nil {
+		age += c.suspendedSince(c.confirmed)
 	}
 	age = min(age, unconfirmedAge)
 	return c.table, age, c.table == nil || age > c.maxAge
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -97,9 +97,9 @@
 	return slept, s.onWake
 }
 
-// Slept returns how long the machine was suspended since a time. Data of that time is older
-// by this duration than the monotonic clock shows.
-func (s *Service) Slept(since time.Time) time.Duration {
+// SuspendedSince returns how long the machine was suspended since a time. Data of that
+// time is older by this duration than the monotonic clock shows.
+func (s *Service) SuspendedSince(since time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var sum time.Duration
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -41,15 +41,15 @@
 		is.Equal(notified, []time.Duration{6 * time.Second})
 		time.Sleep(time.Millisecond)
 		after := time.Now()
-		is.Equal(s.Slept(before), 6*time.Second)
-		is.Equal(s.Slept(after), time.Duration(0))
+		is.Equal(s.SuspendedSince(before), 6*time.Second)
+		is.Equal(s.SuspendedSince(after), time.Duration(0))
 		for range 200 {
 			m.slept.Add(int64(time.Second))
 			time.Sleep(time.Millisecond)
 			s.Check()
 		}
-		is.Equal(s.Slept(before), 206*time.Second)
-		is.True(s.Slept(after) >= 200*time.Second) // merged suspensions never count for less
+		is.Equal(s.SuspendedSince(before), 206*time.Second)
+		is.True(s.SuspendedSince(after) >= 200*time.Second) // merged suspensions never count for less
 	})
 }
 
@@ -63,7 +63,7 @@
 		var ticks atomic.Int64
 		go s.Every(t.Context(), "tick", time.Second, func(time.Time) {
 			ticks.Add(1)
-			is.Equal(s.Slept(before), time.Duration(m.slept.Load()))
+			is.Equal(s.SuspendedSince(before), time.Duration(m.slept.Load()))
 		})
 		time.Sleep(1500 * time.Millisecond)
 		m.slept.Store(int64(time.Minute))
