--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -268,14 +268,14 @@
 	}
 }
 
-// Older ages the backoffs by the time for which this machine was suspended.
-func (t *Tracker) Older(by time.Duration) {
+// AddSuspension ages the backoffs by the time for which this machine was suspended.
+func (t *Tracker) AddSuspension(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
-		e.requestedAt, e.until, e.resumeAt = e.requestedAt.Add(-by), e.until.Add(-by), e.resumeAt.Add(-by)
+		e.requestedAt, e.until, e.resumeAt = e.requestedAt.Add(-d), e.until.Add(-d), e.resumeAt.Add(-d)
 		if !e.trialAt.IsZero() {
-			e.trialAt = e.trialAt.Add(-by)
+			e.trialAt = e.trialAt.Add(-d)
 		}
 	}
 }
--- a/backoff/backoff_test.go
+++ b/backoff/backoff_test.go
@@ -158,7 +158,7 @@
 	}
 	tracker.Forget("restarted")
 	is.Equal(tracker.Wait(now, "restarted"), time.Duration(0))
-	tracker.Older(4 * time.Second)
+	tracker.AddSuspension(4 * time.Second)
 	is.True(tracker.Wait(now, "ended") >= 6*time.Second)
 	is.True(tracker.Wait(now, "ended") <= 7*time.Second)
 	tracker.Requested(now, fleet.Upstream{ID: "active"}, time.Hour)
--- a/balance/places/places.go
+++ b/balance/places/places.go
@@ -425,8 +425,8 @@
 	p.others.Update(now, box, fromWire(list))
 }
 
-// Older ages the stored reports by the time for which this machine was suspended.
-func (p *Places) Older(by time.Duration) { p.others.Older(by) }
+// AddSuspension ages the stored reports by the time for which this machine was suspended.
+func (p *Places) AddSuspension(d time.Duration) { p.others.AddSuspension(d) }
 
 // UpdateSum stores the sum that a hub reports for all other boxes.
 func (p *Places) UpdateSum(now time.Time, list []wire.ServicePlaces) {
--- a/balance/shares/shares.go
+++ b/balance/shares/shares.go
@@ -345,8 +345,8 @@
 	s.others.Update(now, box, fromWire(list))
 }
 
-// Older ages the stored reports by the time for which this machine was suspended.
-func (s *Shares) Older(by time.Duration) { s.others.Older(by) }
+// AddSuspension ages the stored reports by the time for which this machine was suspended.
+func (s *Shares) AddSuspension(d time.Duration) { s.others.AddSuspension(d) }
 
 // UpdateSum stores the sum that a hub reports for all other boxes.
 func (s *Shares) UpdateSum(now time.Time, list []wire.OrganisationUse) {
--- a/balance/speeds/speeds.go
+++ b/balance/speeds/speeds.go
@@ -220,10 +220,10 @@
 	}
 }
 
-// Older ages the stored reports by the time for which this machine was suspended.
-func (s *Speeds) Older(by time.Duration) {
+// AddSuspension ages the stored reports by the time for which this machine was suspended.
+func (s *Speeds) AddSuspension(d time.Duration) {
 	if s != nil {
-		s.others.Older(by)
+		s.others.AddSuspension(d)
 	}
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -104,7 +104,7 @@
 	d.timer.On(c)
 	d.timer.OnWake(func(slept time.Duration) {
 		d.log.WithField("slept_ms", slept.Milliseconds()).Warn("was_suspended")
-		d.members.Older(slept)
+		d.members.AddSuspension(slept)
 	})
 	return d
 }
--- a/edge/suspend.go
+++ b/edge/suspend.go
@@ -22,18 +22,18 @@
 func (e *Edge) onWake(slept time.Duration) {
 	e.metrics.Suspended(slept)
 	e.log.WithField("slept_ms", slept.Milliseconds()).Warn("was_suspended")
-	e.members.Older(slept)
-	e.loads.Older(slept)
-	e.reliability.Older(slept)
-	e.speeds.Older(slept)
-	e.quarantine.Older(slept)
-	e.limits.Older(slept)
-	e.backoff.Older(slept)
+	e.members.AddSuspension(slept)
+	e.loads.AddSuspension(slept)
+	e.reliability.AddSuspension(slept)
+	e.speeds.AddSuspension(slept)
+	e.quarantine.AddSuspension(slept)
+	e.limits.AddSuspension(slept)
+	e.backoff.AddSuspension(slept)
 	if e.places != nil {
-		e.places.Older(slept)
+		e.places.AddSuspension(slept)
 	}
 	if e.sharing.shares != nil {
-		e.sharing.shares.Older(slept)
+		e.sharing.shares.AddSuspension(slept)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/members/members.go
+++ b/members/members.go
@@ -195,15 +195,15 @@
 	}
 }
 
-// Older adds the time for which this box's machine was suspended to all ages, as the
-// monotonic clock does not count it.
-func (m *Members) Older(by time.Duration) {
+// AddSuspension adds the time for which this box's machine was suspended to all ages, as
+// the monotonic clock does not count it.
+func (m *Members) AddSuspension(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.boxes {
 		for _, at := range []*time.Time{&r.lastSeen, &r.failedAt, &r.firstSeen} {
 			if !at.IsZero() {
-				*at = at.Add(-by)
+				*at = at.Add(-d)
 			}
 		}
 	}
--- a/peerstate/peerstate.go
+++ b/peerstate/peerstate.go
@@ -206,16 +206,16 @@
 	return boxes
 }
 
-// Older increases the age of all reports by the time that this box's machine was
+// AddSuspension increases the age of all reports by the time that this box's machine was
 // suspended, which the monotonic clock doesn't count.
-func (t *Totals[T]) Older(by time.Duration) {
+func (t *Totals[T]) AddSuspension(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for box, r := range t.others {
-		r.at = r.at.Add(-by)
+		r.at = r.at.Add(-d)
 		t.others[box] = r
 	}
-	t.oldest, t.sum.at = t.oldest.Add(-by), t.sum.at.Add(-by)
+	t.oldest, t.sum.at = t.oldest.Add(-d), t.sum.at.Add(-d)
 }
 
 // Forget drops all reports on an upstream.
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -224,19 +224,19 @@
 	q.clear(now, fp, Cleared)
 }
 
-// Older adds the time for which this box's machine was suspended to all ages, as the
-// monotonic clock does not count it.
-func (q *Quarantine) Older(by time.Duration) {
+// AddSuspension adds the time for which this box's machine was suspended to all ages, as
+// the monotonic clock does not count it.
+func (q *Quarantine) AddSuspension(d time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, s := range q.suspects {
 		for inc, at := range s.ends {
-			s.ends[inc] = at.Add(-by)
+			s.ends[inc] = at.Add(-d)
 		}
-		s.newest, s.cleared = addAge(s.newest, by), addAge(s.cleared, by)
+		s.newest, s.cleared = addAge(s.newest, d), addAge(s.cleared, d)
 	}
 	for _, e := range q.ended {
-		e.at = e.at.Add(-by)
+		e.at = e.at.Add(-d)
 	}
 	q.successes = recentSuccesses{}
 }
--- a/reliability/reliability.go
+++ b/reliability/reliability.go
@@ -162,9 +162,9 @@
 	r.others.UpdateSum(now, countsOf(list))
 }
 
-// Older adds the time for which this box's machine was suspended to the ages of
+// AddSuspension adds the time for which this box's machine was suspended to the ages of
 // reports.
-func (r *Reliability) Older(by time.Duration) { r.others.Older(by) }
+func (r *Reliability) AddSuspension(d time.Duration) { r.others.AddSuspension(d) }
 
 func listOf(counts map[string]Count) []wire.UpstreamFailures {
 	list := make([]wire.UpstreamFailures, 0, len(counts))
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -21,9 +21,9 @@
 	return time.Since(m.start) + time.Duration(m.slept.Load())
 }
 
-// TestSlept checks that a suspension counts for times before it and not after it, also if
+// TestSuspendedSince checks that a suspension counts for times before it and not after it, also if
 // there are more suspensions than are recorded.
-func TestSlept(t *testing.T) {
+func TestSuspendedSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := &fakeMachine{start: time.Now()}
--- a/upstreamlimits/upstreamlimits.go
+++ b/upstreamlimits/upstreamlimits.go
@@ -246,11 +246,11 @@
 	}
 }
 
-// Older ages the limits by the time for which this machine was suspended.
-func (t *Tracker) Older(by time.Duration) {
+// AddSuspension ages the limits by the time for which this machine was suspended.
+func (t *Tracker) AddSuspension(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.list {
-		e.at = e.at.Add(-by)
+		e.at = e.at.Add(-d)
 	}
 }
--- a/upstreamlimits/upstreamlimits_test.go
+++ b/upstreamlimits/upstreamlimits_test.go
@@ -198,7 +198,7 @@
 	is.Equal(tracker.All(), []string{"serving"})
 	is.Equal(len(tracker.list), 1)
 	is.Equal(c[Ended], 1)
-	tracker.Older(time.Minute)
+	tracker.AddSuspension(time.Minute)
 	is.True(tracker.Report(now, "serving").AgeMs >= 60_000)
 }
 
--- a/upstreamload/upstreamload.go
+++ b/upstreamload/upstreamload.go
@@ -260,9 +260,9 @@
 	t.others.UpdateSum(now, loadsOf(list))
 }
 
-// Older increases the age of the other boxes' reports by the time that this box's machine
-// was suspended.
-func (t *Tracker) Older(by time.Duration) { t.others.Older(by) }
+// AddSuspension increases the age of the other boxes' reports by the time that this box's
+// machine was suspended.
+func (t *Tracker) AddSuspension(d time.Duration) { t.others.AddSuspension(d) }
 
 // SumAge returns the time since a hub last sent the sum of all other boxes' load.
 func (t *Tracker) SumAge(now time.Time) time.Duration { return t.others.SumAge(now) }
