--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -180,3 +180,49 @@
 		})
 	}
 }
+
+// slowTable is a table whose replies to writes are slow.
+type slowTable struct {
+	lease.Table
+	delay time.Duration
+}
+
+// Transact replies to a transaction, which has taken effect, after the delay.
+func (s slowTable) Transact(ctx context.Context, tx wire.Transaction) (wire.TransactionAnswer, error) {
+	answer, err := s.Table.Transact(ctx, tx)
+	time.Sleep(s.delay)
+	return answer, err
+}
+
+// TestSlowReply checks that a lease lasts from before its write was sent, so that a slow
+// reply never makes the holder believe that it lasts longer than others observe.
+func TestSlowReply(t *testing.T) {
+	tests := map[string]struct {
+		delay time.Duration
+		left  time.Duration
+	}{
+		"at once":               {0, duration},
+		"slow":                  {2 * time.Second, duration - 2*time.Second},
+		"longer than the lease": {duration, 0},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				table := slowTable{platform.New(platform.Options{}).Direct(), tt.delay}
+				l := lease.New(table, "leith", "a", duration, timeout)
+				var began time.Time
+				for range 2 { // acquires, then renews
+					began = time.Now()
+					is.NoErr(l.RenewOrAcquire(context.Background()))
+					_, left := l.Held(time.Now())
+					is.Equal(left, tt.left)
+				}
+				_, left := l.Held(began.Add(duration - time.Millisecond))
+				is.Equal(left, time.Millisecond)
+				_, left = l.Held(began.Add(duration))
+				is.Equal(left, time.Duration(0))
+			})
+		})
+	}
+}
