--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -102,9 +102,9 @@
 // machine was suspended. It is called before Run.
 func (d *Daemon) OnClock(c timer.Clock) *Daemon {
 	d.timer.On(c)
-	d.timer.OnWake(func(slept time.Duration) {
-		d.log.WithField("slept_ms", slept.Milliseconds()).Warn("was_suspended")
-		d.members.AddSuspension(slept)
+	d.timer.OnWake(func(suspended time.Duration) {
+		d.log.WithField("slept_ms", suspended.Milliseconds()).Warn("was_suspended")
+		d.members.AddSuspension(suspended)
 	})
 	return d
 }
--- a/edge/limits_faults_test.go
+++ b/edge/limits_faults_test.go
@@ -102,10 +102,10 @@
 	}
 	c.all = awake
 	c.mu.Unlock()
-	const slept = 6 * time.Second
-	time.AfterFunc(slept, func() {
+	const suspended = 6 * time.Second
+	time.AfterFunc(suspended, func() {
 		for _, e := range sleepers {
-			e.onWake(slept)
+			e.onWake(suspended)
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/edge/suspend.go
+++ b/edge/suspend.go
@@ -19,32 +19,32 @@
 
 // onWake ages the box's state by the time that the machine was suspended, which the
 // monotonic clock doesn't include.
-func (e *Edge) onWake(slept time.Duration) {
-	e.metrics.Suspended(slept)
-	e.log.WithField("slept_ms", slept.Milliseconds()).Warn("was_suspended")
-	e.members.AddSuspension(slept)
-	e.loads.AddSuspension(slept)
-	e.reliability.AddSuspension(slept)
-	e.speeds.AddSuspension(slept)
-	e.quarantine.AddSuspension(slept)
-	e.limits.AddSuspension(slept)
-	e.backoff.AddSuspension(slept)
+func (e *Edge) onWake(suspended time.Duration) {
+	e.metrics.Suspended(suspended)
+	e.log.WithField("slept_ms", suspended.Milliseconds()).Warn("was_suspended")
+	e.members.AddSuspension(suspended)
+	e.loads.AddSuspension(suspended)
+	e.reliability.AddSuspension(suspended)
+	e.speeds.AddSuspension(suspended)
+	e.quarantine.AddSuspension(suspended)
+	e.limits.AddSuspension(suspended)
+	e.backoff.AddSuspension(suspended)
 	if e.places != nil {
-		e.places.AddSuspension(slept)
+		e.places.AddSuspension(suspended)
 	}
 	if e.sharing.shares != nil {
-		e.sharing.shares.AddSuspension(slept)
+		e.sharing.shares.AddSuspension(suspended)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, known := range []map[string]time.Time{e.lastSeen, e.unanswered} {
 		for box, at := range known {
-			known[box] = at.Add(-slept)
+			known[box] = at.Add(-suspended)
 		}
 	}
 	for _, at := range []*time.Time{&e.hubLastSeen, &e.fleetDeferredAt, &e.storeLastSeen} {
 		if !at.IsZero() {
-			*at = at.Add(-slept)
+			*at = at.Add(-suspended)
 		}
 	}
 }
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -15,21 +15,21 @@
 
 // suspendableClock is a clock that includes suspend time.
 type suspendableClock struct {
-	began time.Time
-	slept atomic.Int64 // ns
+	began     time.Time
+	suspended atomic.Int64 // ns
 }
 
 func (m *suspendableClock) clock() time.Duration {
-	return time.Since(m.began) + time.Duration(m.slept.Load())
+	return time.Since(m.began) + time.Duration(m.suspended.Load())
 }
 
 // TestSuspended checks what a box does after its machine was suspended, which the
 // monotonic clock doesn't show, when a caller's request is the first event.
 func TestSuspended(t *testing.T) {
 	tests := map[string]struct {
-		slept   time.Duration
-		confirm bool // by a late answer of the store to a call before the suspension
-		want    refusal.Reason
+		suspended time.Duration
+		confirm   bool // by a late answer of the store to a call before the suspension
+		want      refusal.Reason
 	}{
 		"not suspended":           {0, false, ""},
 		"short":                   {2 * time.Second, false, ""},
@@ -48,13 +48,13 @@
 				m := &suspendableClock{began: time.Now()}
 				e.OnClock(m.clock)
 				sent := time.Now()
-				m.slept.Add(int64(tt.slept))
+				m.suspended.Add(int64(tt.suspended))
 				time.Sleep(time.Millisecond)
 				e.timer.Check() // as serveCaller does first
 				if tt.confirm {
 					e.routes.Confirm(sent)
 				}
-				is.Equal(e.isReachable(hub.Name()), tt.slept == 0)
+				is.Equal(e.isReachable(hub.Name()), tt.suspended == 0)
 				is.Equal(sendRequest(ctx, e, "/check/", "a").refused.Reason(), tt.want)
 				time.Sleep(propagationTime)
 				is.Equal(sendRequest(ctx, e, "/check/", "a").status, http.StatusOK) // after new reports
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -159,8 +159,8 @@
 // suspended, during which the monotonic clock stood still.
 func TestSuspended(t *testing.T) {
 	tests := map[string]struct {
-		slept time.Duration
-		left  time.Duration
+		suspended time.Duration
+		left      time.Duration
 	}{
 		"not at all":            {0, duration - time.Second},
 		"for a moment":          {2 * time.Second, duration - 3*time.Second},
@@ -170,8 +170,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				slept := func(time.Time) time.Duration { return tt.slept }
-				l := lease.New(platform.New(platform.Options{}).Direct(), "leith", "a", duration, timeout).SetSuspendedSince(slept)
+				suspended := func(time.Time) time.Duration { return tt.suspended }
+				l := lease.New(platform.New(platform.Options{}).Direct(), "leith", "a", duration, timeout).SetSuspendedSince(suspended)
 				is.NoErr(l.RenewOrAcquire(context.Background()))
 				time.Sleep(time.Second)
 				_, left := l.Held(time.Now())
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -35,7 +35,7 @@
 	base        time.Time     // on the monotonic clock
 	offset      time.Duration // reading of clock at base, plus the suspensions since
 	suspensions []suspension
-	onWake      []func(slept time.Duration)
+	onWake      []func(suspended time.Duration)
 }
 
 // New returns a timer service that does not detect suspensions.
@@ -60,7 +60,7 @@
 
 // OnWake registers f, which Check calls after each suspension with its duration. The data
 // of a component is older by that duration than the monotonic clock shows.
-func (s *Service) OnWake(f func(slept time.Duration)) {
+func (s *Service) OnWake(f func(suspended time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onWake = append(s.onWake, f)
@@ -69,14 +69,14 @@
 // Check detects whether the machine was suspended since the last call. Each tick and each
 // request calls it before using recorded data. It takes one system call.
 func (s *Service) Check() {
-	slept, woke := s.check()
+	suspended, woke := s.check()
 	for _, f := range woke {
-		f(slept)
+		f(suspended)
 	}
 }
 
 // check records a suspension and returns the functions to call.
-func (s *Service) check() (slept time.Duration, woke []func(time.Duration)) {
+func (s *Service) check() (suspended time.Duration, woke []func(time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.clock == nil {
@@ -84,17 +84,17 @@
 	}
 	total := s.clock() - s.offset // read before the monotonic clock: a delay in between only hides a suspension until the next check
 	now := time.Now()
-	slept = total - now.Sub(s.base)
-	if slept < minSuspension {
+	suspended = total - now.Sub(s.base)
+	if suspended < minSuspension {
 		return 0, nil
 	}
-	s.offset += slept
-	s.suspensions = append(s.suspensions, suspension{now, slept})
+	s.offset += suspended
+	s.suspensions = append(s.suspensions, suspension{now, suspended})
 	if len(s.suspensions) > maxSuspensions {
 		s.suspensions[1].duration += s.suspensions[0].duration
 		s.suspensions = s.suspensions[1:]
 	}
-	return slept, s.onWake
+	return suspended, s.onWake
 }
 
 // SuspendedSince returns how long the machine was suspended since a time. Data of that
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -13,12 +13,12 @@
 
 // fakeMachine is a machine whose clock includes simulated suspensions.
 type fakeMachine struct {
-	start time.Time
-	slept atomic.Int64 // ns
+	start     time.Time
+	suspended atomic.Int64 // ns
 }
 
 func (m *fakeMachine) clock() time.Duration {
-	return time.Since(m.start) + time.Duration(m.slept.Load())
+	return time.Since(m.start) + time.Duration(m.suspended.Load())
 }
 
 // TestSuspendedSince checks that a suspension counts for times before it and not after it, also if
@@ -29,12 +29,12 @@
 		m := &fakeMachine{start: time.Now()}
 		s := timer.NewOn(m.clock)
 		var notified []time.Duration
-		s.OnWake(func(slept time.Duration) { notified = append(notified, slept) })
+		s.OnWake(func(suspended time.Duration) { notified = append(notified, suspended) })
 		before := time.Now()
 		time.Sleep(time.Second)
 		s.Check()
 		is.Equal(len(notified), 0)
-		m.slept.Add(int64(6 * time.Second))
+		m.suspended.Add(int64(6 * time.Second))
 		time.Sleep(time.Millisecond)
 		s.Check()
 		s.Check()
@@ -44,7 +44,7 @@
 		is.Equal(s.SuspendedSince(before), 6*time.Second)
 		is.Equal(s.SuspendedSince(after), time.Duration(0))
 		for range 200 {
-			m.slept.Add(int64(time.Second))
+			m.suspended.Add(int64(time.Second))
 			time.Sleep(time.Millisecond)
 			s.Check()
 		}
@@ -63,10 +63,10 @@
 		var ticks atomic.Int64
 		go s.Every(t.Context(), "tick", time.Second, func(time.Time) {
 			ticks.Add(1)
-			is.Equal(s.SuspendedSince(before), time.Duration(m.slept.Load()))
+			is.Equal(s.SuspendedSince(before), time.Duration(m.suspended.Load()))
 		})
 		time.Sleep(1500 * time.Millisecond)
-		m.slept.Store(int64(time.Minute))
+		m.suspended.Store(int64(time.Minute))
 		time.Sleep(1500 * time.Millisecond)
 		is.True(ticks.Load() > 1)
 	})
