--- a/balance/places/pick.go
+++ b/balance/places/pick.go
@@ -15,9 +15,8 @@
 	fullUtilization = 1.25
 	minWeight       = 0.2
 	// remoteFrom and remoteFull are the utilizations of the box's own hall from which
-	// upstreams of other halls are chosen as well, and as often as local ones. With
-	// half of the local slots free hardly any request waits, and traffic between halls
-	// costs money.
+	// upstreams of other halls are chosen as well, and as often as local ones. Below
+	// remoteFrom hardly any request waits, and traffic between halls costs money.
 	remoteFrom = 0.3
 	remoteFull = 0.6
 	// minRemoteWeight is the weight of upstreams of other halls while the own hall has
--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -306,10 +306,9 @@
 	return false, time.Since(arrived), 50 * time.Millisecond
 }
 
-// TestBurst simulates bursts of 8 s for three upstreams that else run at 0.45 of their
-// capacity. The value is relative to all requests served in time: a request in time
-// counts 1, one in time after a retry 0.5, a late one 0.3. At a demand of 1.35 at most
-// 0.74 can be in time.
+// TestBurst simulates bursts for upstreams that else run at half of their capacity. The
+// value is relative to all requests served in time: a request in time counts 1, one in
+// time after a retry 0.5, a late one 0.3.
 func TestBurst(t *testing.T) {
 	const ms = time.Millisecond
 	kinds := map[string]scenario{
--- a/balance/places/service.go
+++ b/balance/places/service.go
@@ -40,9 +40,8 @@
 	answerFraction = 0.5
 	maxQueueFactor = 1.5
 	// increaseFactor and decreaseFactor are applied to the capacity correction with
-	// each answer that took less than it may, or more. At five answers per second the
-	// correction changes by a fifth per second, more slowly than queues at upstreams
-	// fill.
+	// each answer that took less than it may, or more: by small steps, so that the
+	// correction changes more slowly than queues at upstreams fill.
 	increaseFactor = 1.04
 	decreaseFactor = 0.96
 	// minCorrection and maxCorrection bound the correction: latencies exceed the
--- a/balance/speeds/cost.go
+++ b/balance/speeds/cost.go
@@ -14,8 +14,7 @@
 	minRemainingTokens = 32
 	// hitChance is the chance that a concurrent prefill makes an event of a stream as
 	// slow as events get: only whole chunks of prompts do, and not all of them when an
-	// event is due. A prefill makes a fifth to a quarter of the streams late on engines
-	// that don't keep the gap.
+	// event is due.
 	hitChance = 0.25
 	// shortCost is the cost, in late long answers, of a short answer at an engine that
 	// keeps the gap during prefills: its prefill slows all streams there, which hold
--- a/balance/speeds/speeds.go
+++ b/balance/speeds/speeds.go
@@ -1,8 +1,7 @@
 // Package speeds learns how fast each engine decodes and prefills, for one incarnation
-// of it, and estimates how many answers a request makes late there. An engine that
-// sends an event every 65 ms keeps a maximum gap of 180 ms until it prefills a prompt
-// concurrently with its streams, which makes the gap 185 ms: the first prompt then
-// makes all of them late. An engine twice as fast prefills any number.
+// of it, and estimates how many answers a request makes late there: on a slow engine
+// one concurrent prefill can make all streams exceed the maximum gap, while a fast one
+// prefills any number of prompts.
 package speeds
 
 import (
--- a/balance/speeds/stream.go
+++ b/balance/speeds/stream.go
@@ -71,9 +71,8 @@
 }
 
 // observe adds the window as an observation: the gap at its lowest fifth, as busy
-// engines prefill most of the time, and with a concurrent prefill the longest one.
-// Clients judge streams by the longest gap, and the mean of many is hardly moved by a
-// packet loss.
+// engines prefill most of the time, and with a concurrent prefill the longest one, by
+// which clients judge streams.
 func (s *Stream) observe(now time.Time) {
 	slices.Sort(s.gaps)
 	n := len(s.gaps)
--- a/edge/answers.go
+++ b/edge/answers.go
@@ -12,9 +12,8 @@
 
 const (
 	// hubSettleTime is the time after which a new hub has reports of all boxes that
-	// reach it: they detect the loss of the previous hub after two calls of 0.5 s.
-	// Until then, or until minReportedFraction of them have reported, its sums are
-	// incomplete and would make full engines look empty.
+	// reach it. Until then, or until minReportedFraction of them have reported, its
+	// sums are incomplete and would make full engines look empty.
 	hubSettleTime       = 1250 * time.Millisecond
 	minReportedFraction = 0.75
 	// maxGossipDelay bounds how old a gossip request is on arrival: a call may be
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -69,9 +69,8 @@
 	requestMemoryKB      = 102
 	requestMemoryPercent = 50
 	// bufferMemoryPercent is the percentage of a box's memory that may be buffered for
-	// callers that read slowly, allocation overhead included. At a quarter of
-	// requestMemoryPercent, stalled callers leave most of that memory to other
-	// requests.
+	// callers that read slowly, allocation overhead included: small, so that stalled
+	// callers leave most of requestMemoryPercent to other requests.
 	bufferMemoryPercent = 12
 	// maxStreamBuffer is the number of bytes buffered per stream: enough for a long
 	// answer including event headers, so that a slow caller doesn't occupy an engine.
--- a/edge/limits_faults_test.go
+++ b/edge/limits_faults_test.go
@@ -114,10 +114,9 @@
 	})
 }
 
-// TestLimitsUnderFaults bounds what limited upstreams get under faults: in no four
-// seconds more than 1.5 times the limit and five requests. If all boxes restart, none
-// knows a limit before the upstream announces it again; requests count from half a
-// second after that.
+// TestLimitsUnderFaults bounds what limited upstreams get in any window under faults.
+// If all boxes restart, none knows a limit before the upstream announces it again;
+// requests count from half a second after that.
 func TestLimitsUnderFaults(t *testing.T) {
 	nothing := func(context.Context, testing.TB, *plainService) {}
 	faults := map[string]struct {
--- a/edge/quarantine_test.go
+++ b/edge/quarantine_test.go
@@ -322,8 +322,8 @@
 	}
 }
 
-// BenchmarkCrashingRequests measures how many other requests are served beside crashing
-// ones, with and without quarantine.
+// BenchmarkCrashingRequests measures how many other requests are served while others
+// crash upstreams, with and without quarantine.
 func BenchmarkCrashingRequests(b *testing.B) {
 	for _, bad := range []int{0, 1, 5, 20} {
 		for _, off := range []bool{true, false} {
--- a/edge/start_test.go
+++ b/edge/start_test.go
@@ -33,7 +33,7 @@
 	done, refused int
 }
 
-// Transact implements manifest.List. Transactions are serialized.
+// Transact implements manifest.BoxStore. Transactions are serialized.
 func (r storeClient) Transact(ctx context.Context, tx store.Transaction) (done bool, now []store.Row, err error) {
 	r.mu.Lock()
 	at := time.Now()
@@ -115,10 +115,9 @@
 	return len(t.fleetListings), t.boxRowsRead, t.writes.done + t.writes.refused
 }
 
-// TestMassStart starts many boxes at once, for the first time and again after all were
-// killed: all must serve within seconds, only hubs may read the upstreams, each box may
-// cost the store few calls, and in the end the table and each box must list all of
-// them.
+// TestMassStart starts many boxes at once, for the first time and after all were killed:
+// all must serve soon and be listed by the table and each other, only hubs may read the
+// upstreams, and each box may cost the store few calls.
 func TestMassStart(t *testing.T) {
 	const (
 		boxes, halls = 600, 3
--- a/members/hubs.go
+++ b/members/hubs.go
@@ -198,9 +198,8 @@
 
 // HubsToCall returns the hubs that this box calls: all others, or, if the fleet is
 // large and this box is not a hub, its primary hub and a backup. Boxes that would be
-// hubs but for an earlier failure are called too, and become hubs again when they
-// answer; while a hall is cut off, its boxes are thus not chosen as hubs again every
-// few seconds.
+// hubs but for an earlier failure are called too and become hubs again only when they
+// answer, so that boxes of a hall that is cut off are not chosen again and again.
 func (m *Members) HubsToCall(now time.Time) []Box {
 	hubs := m.Hubs(now)
 	m.mu.Lock()
--- a/upstreamlimits/peers.go
+++ b/upstreamlimits/peers.go
@@ -101,7 +101,7 @@
 		return
 	case w.Period > e.period:
 		e.period = w.Period
-		e.active = e.active && !w.Holds // else it is announced anew
+		e.active = e.active && !w.Holds // else it is announced again
 	case !e.active || w.Holds && !at.After(e.at.Add(minNewer)):
 		return
 	}
