--- a/edge/edge.go
+++ b/edge/edge.go
@@ -245,13 +245,13 @@
 	e.sharing = newSharing(e.config.Balances(wire.EdgeBalanceElemShares))
 	e.admission = admission.New(chooser, e.loads, prefillRate, e.sharing.queueShares(), rand.New(rand.NewPCG(uint64(e.record.Incarnation), 3)), e.log)
 	e.relay = relay.New(relay.Components{
-		Routes: e.routes, Fleet: e.fleet, Picker: chooser, Admitter: e, Places: e.places, UpstreamLoad: e.loads, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
+		Routes: e.routes, Fleet: e.fleet, Picker: chooser, Admitter: e, Places: e.places, Loads: e.loads, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
 		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Backoff: e.backoff, Budget: e.retryBudget,
 		Runs: e.runs, OutputLengths: outputlen.New(), Prefill: prefillRate, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, StoreSilence: e.fleetStoreSilence, Log: e.log,
 	})
 	e.callers = callers.New(e.relay, e.maxBodySize, e.draining.Load)
 	e.evacuator = evacuate.New(evacuate.Components{
-		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.loads,
+		Runs: e.runs, Picker: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Loads: e.loads,
 		RecordMove: e.metrics.Moved, Log: e.log, IsLeaving: e.fleet.IsLeaving, AcceptsWork: e.fleet.Takes,
 	})
 }
--- a/evacuate/evacuate.go
+++ b/evacuate/evacuate.go
@@ -77,10 +77,10 @@
 
 // Turns hands out the turns to move runs off upstreams.
 type Turns interface {
-	// Take waits for a turn and returns the selected target and a function that gives
-	// the turn back. If the owner of the turns cannot be reached, or ctx ends first, it
+	// Take waits for a turn and returns the selected target and a function that releases
+	// the turn. If the owner of the turns cannot be reached, or ctx ends first, it
 	// returns the first target without a turn.
-	Take(ctx context.Context, request TurnRequest) (target string, giveBack func())
+	Take(ctx context.Context, request TurnRequest) (target string, release func())
 }
 
 // Services returns a service of the configuration in force.
@@ -89,11 +89,11 @@
 // Components are the dependencies of an Evacuator.
 type Components struct {
 	Runs        *runs.Runs
-	Chooser     *picker.Picker
+	Picker      *picker.Picker
 	Mover       Mover
 	Turns       Turns
 	Services    Services
-	Tally       *upstreamload.Tracker                    // counts copies as load of their targets
+	Loads       *upstreamload.Tracker                    // counts copies as load of their targets
 	RecordMove  func(outcome string, took time.Duration) // counts moves
 	IsLeaving   func(upstream string) bool               // false if it does not leave after all
 	AcceptsWork func(upstream string) bool               // reports whether it takes new work
@@ -118,7 +118,7 @@
 	ctx, cancel := context.WithTimeout(ctx, evacuateTimeout)
 	defer cancel()
 	done := map[*runs.Run]bool{}
-	for ctx.Err() == nil && e.Tally.Busy(u.ID) && e.IsLeaving(u.ID) {
+	for ctx.Err() == nil && e.Loads.Busy(u.ID) && e.IsLeaving(u.ID) {
 		run := e.next(u, done)
 		if run == nil {
 			sleep(ctx, retryPause)
@@ -140,7 +140,7 @@
 		if done[r] {
 			continue
 		}
-		if time.Duration(r.RemainingEvents())*cmp.Or(e.Tally.Pace(), defaultPace) >= finishingTime {
+		if time.Duration(r.RemainingEvents())*cmp.Or(e.Loads.Pace(), defaultPace) >= finishingTime {
 			return r
 		}
 		if last == nil {
@@ -158,16 +158,16 @@
 	avoid := []string{u.ID}
 	err := ErrNoCapacity
 	for tries := 0; tries < maxTargets && errors.Is(err, ErrNoCapacity); tries++ {
-		ranked := e.Chooser.Ranked(time.Now(), picker.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.MaxGap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
+		ranked := e.Picker.Ranked(time.Now(), picker.Want{Service: service, Tokens: run.Tokens(), Hall: u.Hall, Moves: true, Need: speeds.Need{Gap: run.MaxGap, Long: true, Moves: true}, Avoid: avoid, Regions: run.Request.Regions, Own: true})
 		ranked = slices.DeleteFunc(ranked, func(c picker.Choice) bool { return c.Held })
 		if len(ranked) == 0 {
 			break
 		}
-		target, giveBack := e.take(ctx, run, u, ranked[:min(len(ranked), targetChoices)])
+		target, releaseTurn := e.take(ctx, run, u, ranked[:min(len(ranked), targetChoices)])
 		avoid = append(avoid, target.Upstream.ID)
 		log = log.WithFields(logrus.Fields{"to": target.Upstream.ID, "load": target.Load, "cost": target.Cost, "waited_ms": time.Since(began).Milliseconds()})
 		err = e.moveTo(ctx, run, u, target.Upstream)
-		giveBack()
+		releaseTurn()
 	}
 	took := time.Since(began)
 	log = log.WithField("took_ms", took.Milliseconds())
@@ -191,18 +191,18 @@
 }
 
 // take waits for the turn to move a run to one of the ranked targets.
-func (e *Evacuator) take(ctx context.Context, run *runs.Run, u fleet.Upstream, ranked []picker.Choice) (target picker.Choice, giveBack func()) {
+func (e *Evacuator) take(ctx context.Context, run *runs.Run, u fleet.Upstream, ranked []picker.Choice) (target picker.Choice, releaseTurn func()) {
 	request := TurnRequest{Source: u, Tokens: run.Tokens()}
 	for _, c := range ranked {
 		request.Targets = append(request.Targets, c.Upstream.ID)
 	}
-	id, giveBack := e.Turns.Take(ctx, request)
-	return ranked[max(slices.Index(request.Targets, id), 0)], giveBack
+	id, releaseTurn := e.Turns.Take(ctx, request)
+	return ranked[max(slices.Index(request.Targets, id), 0)], releaseTurn
 }
 
 // moveTo copies a run while it continues, then stops it and copies the rest.
 func (e *Evacuator) moveTo(ctx context.Context, run *runs.Run, source, target fleet.Upstream) error {
-	entry := e.Tally.Begin(target.ID, upstreamload.Load{Requests: 1, Tokens: run.Tokens(), Coming: run.RemainingTokens()})
+	entry := e.Loads.Begin(target.ID, upstreamload.Load{Requests: 1, Tokens: run.Tokens(), Coming: run.RemainingTokens()})
 	defer entry.End()
 	copying, cancel := context.WithTimeout(ctx, copyTimeout)
 	first, err := e.Mover.Move(copying, source.Address, run.Request.ID, target.Address, false)
--- a/evacuate/evacuate_test.go
+++ b/evacuate/evacuate_test.go
@@ -171,7 +171,7 @@
 	chooser := picker.New(picker.Components{Fleet: f, Loads: b.tally, Reliability: reliability.New(), Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))})
 	service := route.Service{Name: "llm", Engine: &route.Engine{Slots: 48, Memory: 34000, Moves: true, EventTokens: 4}}
 	b.Evacuator = evacuate.New(evacuate.Components{
-		Runs: b.runs, Chooser: chooser, Mover: mover, Turns: t, Tally: b.tally,
+		Runs: b.runs, Picker: chooser, Mover: mover, Turns: t, Loads: b.tally,
 		Services:   func(string) (route.Service, bool) { return service, true },
 		RecordMove: func(string, time.Duration) {}, Log: logs.New(io.Discard, "info", "b"),
 		IsLeaving:   func(string) bool { return !b.stays },
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -64,7 +64,7 @@
 	Picker        *picker.Picker
 	Admitter      Admitter       // nil: requests go directly to the least loaded engine
 	Places        *places.Places // nil: requests go directly to the least loaded plain upstream
-	UpstreamLoad  *upstreamload.Tracker
+	Loads         *upstreamload.Tracker
 	Reliability   *reliability.Reliability
 	Speeds        *speeds.Speeds // nil if disabled
 	Sender        exchange.Sender
@@ -415,10 +415,10 @@
 	}
 	load := j.expectedLoad(after, from)
 	soloPrefill := 0
-	if r.UpstreamLoad.Load(time.Now(), u.ID).Prefill == 0 {
+	if r.Loads.Load(time.Now(), u.ID).Prefill == 0 {
 		soloPrefill = load.Prefill
 	}
-	entry := r.UpstreamLoad.Begin(u.ID, load)
+	entry := r.Loads.Begin(u.ID, load)
 	sending, cancel := context.WithCancelCause(ctx)
 	untrackQuarantine := r.Quarantine.Track(j.print, func() { cancel(&QuarantinedError{}) })
 	untrackRun := r.Runs.TrackSend(u, func() { cancel(&RestartedError{Upstream: u.ID}) })
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -240,7 +240,7 @@
 	w.fleet.Replace(time.Now(), list, 1, false)
 	w.reliability = reliability.New()
 	w.relay = relay.New(relay.Components{
-		Routes: w.routes, Fleet: w.fleet, UpstreamLoad: w.load, Reliability: w.reliability, Sender: w.sender, OutputLengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
+		Routes: w.routes, Fleet: w.fleet, Loads: w.load, Reliability: w.reliability, Sender: w.sender, OutputLengths: outputlen.New(), Prefill: prefill.New(), Budget: retry.NewBudget(0.1, 3),
 		Picker: picker.New(picker.Components{Fleet: w.fleet, Loads: w.load, Reliability: w.reliability, Prefill: prefill.New(), Hall: "leith", Random: rand.New(rand.NewPCG(1, 1))}), Runs: w.runs, Metrics: counts,
 		Full: func() bool { return w.full },
 		Stopping: func() (relay.Stop, bool) {
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -40,7 +40,7 @@
 	if !j.route.Streams || stop.Since > streamAcceptWindow {
 		return false
 	}
-	pace := cmp.Or(r.UpstreamLoad.Pace(), defaultPace)
+	pace := cmp.Or(r.Loads.Pace(), defaultPace)
 	events := int((stop.Remaining - stopMargin - r.Prefill.Time(j.req.Prompt)) / pace)
 	chance := j.lengths.ChanceWithin(j.lengthKey(), events*j.eventTokens(), j.req.MaxTokens)
 	if stop.MostBoxes {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -242,7 +242,7 @@
 	r.recordHealthy(now, f)
 	f.recordTokens()
 	if r.Speeds != nil {
-		f.resp.pace.Event(now, r.UpstreamLoad.Load(now, f.resp.upstream.ID).Prefill > 0)
+		f.resp.pace.Event(now, r.Loads.Load(now, f.resp.upstream.ID).Prefill > 0)
 	}
 	if e.ID != exchange.NoEvent {
 		f.lastEvent = e.ID
