--- a/balance/places/places_test.go
+++ b/balance/places/places_test.go
@@ -138,10 +138,10 @@
 	b := &box{fleet: fleet.New(time.Second), tally: upstreamload.New(), reliability: reliability.New()}
 	b.fleet.Replace(time.Now(), list, 1, false)
 	hall := fmt.Sprint("h", seed%3)
-	b.chooser = picker.New(picker.Parts{
+	b.chooser = picker.New(picker.Components{
 		Fleet: b.fleet, Loads: b.tally, Reliability: b.reliability, Prefill: prefill.New(), Hall: hall, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
-	b.places = places.New(places.Parts{
+	b.places = places.New(places.Components{
 		Ranker: b.chooser, Failing: b.reliability.FailureRate, Counter: noCounter{}, Hall: hall, Random: rand.New(rand.NewPCG(seed, 2)),
 		Log: logs.New(io.Discard, "info", "b"),
 	})
@@ -306,10 +306,9 @@
 	return false, time.Since(arrived), 50 * time.Millisecond
 }
 
-// TestBurst simulates bursts of 8 s for three upstreams that else run at 0.45 of their
-// capacity. The value is relative to all requests served in time: a request in time
-// counts 1, one in time after a retry 0.5, a late one 0.3. At a demand of 1.35 at most
-// 0.74 can be in time.
+// TestBurst simulates bursts for upstreams that else run at half of their capacity. The
+// value is relative to all requests served in time: a request in time counts 1, one in
+// time after a retry 0.5, a late one 0.3.
 func TestBurst(t *testing.T) {
 	const ms = time.Millisecond
 	kinds := map[string]scenario{
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -69,9 +69,8 @@
 	requestMemoryKB      = 102
 	requestMemoryPercent = 50
 	// bufferMemoryPercent is the percentage of a box's memory that may be buffered for
-	// callers that read slowly, allocation overhead included. At a quarter of
-	// requestMemoryPercent, stalled callers leave most of that memory to other
-	// requests.
+	// callers that read slowly, allocation overhead included: small, so that stalled
+	// callers leave most of requestMemoryPercent to other requests.
 	bufferMemoryPercent = 12
 	// maxStreamBuffer is the number of bytes buffered per stream: enough for a long
 	// answer including event headers, so that a slow caller doesn't occupy an engine.
@@ -215,8 +214,8 @@
 		Name: c.Box, Hall: c.Hall, Address: c.Listen.Peers, Incarnation: e.record.Incarnation, State: members.Live,
 		HubEligible: e.record.Strong,
 	})
-	e.routes.OnSlept(e.slept)
-	e.fleet.OnSlept(e.slept)
+	e.routes.SetSuspendedSince(e.suspendedSince)
+	e.fleet.SetSuspendedSince(e.suspendedSince)
 	e.initServing()
 	return e
 }
@@ -232,13 +231,13 @@
 	}
 	warm := warmup.New(rand.New(rand.NewPCG(uint64(e.record.Incarnation), 5)))
 	e.fleet.OnRestart(e.onRestart(warm))
-	chooser := picker.New(picker.Parts{
+	chooser := picker.New(picker.Components{
 		Fleet: e.fleet, Loads: e.loads, Reliability: e.reliability, Prefill: prefillRate, Hall: e.config.Hall, Speeds: e.speeds,
 		Warmup: warm, Allocation: e.coldShare, Limits: e.limiter, Backoff: e.backoff, Regions: s.Regions,
 		Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 1)),
 	})
 	if e.config.Balances(wire.EdgeBalanceElemPlaces) {
-		e.places = places.New(places.Parts{
+		e.places = places.New(places.Components{
 			Ranker: chooser, Failing: e.reliability.FailureRate, Limits: e.limiter, Counter: e.metrics, Hall: e.config.Hall, Log: e.log,
 			Random: rand.New(rand.NewPCG(uint64(e.record.Incarnation), 4)),
 		})
@@ -246,13 +245,13 @@
 	e.sharing = newSharing(e.config.Balances(wire.EdgeBalanceElemShares))
 	e.admission = admission.New(chooser, e.loads, prefillRate, e.sharing.queueShares(), rand.New(rand.NewPCG(uint64(e.record.Incarnation), 3)), e.log)
 	e.relay = relay.New(relay.Components{
-		Routes: e.routes, Fleet: e.fleet, Picker: chooser, Admitter: e, Places: e.places, UpstreamLoad: e.loads, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
+		Routes: e.routes, Fleet: e.fleet, Picker: chooser, Admitter: e, Places: e.places, Loads: e.loads, Reliability: e.reliability, Speeds: e.speeds, Sender: e.upstreams,
 		Liveness: liveness.New(e.upstreams, e.fleet), Quarantine: e.quarantine, Trials: e.newTrials(), Limits: e.limits, Limiter: e.limiter, Backoff: e.backoff, Budget: e.retryBudget,
 		Runs: e.runs, OutputLengths: outputlen.New(), Prefill: prefillRate, Metrics: e.metrics, Stopping: e.stopping, Full: e.full, Buffers: e.buffers, ServeStale: s.ServeStale, StoreSilence: e.fleetStoreSilence, Log: e.log,
 	})
 	e.callers = callers.New(e.relay, e.maxBodySize, e.draining.Load)
-	e.evacuator = evacuate.New(evacuate.Parts{
-		Runs: e.runs, Chooser: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Tally: e.loads,
+	e.evacuator = evacuate.New(evacuate.Components{
+		Runs: e.runs, Picker: chooser, Mover: e.upstreams, Turns: e, Services: e.service, Loads: e.loads,
 		RecordMove: e.metrics.Moved, Log: e.log, IsLeaving: e.fleet.IsLeaving, AcceptsWork: e.fleet.Takes,
 	})
 }
